--- a/hostkit/src/caught.rs
+++ b/adapter-support/src/caught.rs
@@ -3,8 +3,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// ```
-/// assert_eq!(otterwinch_hostkit::caught(|| panic!("no {}", "luck")), Err("no luck".into()));
-/// assert_eq!(otterwinch_hostkit::caught(|| {}), Ok(()));
+/// assert_eq!(otterwinch_adapter_support::caught(|| panic!("no {}", "luck")), Err("no luck".into()));
+/// assert_eq!(otterwinch_adapter_support::caught(|| {}), Ok(()));
 /// ```
 pub fn caught(call: impl FnOnce()) -> Result<(), String> {
     catch_unwind(AssertUnwindSafe(call)).map_err(|cause| {
--- a/hostkit/src/checks.rs
+++ b/adapter-support/src/checks.rs
@@ -7,7 +7,7 @@
 /// What an instance may name: servers it was told of, proxies that are joined, slices in its charge.
 ///
 /// ```
-/// use otterwinch_hostkit::Checks;
+/// use otterwinch_adapter_support::Checks;
 /// let (mut checks, id) = (Checks::default(), "a".into());
 /// assert!(checks.line(0, &id, 1.0).is_err());
 /// checks.learn([&id].into_iter());
--- a/hostkit/src/fields.rs
+++ b/adapter-support/src/fields.rs
@@ -11,7 +11,7 @@
 /// One message: its kind and its fields.
 ///
 /// ```
-/// use otterwinch_hostkit::Fields;
+/// use otterwinch_adapter_support::Fields;
 /// let value = serde_json::json!({"kind": "HEARD", "bad": -1, "tries": 1e300, "odd": []});
 /// let f = Fields::of(&value, "kind").unwrap();
 /// assert_eq!(f.count("absent"), Ok(0.0));
@@ -77,7 +77,7 @@
     /// A figure that has to be there and to lie within bounds.
     ///
     /// ```
-    /// use otterwinch_hostkit::Fields;
+    /// use otterwinch_adapter_support::Fields;
     /// let value = serde_json::json!({"low": 0, "text": "7"});
     /// let f = Fields::named(&value, "report").unwrap();
     /// assert!(f.figure("low", 1.0..=9.0).is_err() && f.figure("text", 0.0..=9.0).is_err());
--- a/supervisor/src/collectors.rs
+++ b/control-plane/src/collectors.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
 use otterwinch::time::Span;
-use otterwinch_hostkit::Fields;
+use otterwinch_adapter_support::Fields;
 use serde_json::Value;
 use slog::{warn, Logger};
 use std::time::Duration;
--- a/supervisor/src/config.rs
+++ b/control-plane/src/config.rs
@@ -5,7 +5,7 @@
 use crate::planner::Seen;
 use otterwinch::charter::Charter;
 use otterwinch::host::{Listing, Products};
-use otterwinch_hostkit::{charter, Fields, Figures};
+use otterwinch_adapter_support::{charter, Fields, Figures};
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
--- a/supervisor/src/desk.rs
+++ b/control-plane/src/desk.rs
@@ -4,7 +4,7 @@
 use crate::config::Names;
 use otterwinch::host::{Host, Id, Listing, Products, Retry, Standing};
 use otterwinch::time::{Moment, Span};
-use otterwinch_hostkit::Checks;
+use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
 use slog::{warn, Logger};
 use std::cmp::Reverse;
--- a/supervisor/src/events.rs
+++ b/control-plane/src/events.rs
@@ -14,7 +14,7 @@
 use hyper::Method;
 use otterwinch::rules::Rules;
 use otterwinch::time::Moment;
-use otterwinch_hostkit::Fields;
+use otterwinch_adapter_support::Fields;
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::collections::BTreeSet;
--- a/supervisor/src/front.rs
+++ b/control-plane/src/front.rs
@@ -15,7 +15,7 @@
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use otterwinch_hostkit::caught;
+use otterwinch_adapter_support::caught;
 use slog::{error, info, o, warn, Logger};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/supervisor/src/list.rs
+++ b/control-plane/src/list.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, StatusCode};
 use otterwinch::host::{Id, Listing, Standing};
 use otterwinch::time::Moment;
-use otterwinch_hostkit::Fields;
+use otterwinch_adapter_support::Fields;
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
--- a/supervisor/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -7,7 +7,7 @@
 use crate::errors::Came;
 use otterwinch::rules::Rules;
 use otterwinch::time::{Moment, Span};
-use otterwinch_hostkit::{caught, Checks};
+use otterwinch_adapter_support::{caught, Checks};
 use serde_json::json;
 use slog::{error, info, warn, Logger};
 use std::cell::Cell;
--- a/standin/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -11,7 +11,7 @@
 use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{Fleet, Repeats};
 use otterwinch_fleet::Due;
-use otterwinch_replay::tally::{End, Tally};
+use otterwinch_simulation::tally::{End, Tally};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::{Arc, Mutex};
--- a/standin/src/forwarder.rs
+++ b/emulator/src/forwarder.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use otterwinch::host::Retry;
 use otterwinch_fleet::draws::stream;
-use otterwinch_replay::table::{Lines, Version};
+use otterwinch_simulation::table::{Lines, Version};
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
--- a/standin/src/plane.rs
+++ b/emulator/src/plane.rs
@@ -4,8 +4,8 @@
 
 use crate::forwarder::Forwarder;
 use otterwinch_fleet::model::Supervisors;
-use otterwinch_replay::control::{Command, Plane};
-use otterwinch_replay::table::Version;
+use otterwinch_simulation::control::{Command, Plane};
+use otterwinch_simulation::table::Version;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/standin/tests/rig.rs
+++ b/emulator/tests/rig.rs
@@ -1,11 +1,11 @@
 //! Whole fleets of stand-ins in memory, on a paused clock; what they come to is held against the event-driven play of the
 //! same fleet and load, which shares no code with them but the tables.
 
+use otterwinch_emulator::{in_memory, Net, Played, Rig, Steering};
 use otterwinch_fleet::make::Maker;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::{read_recipe, Due};
-use otterwinch_replay::{play, At, Happening, Outcome, Plan, Without};
-use otterwinch_standin::{in_memory, Net, Played, Rig, Steering};
+use otterwinch_simulation::{play, At, Happening, Outcome, Plan, Without};
 use std::sync::Arc;
 
 fn example(name: &str) -> String {
@@ -26,10 +26,10 @@
     Maker::new(fleet, &recipe, 3).dues().collect()
 }
 
-fn even() -> (Steering, otterwinch_replay::Steering) {
+fn even() -> (Steering, otterwinch_simulation::Steering) {
     let (weights, levels) = (vec![vec![1.0; 6]; 2], vec![1.0; 3]);
     let ours = Steering::Fixed { weights: weights.clone(), levels: levels.clone() };
-    (ours, otterwinch_replay::Steering::Fixed { weights, levels })
+    (ours, otterwinch_simulation::Steering::Fixed { weights, levels })
 }
 
 fn stand_in(fleet: &Fleet, steering: &Steering, dues: &[Due], happenings: &[At]) -> Played {
@@ -42,7 +42,7 @@
 
 fn replayed(
     fleet: &Fleet,
-    steering: otterwinch_replay::Steering,
+    steering: otterwinch_simulation::Steering,
     dues: &[Due],
     happenings: &[At],
 ) -> Outcome {
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -3,7 +3,7 @@
 use crate::model::*;
 use crate::proto;
 use otterwinch::time::Span;
-use otterwinch_settings::Checker;
+use otterwinch_textproto::Checker;
 
 const MOST_HALLS: usize = 64;
 const MOST_NODES: u32 = 20_000;
--- a/fleet/src/import.rs
+++ b/fleet/src/import.rs
@@ -1,7 +1,7 @@
 //! Captured load out of other programs' logs: CSV and JSON lines.
 
 use crate::model::Fleet;
-use otterwinch_capture::Txn;
+use otterwinch_traffic_capture::Txn;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -4,7 +4,7 @@
 use crate::draws::stream;
 use crate::make::work;
 use crate::model::Fleet;
-use otterwinch_capture::{Asked, Piece, Reader, Start, Sum, Txn};
+use otterwinch_traffic_capture::{Asked, Piece, Reader, Start, Sum, Txn};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/fleet/src/text.rs
+++ b/fleet/src/text.rs
@@ -4,7 +4,7 @@
 use crate::make::{self, Recipe};
 use crate::model::Fleet;
 use crate::proto;
-use otterwinch_settings::{Checker, Faults};
+use otterwinch_textproto::{Checker, Faults};
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 use std::sync::LazyLock;
 
@@ -24,12 +24,12 @@
 /// assert_eq!(faults.to_string(), "f:2: there is no field 'hals' here; did you mean 'hall'?");
 /// ```
 pub fn read(file: &str, text: &str) -> Result<Fleet, Faults> {
-    let (told, source) = otterwinch_settings::read::<proto::Fleet>(file, text, &kind("Fleet"))?;
+    let (told, source) = otterwinch_textproto::read::<proto::Fleet>(file, text, &kind("Fleet"))?;
     Checker::whole(&source, |c| check::fleet(c, &told))
 }
 
 /// Reads what load to make for a fleet.
 pub fn read_recipe(file: &str, text: &str, fleet: &Fleet) -> Result<Recipe, Faults> {
-    let (told, source) = otterwinch_settings::read::<proto::Make>(file, text, &kind("Make"))?;
+    let (told, source) = otterwinch_textproto::read::<proto::Make>(file, text, &kind("Make"))?;
     Checker::whole(&source, |c| make::recipe(c, &told, fleet))
 }
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -1,11 +1,11 @@
 //! Descriptions, recipes and captures as files that operators write.
 
-use otterwinch_capture::{Asked, Start, Sum, Txn, Writer};
 use otterwinch_fleet::import::{import, Columns, Form, Reading, Unit};
 use otterwinch_fleet::load::{Load, Summary};
 use otterwinch_fleet::make::Maker;
 use otterwinch_fleet::model::{Fleet, Repeats};
 use otterwinch_fleet::{read, read_recipe, Due};
+use otterwinch_traffic_capture::{Asked, Start, Sum, Txn, Writer};
 use std::collections::BTreeMap;
 
 fn example(name: &str) -> String {
--- a/replay/tests/play.rs
+++ b/simulation/tests/play.rs
@@ -3,7 +3,7 @@
 use otterwinch_fleet::make::Maker;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::{read_recipe, Due};
-use otterwinch_replay::{play, Happening, Outcome, Plan, Steering, Without};
+use otterwinch_simulation::{play, Happening, Outcome, Plan, Steering, Without};
 
 fn example(name: &str) -> String {
     let path = format!("{}/../examples/{name}", env!("CARGO_MANIFEST_DIR"));
--- a/wirehost/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -2,7 +2,7 @@
 
 use otterwinch::host::{Listing, Standing};
 use otterwinch::time::Moment;
-use otterwinch_hostkit::Fields;
+use otterwinch_adapter_support::Fields;
 use serde_json::Value;
 
 pub fn listings(f: &Fields) -> Result<Vec<Listing>, String> {
--- a/wirehost/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -4,7 +4,7 @@
 use otterwinch::charter::Charter;
 use otterwinch::host::{Host, Id, Products, Retry};
 use otterwinch::time::Span;
-use otterwinch_hostkit::Checks;
+use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
 
 pub struct Desk {
@@ -20,7 +20,7 @@
 
     fn say(&mut self, checked: Result<(), String>, kind: &str, mut fields: Value) {
         if let Err(fault) = checked {
-            return eprintln!("otterwinch-wirehost: instance {}: {fault}", self.who);
+            return eprintln!("otterwinch-simulator-adapter: instance {}: {fault}", self.who);
         }
         fields["kind"] = kind.into();
         fields["who"] = self.who.into();
--- a/wirehost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use otterwinch::host::Listing;
 use otterwinch::rules::Rules;
 use otterwinch::time::{Moment, Span};
-use otterwinch_hostkit::{caught, charter, Fields};
+use otterwinch_adapter_support::{caught, charter, Fields};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
@@ -41,7 +41,7 @@
                 out.write_all(&hosted.reply())?;
                 out.flush()?;
             }
-            Err(fault) => eprintln!("otterwinch-wirehost: line skipped: {fault}"),
+            Err(fault) => eprintln!("otterwinch-simulator-adapter: line skipped: {fault}"),
         }
     }
 }
--- a/capture/src/writer.rs
+++ b/traffic-capture/src/writer.rs
@@ -16,7 +16,7 @@
 /// Writes one file. What is not ended by [`Writer::end`] reads as cut off.
 ///
 /// ```
-/// use otterwinch_capture::{Piece, Reader, Start, Txn, Writer};
+/// use otterwinch_traffic_capture::{Piece, Reader, Start, Txn, Writer};
 /// let start = Start { products: vec!["quote".into()], halls: vec!["north".into()], ..Start::default() };
 /// let mut file = Vec::new();
 /// let mut writer = Writer::open(&mut file, &start, None).unwrap();
--- a/capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -1,6 +1,6 @@
 //! Files as disks leave them: whole, cut off anywhere, spoilt anywhere.
 
-use otterwinch_capture::{Amiss, Asked, Full, Met, Piece, Reader, Start, Sum, Txn, Writer};
+use otterwinch_traffic_capture::{Amiss, Asked, Full, Met, Piece, Reader, Start, Sum, Txn, Writer};
 use proptest::prelude::*;
 
 fn start() -> Start {
