--- a/control-plane/src/events.rs
+++ b/control-plane/src/events.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyDataStream;
 use hyper::body::Bytes;
 use hyper::Method;
-use otterwinch::rules::Rules;
+use otterwinch::controller::Controller;
 use otterwinch::time::Moment;
 use otterwinch_adapter_support::Fields;
 use serde_json::Value;
@@ -188,7 +188,7 @@
     Ok(())
 }
 
-fn left(rules: &mut Rules<Desk>, now: Moment, proxy: u32) {
+fn left(rules: &mut Controller<Desk>, now: Moment, proxy: u32) {
     rules.host().left(proxy);
     rules.proxy_left(now, proxy);
 }
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -5,7 +5,7 @@
 use crate::config::Config;
 use crate::desk::{About, Desk};
 use crate::errors::Came;
-use otterwinch::rules::Rules;
+use otterwinch::controller::Controller;
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{caught, Checks};
 use serde_json::json;
@@ -21,7 +21,7 @@
 const SUMMARY_EVERY: Span = Span::from_us(10_000_000);
 const PAGE_EVERY: Span = Span::from_us(1_000_000);
 
-pub type Told = Box<dyn FnOnce(&mut Rules<Desk>, Moment)>;
+pub type Told = Box<dyn FnOnce(&mut Controller<Desk>, Moment)>;
 
 /// What the tasks of the peers speak to. Where the planner is behind, they wait.
 #[derive(Clone)]
@@ -50,7 +50,7 @@
 }
 
 impl Ear {
-    pub async fn tell(&self, told: impl FnOnce(&mut Rules<Desk>, Moment) + 'static) {
+    pub async fn tell(&self, told: impl FnOnce(&mut Controller<Desk>, Moment) + 'static) {
         // Only at the end of the process is nobody there to listen.
         let _ = self.told.send(Box::new(told)).await;
     }
@@ -74,7 +74,7 @@
 }
 
 pub struct Planner {
-    rules: Rules<Desk>,
+    rules: Controller<Desk>,
     config: Rc<Config>,
     clock: Clock,
     commands: Commands,
@@ -97,7 +97,7 @@
         let clock = Clock::start();
         let now = clock.now();
         let desk = Desk::new(Checks::new(&config.charter), config.names.clone(), now, log.clone());
-        let mut rules = Rules::open(desk, config.charter.clone(), config.seed, now);
+        let mut rules = Controller::open(desk, config.charter.clone(), config.seed, now);
         rules.host().learn(&config.known, true);
         rules.list_whole(now, &config.known);
         let (ear, told) = mpsc::channel(QUEUE);
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Rules that break are opened anew from what stands outside, as after a start.
+    /// Controller that break are opened anew from what stands outside, as after a start.
     fn guarded(&mut self, now: Moment, told: Told) {
         if let Err(cause) = caught(|| told(&mut self.rules, now)) {
             error!(self.log, "the rules broke"; "cause" => cause);
@@ -249,8 +249,8 @@
         let (listed, gone) = desk.stands();
         let joined = desk.joined.clone();
         let seed = self.config.seed.wrapping_add(self.opened);
-        self.rules = Rules::open(desk, self.config.charter.clone(), seed, now);
-        let tell = |rules: &mut Rules<Desk>| {
+        self.rules = Controller::open(desk, self.config.charter.clone(), seed, now);
+        let tell = |rules: &mut Controller<Desk>| {
             rules.list_changed(now, &gone);
             rules.list_whole(now, &listed);
             joined.iter().for_each(|(p, (zone, rate))| rules.proxy_joined(now, *p, *zone, *rate, false));
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -2,8 +2,8 @@
 
 use crate::queue::Time;
 use crate::table::{Level, Table, Version};
+use otterwinch::controller::Controller;
 use otterwinch::host::{Host, Id, Products, Retry};
-use otterwinch::rules::Rules;
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Supervisors;
 use rustc_hash::FxHashMap;
@@ -94,7 +94,7 @@
 }
 
 pub struct Supervisor {
-    pub rules: Rules<Desk>,
+    pub rules: Controller<Desk>,
     pub plane: Plane,
     pub sums: Sums,
     /// Commands of this instant wait to be gathered.
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -8,8 +8,8 @@
 use crate::queue::{Class, Queue, Time};
 use crate::table::{Level, Lines, Version};
 use crate::tally::Tally;
+use otterwinch::controller::Controller;
 use otterwinch::host::{Id, Listing, Retry};
-use otterwinch::rules::Rules;
 use otterwinch::time::Span;
 use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{Fleet, Group, Speed};
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Steering {
     /// Supervisors, with the real rules.
-    Rules,
+    Controller,
     /// Nobody: each hall's forwarders hold these weights, by node, from the beginning to the end, and let in these parts
     /// of the products.
     Fixed { weights: Vec<Vec<f64>>, levels: Vec<f64> },
@@ -272,7 +272,7 @@
 impl<'a> Engine<'a> {
     fn new(plan: &Plan<'a>) -> Self {
         let fleet = plan.fleet;
-        let lead = if plan.steering == Steering::Rules { LEAD } else { 0 };
+        let lead = if plan.steering == Steering::Controller { LEAD } else { 0 };
         let mut nodes = Vec::new();
         for (place, told) in fleet.groups.iter().enumerate() {
             let mut group = told.clone();
@@ -333,7 +333,7 @@
         let fleet = self.fleet;
         let fixed = match steering {
             Steering::Fixed { weights, levels } => Some((weights, levels)),
-            Steering::Rules => None,
+            Steering::Controller => None,
         };
         let count = if fixed.is_some() { 0 } else { fleet.supervisors.count };
         for (hall, told) in fleet.halls.iter().enumerate() {
@@ -370,7 +370,7 @@
         }
         for k in 0..count {
             let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
-            let rules = Rules::open(Desk::new(self.places.clone()), charter(fleet), seed, moment(0));
+            let rules = Controller::open(Desk::new(self.places.clone()), charter(fleet), seed, moment(0));
             let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
             let mut supervisor = Supervisor { rules, plane, sums, gathers: false };
             let listed: Vec<Listing> = self.nodes.iter().map(listing).collect();
--- a/simulation/tests/play.rs
+++ b/simulation/tests/play.rs
@@ -21,7 +21,7 @@
 }
 
 fn plan(fleet: &Fleet) -> Plan<'_> {
-    Plan { fleet, seed: 7, steering: Steering::Rules, happenings: vec![], without: Without::default() }
+    Plan { fleet, seed: 7, steering: Steering::Controller, happenings: vec![], without: Without::default() }
 }
 
 fn load(fleet: &Fleet, recipe: &str) -> Vec<Due> {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -4,18 +4,18 @@
 mod desk;
 
 use desk::Desk;
+use otterwinch::controller::Controller;
 use otterwinch::host::Listing;
-use otterwinch::rules::Rules;
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{caught, charter, Fields};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
-type Call<'a> = Box<dyn FnOnce(&mut Rules<Desk>) + 'a>;
+type Call<'a> = Box<dyn FnOnce(&mut Controller<Desk>) + 'a>;
 
 #[derive(Default)]
 struct Hosted {
-    instances: BTreeMap<u64, Rules<Desk>>,
+    instances: BTreeMap<u64, Controller<Desk>>,
     pages: BTreeMap<u64, Vec<Listing>>,
     now: Moment,
     serial: u64,
@@ -66,7 +66,7 @@
                 let seed = f.whole("entropy")?;
                 let now = self.now;
                 self.guarded(who, |hosted| {
-                    hosted.instances.insert(who, Rules::open(desk, charter, seed, now));
+                    hosted.instances.insert(who, Controller::open(desk, charter, seed, now));
                 });
             }
             "DESTROY" => {
--- a/src/rules.rs
+++ b/src/controller/mod.rs
@@ -102,7 +102,7 @@
 const LEVEL_FLOOR: f64 = 0.1;
 const LEVEL_STEP: f64 = 0.05;
 
-pub struct Rules<H: Host> {
+pub struct Controller<H: Host> {
     host: H,
     charter: Charter,
     chance: Chance,
@@ -120,7 +120,7 @@
     held: Held,
 }
 
-impl<H: Host> Rules<H> {
+impl<H: Host> Controller<H> {
     pub fn open(mut host: H, charter: Charter, seed: u64, now: Moment) -> Self {
         if charter.list_on_request {
             host.follow_list();
@@ -129,7 +129,7 @@
         let all = if charter.admission == Admission::PerSecond { 1e6 } else { 1.0 };
         let mut chance = Chance::new(seed);
         let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
-        Rules {
+        Controller {
             host,
             chance,
             salt,
--- a/src/rules/tests.rs
+++ b/src/controller/tests.rs
@@ -11,7 +11,7 @@
     charter
 }
 
-fn said(rules: &mut Rules<crate::testing::Recorder>) -> String {
+fn said(rules: &mut Controller<crate::testing::Recorder>) -> String {
     rules.host().said.join("\n")
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// Sixty servers in each of two zones, and sixty proxies of both, where tables may hold sixteen lines.
-fn tight() -> Rules<crate::testing::Recorder> {
+fn tight() -> Controller<crate::testing::Recorder> {
     let tight = Charter { crossing_costs: true, proxies: 60, message_head: 2.5, ..charter() };
     let mut rules = running(tight, &[], 0);
     let fleet = (0..120).map(|k| listing(&format!("s{k}"), k % 2, Ready, None));
@@ -262,7 +262,7 @@
 }
 
 /// Thirty bound proxies and servers "10" up to below `last`, more than the channel carries at once.
-fn crowded(message_head: f64, last: u32) -> Rules<crate::testing::Recorder> {
+fn crowded(message_head: f64, last: u32) -> Controller<crate::testing::Recorder> {
     let ids: Vec<String> = (10..last).map(|k| k.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let mut rules = running(Charter { messages_most: 0, message_head, ..charter() }, &ids, 30);
@@ -313,7 +313,7 @@
 }
 
 /// Messages to proxy 0 at these moments.
-fn messages(rules: &mut Rules<crate::testing::Recorder>, moments: impl Iterator<Item = f64>) {
+fn messages(rules: &mut Controller<crate::testing::Recorder>, moments: impl Iterator<Item = f64>) {
     moments.for_each(|moment| rules.ledger.note(at(moment), 0, 1.0, 0.0));
 }
 
@@ -409,7 +409,7 @@
 }
 
 /// Two servers of whom `tries` are heard each, one that is not heard, and `a` with two tries.
-fn judged(tries: f64, voided: f64, took: f64) -> Rules<crate::testing::Recorder> {
+fn judged(tries: f64, voided: f64, took: f64) -> Controller<crate::testing::Recorder> {
     let mut rules = running(charter(), &["a", "b", "c", "d"], 1);
     ["b", "c"].iter().for_each(|id| rules.met(at(1.0), id, tries, 0.0, Span::ZERO, Span::ZERO));
     rules.met(at(1.0), "a", 2.0, voided, Span::secs(took), Span::ZERO);
@@ -490,7 +490,7 @@
 }
 
 /// What a supervisor knows three seconds after its start: a few tries of the first proxies that joined it.
-fn just_started(tries: f64, joined_lately: f64) -> Rules<crate::testing::Recorder> {
+fn just_started(tries: f64, joined_lately: f64) -> Controller<crate::testing::Recorder> {
     let mut rules = running(charter(), &["a", "b"], 4);
     let (asked, over) = (vec![10.0, 10.0], Span::secs(2.0));
     let joined = joined_lately * over.as_secs();
--- a/src/host.rs
+++ b/src/host.rs
@@ -52,7 +52,7 @@
     fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry);
     /// Asks each proxy that this moment's commands reach to tell when they have come.
     fn mark(&mut self, number: u32);
-    /// Sends once more what `Rules::commands_lost` was told of.
+    /// Sends once more what `Controller::commands_lost` was told of.
     fn repeat(&mut self);
     /// Subscribes to the list.
     fn follow_list(&mut self);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
 //! otterwinch: the decisions of a central planner behind a layer of plain proxies.
 //!
-//! [`rules`] decides; it acts through [`host::Host`] and reads a [`charter::Charter`] at start. Nothing in
+//! [`controller`] decides; it acts through [`host::Host`] and reads a [`charter::Charter`] at start. Nothing in
 //! this crate does I/O.
 
 pub mod chance;
 pub mod charter;
+pub mod controller;
 pub mod histogram;
 pub mod host;
 pub mod ledger;
-pub mod rules;
 mod state;
 #[cfg(test)]
 mod testing;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What the rules remember: plain types, filled and read by `rules.rs` alone.
+//! What the rules remember: plain types, filled and read by the controller alone.
 
 use crate::histogram::Histogram;
 use crate::host::{Id, Standing};
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,8 +1,8 @@
 //! What the module's tests share: a host that writes down what it is told, a charter, rules to start from.
 
 use crate::charter::{Admission, Charter, Product};
+use crate::controller::Controller;
 use crate::host::{Host, Id, Listing, Products, Retry, Standing};
-use crate::rules::Rules;
 use crate::time::{Moment, Span};
 
 #[derive(Default)]
@@ -87,9 +87,9 @@
     Listing { id: id.into(), zone, weight: 2.0, standing, started }
 }
 
-/// Rules that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
-pub fn running(charter: Charter, ids: &[&str], proxies: u32) -> Rules<Recorder> {
-    let mut rules = Rules::open(Recorder::default(), charter, 7, at(0.0));
+/// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
+pub fn running(charter: Charter, ids: &[&str], proxies: u32) -> Controller<Recorder> {
+    let mut rules = Controller::open(Recorder::default(), charter, 7, at(0.0));
     let listings: Vec<Listing> = ids.iter().map(|id| listing(id, 0, Standing::Ready, None)).collect();
     rules.list_whole(at(0.0), &listings);
     (0..proxies).for_each(|proxy| rules.proxy_joined(at(0.0), proxy, 0, 10.0, true));
