--- a/adapter-support/src/checks.rs
+++ b/adapter-support/src/checks.rs
@@ -1,6 +1,6 @@
 //! Checks on commands before they go out, so that a slip in the rules costs a command and not the whole call.
 
-use otterwinch::charter::Charter;
+use otterwinch::config::ControllerConfig;
 use otterwinch::host::Id;
 use std::collections::BTreeSet;
 
@@ -24,8 +24,8 @@
 }
 
 impl Checks {
-    pub fn new(charter: &Charter) -> Self {
-        Checks { slices: charter.slices > 0, ..Checks::default() }
+    pub fn new(config: &ControllerConfig) -> Self {
+        Checks { slices: config.slices > 0, ..Checks::default() }
     }
 
     pub fn learn<'a>(&mut self, ids: impl Iterator<Item = &'a Id>) {
--- a/adapter-support/src/figures.rs
+++ b/adapter-support/src/figures.rs
@@ -1,6 +1,6 @@
-//! The settings that an instance is given at its start, read into the `Charter` of the rules.
+//! The settings that an instance is given at its start, read into the `ControllerConfig` of the rules.
 
-use otterwinch::charter::{Admission, Charter, Product};
+use otterwinch::config::{Admission, ControllerConfig, Product};
 use otterwinch::time::Span;
 use serde_json::Value;
 
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn charter(env: &Figures) -> Charter {
+pub fn controller_config(env: &Figures) -> ControllerConfig {
     let (info, rules) = (env.at("familyInfo"), env.at("guarantees"));
     let by_product = |list: &str, k: usize| info.at(list).rows().nth(k).is_some_and(Figures::yes);
     let product = |(k, row): (usize, Figures)| Product {
@@ -51,7 +51,7 @@
         own_zone: by_product("staysLocal", k),
         writes: by_product("writeClasses", k),
     };
-    Charter {
+    ControllerConfig {
         products: env.at("classes").rows().take(64).enumerate().map(product).collect(),
         list_on_request: env.at("discovery").word() == "ask",
         crossing_costs: env.at("charges").at("crossZone").num() > 0.0,
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -3,9 +3,9 @@
 
 use crate::list;
 use crate::planner::Seen;
-use otterwinch::charter::Charter;
+use otterwinch::config::ControllerConfig;
 use otterwinch::host::{Listing, Products};
-use otterwinch_adapter_support::{charter, Fields, Figures};
+use otterwinch_adapter_support::{controller_config, Fields, Figures};
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
     pub relay: SocketAddr,
     pub seed: u64,
     pub names: Rc<Names>,
-    pub charter: Charter,
+    pub controller: ControllerConfig,
     pub known: Vec<Listing>,
     /// How many connections our address may hold: half of all sockets, so that our own ways out have theirs.
     pub connections: usize,
@@ -108,7 +108,7 @@
             },
         };
         // On sockets the list answers only when it is asked, whatever the settings say of it.
-        let charter = Charter { list_on_request: true, ..charter(&figures) };
+        let controller = ControllerConfig { list_on_request: true, ..controller_config(&figures) };
         if settings.is_some() {
             let holds_nothing = |list| move || format!("config: field 'settings.{list}' holds nothing");
             faults.unless(!names.zones.is_empty(), holds_nothing("zones"));
@@ -116,7 +116,7 @@
             faults.unless(names.products.len() <= MOST_PRODUCTS, || {
                 format!("config: field 'settings.classes' holds more than {MOST_PRODUCTS}")
             });
-            faults.unless(charter.slices == 0, || {
+            faults.unless(controller.slices == 0, || {
                 "config: field 'settings.familyInfo.slices' is above 0: the relay has no slices".into()
             });
         }
@@ -142,7 +142,18 @@
                 if faults.0.is_empty() =>
             {
                 let (names, known) = (Rc::new(names), known.listings);
-                Ok(Config { name, listen, list, relay, seed, names, charter, known, connections, list_bytes })
+                Ok(Config {
+                    name,
+                    listen,
+                    list,
+                    relay,
+                    seed,
+                    names,
+                    controller,
+                    known,
+                    connections,
+                    list_bytes,
+                })
             }
             _ => Err(faults.0),
         }
@@ -154,7 +165,7 @@
         for (what, stands) in [
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
-            ("settings", self.names == newer.names && self.charter == newer.charter),
+            ("settings", self.names == newer.names && self.controller == newer.controller),
         ] {
             faults
                 .unless(stands, || format!("config: field '{what}' can't change while the supervisor runs"));
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -96,8 +96,8 @@
     pub fn open(config: Rc<Config>, commands: Commands, log: Logger) -> (Self, Ear, watch::Receiver<String>) {
         let clock = Clock::start();
         let now = clock.now();
-        let desk = Desk::new(Checks::new(&config.charter), config.names.clone(), now, log.clone());
-        let mut rules = Controller::open(desk, config.charter.clone(), config.seed, now);
+        let desk = Desk::new(Checks::new(&config.controller), config.names.clone(), now, log.clone());
+        let mut rules = Controller::open(desk, config.controller.clone(), config.seed, now);
         rules.host().learn(&config.known, true);
         rules.list_whole(now, &config.known);
         let (ear, told) = mpsc::channel(QUEUE);
@@ -249,7 +249,7 @@
         let (listed, gone) = desk.stands();
         let joined = desk.joined.clone();
         let seed = self.config.seed.wrapping_add(self.opened);
-        self.rules = Controller::open(desk, self.config.charter.clone(), seed, now);
+        self.rules = Controller::open(desk, self.config.controller.clone(), seed, now);
         let tell = |rules: &mut Controller<Desk>| {
             rules.list_changed(now, &gone);
             rules.list_whole(now, &listed);
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -8,8 +8,8 @@
 use otterwinch::host::{Id, Listing};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Fleet;
-use otterwinch_simulation::charter;
 use otterwinch_simulation::control::Desk;
+use otterwinch_simulation::controller_config;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
     let moment = |at: Instant| Moment::from_us(ORIGIN + (at - began).as_micros() as i64);
     let ids: Vec<Id> = nodes.iter().map(|name| name.as_str().into()).collect();
     let places = Rc::new((0..).zip(&ids).map(|(k, id)| (id.clone(), k)).collect());
-    let mut rules = Controller::open(Desk::new(places), charter(&fleet), seed, moment(began));
+    let mut rules = Controller::open(Desk::new(places), controller_config(&fleet), seed, moment(began));
     let mut wakes: BinaryHeap<Reverse<(Instant, u64, u64)>> = BinaryHeap::new();
     let mut asked_for = 0;
     let us = |span: Span| Duration::from_micros(span.as_us().max(0) as u64);
--- a/simulation/src/charter.rs
+++ b/simulation/src/controller_config.rs
@@ -1,10 +1,10 @@
 //! What supervisors of a described fleet read at their start.
 
-use otterwinch::charter::{Admission, Charter, Product};
+use otterwinch::config::{Admission, ControllerConfig, Product};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{Fleet, Repeats};
 
-pub fn charter(fleet: &Fleet) -> Charter {
+pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
     let told = &fleet.supervisors;
     let product = |p: &otterwinch_fleet::model::Product| Product {
         sla: p.sla,
@@ -12,7 +12,7 @@
         own_zone: false,
         writes: p.repeats != Repeats::InquiryLike,
     };
-    Charter {
+    ControllerConfig {
         products: fleet.products.iter().map(product).collect(),
         list_on_request: false,
         crossing_costs: told.crossing_costs && fleet.halls.len() > 1,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,8 +1,8 @@
 //! A play from its first event to its last: what there is, how it is set up, and which event comes next. The life of a txn
 //! is in `life.rs`, what supervisors hear and order in `word.rs`, what befalls a fleet in `mishap.rs`.
 
-use crate::charter::charter;
 use crate::control::{moment, Desk, Plane, Sums, Supervisor};
+use crate::controller_config::controller_config;
 use crate::happening::At;
 use crate::node::Node;
 use crate::queue::{Class, Queue, Time};
@@ -370,7 +370,8 @@
         }
         for k in 0..count {
             let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
-            let rules = Controller::open(Desk::new(self.places.clone()), charter(fleet), seed, moment(0));
+            let rules =
+                Controller::open(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
             let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
             let mut supervisor = Supervisor { rules, plane, sums, gathers: false };
             let listed: Vec<Listing> = self.nodes.iter().map(listing).collect();
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -5,8 +5,8 @@
 //! `word.rs` what supervisors hear and order, `mishap.rs` what befalls a fleet. `queue.rs` orders events, `node.rs` is a
 //! node, `table.rs` what forwarders hold, `control.rs` a supervisor, `tally.rs` what it came to.
 
-mod charter;
 pub mod control;
+mod controller_config;
 mod engine;
 mod happening;
 mod life;
@@ -17,6 +17,6 @@
 pub mod tally;
 mod word;
 
-pub use charter::charter;
+pub use controller_config::controller_config;
 pub use engine::{play, speeds, NodeOutcome, Outcome, Plan, Steering, Without};
 pub use happening::{At, Happening};
--- a/simulator-adapter/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -1,7 +1,7 @@
 //! One instance's way out: encodes what the rules order, and lets nothing through that the wire calls a
 //! fault, so that a slip in the rules costs a command and not the process.
 
-use otterwinch::charter::Charter;
+use otterwinch::config::ControllerConfig;
 use otterwinch::host::{Host, Id, Products, Retry};
 use otterwinch::time::Span;
 use otterwinch_adapter_support::Checks;
@@ -14,8 +14,8 @@
 }
 
 impl Desk {
-    pub fn new(who: u64, charter: &Charter) -> Self {
-        Desk { who, checks: Checks::new(charter), said: vec![] }
+    pub fn new(who: u64, config: &ControllerConfig) -> Self {
+        Desk { who, checks: Checks::new(config), said: vec![] }
     }
 
     fn say(&mut self, checked: Result<(), String>, kind: &str, mut fields: Value) {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use otterwinch::controller::Controller;
 use otterwinch::host::Listing;
 use otterwinch::time::{Moment, Span};
-use otterwinch_adapter_support::{caught, charter, Fields};
+use otterwinch_adapter_support::{caught, controller_config, Fields};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
@@ -61,12 +61,12 @@
                 self.pages.insert(f.whole("page")?, decode::listings(&f)?);
             }
             "UP" => {
-                let (who, charter) = (f.whole("who")?, charter(&f.object("env")?));
-                let desk = Desk::new(who, &charter);
+                let (who, config) = (f.whole("who")?, controller_config(&f.object("env")?));
+                let desk = Desk::new(who, &config);
                 let seed = f.whole("entropy")?;
                 let now = self.now;
                 self.guarded(who, |hosted| {
-                    hosted.instances.insert(who, Controller::open(desk, charter, seed, now));
+                    hosted.instances.insert(who, Controller::open(desk, config, seed, now));
                 });
             }
             "DESTROY" => {
--- a/src/charter.rs
+++ b/src/config.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Charter {
+pub struct ControllerConfig {
     pub products: Vec<Product>,
     /// The list of servers answers only when it is asked.
     pub list_on_request: bool,
@@ -56,7 +56,7 @@
     pub only_drains_bind: bool,
 }
 
-impl Charter {
+impl ControllerConfig {
     /// The lines that leave the channel and still come within the grace of a drain.
     pub fn carried_in_grace(&self) -> f64 {
         (self.drain_grace - self.way_most).as_secs() * self.channel_rate
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,13 +1,13 @@
 //! All decisions of a supervisor, its tables and its tuned values. The host calls one method for each thing
 //! that happens (`list_changed`, `met`, `woke` ...) with the present moment; the rules act at once through
-//! the `Host` (`host.rs`) given to `open`, and read `charter.rs`. A moment's commands travel together.
+//! the `Host` (`host.rs`) given to `open`, and read `config.rs`. A moment's commands travel together.
 //!
 //! The ordinary path is that of docs/design.md: few shared tables of the listed servers at listed weight,
 //! looked at every `turn`, only changes sent. The guards: rule 1 `wanted`, `bind_waiting`, rule 2 `RETRY`,
 //! `publish_slices`, `commands_lost`, rule 3 `leaving` in `publish`, rule 4 `warmth`, `eased`, rule 5 `room`.
 
 use crate::chance::Chance;
-use crate::charter::{Admission, Charter};
+use crate::config::{Admission, ControllerConfig};
 use crate::histogram::Histogram;
 use crate::host::{Host, Id, Listing, Products, Retry, Standing};
 use crate::ledger::Ledger;
@@ -104,7 +104,7 @@
 
 pub struct Controller<H: Host> {
     host: H,
-    charter: Charter,
+    config: ControllerConfig,
     chance: Chance,
     /// Each supervisor lays the ring in an order of its own.
     salt: u32,
@@ -121,12 +121,12 @@
 }
 
 impl<H: Host> Controller<H> {
-    pub fn open(mut host: H, charter: Charter, seed: u64, now: Moment) -> Self {
-        if charter.list_on_request {
+    pub fn open(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
+        if config.list_on_request {
             host.follow_list();
         }
         host.wake(GATHER, TURN);
-        let all = if charter.admission == Admission::PerSecond { 1e6 } else { 1.0 };
+        let all = if config.admission == Admission::PerSecond { 1e6 } else { 1.0 };
         let mut chance = Chance::new(seed);
         let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
         Controller {
@@ -138,11 +138,11 @@
             proxies: BTreeMap::new(),
             usual: BTreeMap::new(),
             slices: BTreeMap::new(),
-            levels: vec![all; charter.products.len()],
-            pulse: Pulse { asked: vec![0.0; charter.products.len()], ..Pulse::default() },
-            ledger: Ledger::new(charter.channel_rate * PACE_TRUSTED),
+            levels: vec![all; config.products.len()],
+            pulse: Pulse { asked: vec![0.0; config.products.len()], ..Pulse::default() },
+            ledger: Ledger::new(config.channel_rate * PACE_TRUSTED),
             held: Held { gathered: now, ..Held::default() },
-            charter,
+            config,
         }
     }
 
@@ -193,7 +193,7 @@
     pub fn proxy_joined(&mut self, now: Moment, proxy: u32, zone: u32, rate: f64, fresh: bool) {
         let known = self.usual.insert(proxy, (zone, rate)).is_some();
         // Where crossing zones costs or is barred, each zone's proxies have a table of their own.
-        let zoned = self.charter.crossing_costs || self.charter.products.iter().any(|p| p.own_zone);
+        let zoned = self.config.crossing_costs || self.config.products.iter().any(|p| p.own_zone);
         let (place, home) = if zoned { (1 + zone, Some(zone)) } else { (0, None) };
         // One table where it holds the fleet and as much again; else several, an arc of the ring each.
         let whole = !self.servers.is_empty() && self.servers.len() <= self.lines_most() / 2;
@@ -227,7 +227,7 @@
         server.heard = if answered > 0.0 { Some(now) } else { server.heard };
         // Reports come late, and tries that end now began earlier: they tell of the weight before the move.
         if server.rung == 0 || now - server.judged >= REPORT_LAG + over {
-            let sla = self.charter.products.iter().map(|p| p.sla).min().unwrap_or_default();
+            let sla = self.config.products.iter().map(|p| p.sla).min().unwrap_or_default();
             server.tally.add(HURT.len() - 1, voided);
             server.tally.add(BANDS.iter().filter(|part| took >= sla * **part).count(), answered);
         }
@@ -278,7 +278,7 @@
 
     /// Rule 4: no more of its weight than the slowest warm-up allows at its age, counted from its start.
     fn warmth(&self, now: Moment, server: &Server) -> f64 {
-        let cold_for = self.charter.cold_for;
+        let cold_for = self.config.cold_for;
         let Some(age) = server.started.map(|at| now - at).filter(|age| *age < cold_for) else { return 1.0 };
         let grown = age.as_secs().max(0.0) / cold_for.as_secs();
         RAMP_FROM + (1.0 - RAMP_FROM) * grown.powf(RAMP_BEND)
@@ -309,7 +309,7 @@
         let Some(tbl) = self.tbls.get(&number) else { return BTreeMap::new() };
         let (near, mut away): (Vec<&Part>, Vec<&Part>) =
             all.parts.iter().partition(|p| tbl.home == Some(p.zone));
-        if self.charter.products.iter().any(|p| p.own_zone) {
+        if self.config.products.iter().any(|p| p.own_zone) {
             away.clear();
         }
         let most = self.lines_most();
@@ -361,7 +361,7 @@
         let crowded = (self.ready_weight() / self.pulse.peak.max(1e-9) * answers).clamp(0.05, 1.0);
         let cut = crowded.max(((cold + warm) / WARM_BEARS - warm) / cold.max(1e-9)).min(1.0);
         // Proxies that shun leave a failing fleet for what they have not tried yet: the youngest stay out.
-        let rush = self.charter.shuns_after > 0 && warm > 0.0 && self.pulse.struggling;
+        let rush = self.config.shuns_after > 0 && warm > 0.0 && self.pulse.struggling;
         let kept = parts.into_iter().filter(|p| p.warmth >= YOUNG || !rush);
         let ease = |p: &Part| if p.warmth < 1.0 { p.warmth * cut } else { 1.0 };
         kept.map(|p| (p.id.clone(), (p.weight * ease(&p), p.warmth >= 1.0))).collect()
@@ -374,7 +374,7 @@
         if wanted.is_empty() && self.carried(now, number) {
             return Vec::new();
         }
-        let way = users / self.charter.channel_rate.max(1.0);
+        let way = users / self.config.channel_rate.max(1.0);
         let mean = wanted.values().map(|w| w.0).sum::<f64>() / wanted.len().max(1) as f64;
         let Some(tbl) = self.tbls.get_mut(&number) else { return Vec::new() };
         tbl.carried = None;
@@ -397,8 +397,8 @@
     /// rule 3 allows: a list that dropped them all at once is more often wrong than right.
     fn carried(&mut self, now: Moment, number: u32) -> bool {
         let Some(tbl) = self.tbls.get_mut(&number) else { return false };
-        let (long, in_grace) = (HEARTBEAT_EVERY, self.charter.drain_grace * 0.6 - self.charter.way_most);
-        let spell = if self.charter.only_drains_bind { long } else { long.min(in_grace) };
+        let (long, in_grace) = (HEARTBEAT_EVERY, self.config.drain_grace * 0.6 - self.config.way_most);
+        let spell = if self.config.only_drains_bind { long } else { long.min(in_grace) };
         let reports = |s: &Server| s.standing == Standing::Gone && s.heard.is_some_and(|h| now - h < long);
         if tbl.carried.is_none() && tbl.lines.keys().any(|id| self.servers.get(id).is_some_and(reports)) {
             tbl.carried = Some(now);
@@ -417,7 +417,7 @@
             self.host.mark(number);
             self.held.moment = now;
         }
-        self.host.wake(LOOK_AGAIN + Span::secs(lines / self.charter.channel_rate.max(1.0)), REPEAT);
+        self.host.wake(LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)), REPEAT);
     }
 
     pub fn commands_taken(&mut self, now: Moment) {
@@ -443,7 +443,7 @@
         if untold && self.proxies.values().any(|p| !p.bound) {
             self.held.barring.get_or_insert(now);
         }
-        match self.charter.slices {
+        match self.config.slices {
             _ if self.held.unanswered => return,
             0 => {}
             _ => return self.publish_slices(now),
@@ -463,14 +463,14 @@
             self.bind_waiting(now);
         }
         let waiting = self.ledger.waiting(now);
-        let through = Span::secs(waiting / self.charter.channel_rate.max(1.0)) + self.charter.way_most * 2.0;
+        let through = Span::secs(waiting / self.config.channel_rate.max(1.0)) + self.config.way_most * 2.0;
         if waiting > self.lines_may_wait(false) && now - self.ledger.spoken > through {
             // All answers due are lost, with their proxies or with the event stream: one is asked anew.
             let asked = self.proxies_that(|p| self.usable(p.tbl));
             let place = (asked.len() as f64 * self.chance.unit()) as usize;
             asked.get(place).into_iter().for_each(|proxy| self.bind(now, *proxy));
         }
-        if self.ledger.waiting(now) > self.charter.most_waiting * MARKED_FROM {
+        if self.ledger.waiting(now) > self.config.most_waiting * MARKED_FROM {
             self.ledger.mark(now).into_iter().for_each(|number| self.host.mark(number));
         }
     }
@@ -494,7 +494,7 @@
             }
         }
         let order: BTreeMap<Id, usize> = hasty.into_iter().enumerate().map(|(n, h)| (h.1, n)).collect();
-        let (head, whole) = (self.charter.message_head, order.len());
+        let (head, whole) = (self.config.message_head, order.len());
         let goes = |n: usize, c: &Change| c.urgent && order[&c.id] < n;
         let lines = |n, c: &Vec<Change>| c.iter().filter(|c| goes(n, c)).count() as f64;
         let each = |lines: f64| if lines > 0.0 { head + lines } else { 0.0 };
@@ -524,7 +524,7 @@
             changes.retain(|c| goes(n, c) || !c.urgent && more > 0 && (more -= 1, true).1);
             self.send(now, number, changes, n == whole, &users);
         }
-        let took = (self.ledger.ordered - paid) / self.charter.channel_rate.max(1.0);
+        let took = (self.ledger.ordered - paid) / self.config.channel_rate.max(1.0);
         if took > 0.0 {
             self.held.gathered = now + Span::secs(took * SPARING);
         }
@@ -539,7 +539,7 @@
             let half = (fits + not) / 2;
             (fits, not) = if cost(half) <= room { (half, not) } else { (fits, half) };
         }
-        if fits < whole && cost(fits) < self.charter.most_waiting * PIECE {
+        if fits < whole && cost(fits) < self.config.most_waiting * PIECE {
             0
         } else {
             fits
@@ -552,9 +552,9 @@
     fn bar(&mut self, now: Moment, clear: bool) -> bool {
         let leaving = self.leaving();
         let (whole, since) = (self.strays_cost(leaving.len()), self.held.barring.unwrap_or(now));
-        let patience = (self.charter.drain_grace - self.charter.way_most) * PATIENCE;
+        let patience = (self.config.drain_grace - self.config.way_most) * PATIENCE;
         // Else each moment's few would cost all who wait a message.
-        let idle = whole + self.ledger.waiting(now) <= self.charter.most_waiting * MARKED_FROM;
+        let idle = whole + self.ledger.waiting(now) <= self.config.most_waiting * MARKED_FROM;
         if !idle && whole > 0.0 && now - since < patience {
             self.held.barring = Some(since);
             self.look();
@@ -586,8 +586,8 @@
     /// servers, drawn by chance; one that was laid on an earlier stream as many as ours.
     fn strays(&self, withdrawals: usize) -> impl Iterator<Item = (u32, f64, f64)> + '_ {
         let (each, head) =
-            (withdrawals as f64 * CHANCE / self.servers.len().max(1) as f64, self.charter.message_head);
-        let (drawn, laid) = (f64::from(self.charter.standing_most), self.lines_most() as f64);
+            (withdrawals as f64 * CHANCE / self.servers.len().max(1) as f64, self.config.message_head);
+        let (drawn, laid) = (f64::from(self.config.standing_most), self.lines_most() as f64);
         let lines = move |p: &Proxy| (each * if p.fresh { drawn } else { laid }).min(withdrawals as f64);
         let unbound = self.proxies.iter().filter(move |(_, p)| !p.bound && withdrawals > 0);
         unbound.map(move |(n, p)| (*n, lines(p), head * lines(p).min(1.0)))
@@ -627,7 +627,7 @@
         if commands > 0 {
             tbl.sent = now;
             for proxy in users {
-                self.ledger.note(now, *proxy, f64::from(commands), self.charter.message_head);
+                self.ledger.note(now, *proxy, f64::from(commands), self.config.message_head);
             }
             self.tell_strays(now, back);
         }
@@ -637,7 +637,7 @@
     /// no longer than a budget. Those with the least to go by come first, then those with most traffic. They
     /// are gathered: what a table keeps at home hangs on all who join in a moment.
     fn bind_waiting(&mut self, now: Moment) {
-        let (most, head) = (self.lines_may_wait(false), self.charter.message_head);
+        let (most, head) = (self.lines_may_wait(false), self.config.message_head);
         let waits = self.proxies.iter().filter(|(_, p)| !p.bound);
         let mut queue: Vec<(bool, f64, u32)> = waits.map(|(n, p)| (!p.fresh, -p.rate, *n)).collect();
         queue.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -662,37 +662,37 @@
         let bound = self.proxies.get_mut(&proxy).expect("a joined proxy");
         (bound.bound, bound.reached) = (true, true);
         self.host.bind(proxy, bound.tbl);
-        self.ledger.note(now, proxy, self.tbls[&bound.tbl].sent_by_a_bind(), self.charter.message_head);
+        self.ledger.note(now, proxy, self.tbls[&bound.tbl].sent_by_a_bind(), self.config.message_head);
     }
 
     fn in_grace(&self) -> f64 {
-        self.charter.carried_in_grace().min(self.charter.most_waiting * MOST_LINES) * FOR_LEAVING
+        self.config.carried_in_grace().min(self.config.most_waiting * MOST_LINES) * FOR_LEAVING
     }
 
     /// How many lines a table may hold so that, with all proxies here, a part of the fleet can leave while
     /// the same is still on its way.
     fn lines_most(&self) -> usize {
-        let Charter { channel_rate, most_waiting, message_head, .. } = self.charter;
-        let proxies = f64::from(self.charter.proxies.max(1));
+        let ControllerConfig { channel_rate, most_waiting, message_head, .. } = self.config;
+        let proxies = f64::from(self.config.proxies.max(1));
         let each = (self.in_grace() / 2.0 / proxies - message_head) / LEAVES_AT_ONCE;
         let each = if channel_rate * most_waiting > 0.0 { each } else { f64::INFINITY };
-        let conns = f64::from(self.charter.connections_least) * self.ready().count() as f64 / proxies;
+        let conns = f64::from(self.config.connections_least) * self.ready().count() as f64 / proxies;
         let conns = if conns > 0.0 { conns } else { f64::INFINITY };
-        each.min(conns).max(f64::from(self.charter.standing_most.max(1))) as usize
+        each.min(conns).max(f64::from(self.config.standing_most.max(1))) as usize
     }
 
     /// What can wait leaves room for a part of the fleet to leave, within the grace, with all proxies here;
     /// and no more is laid in than keeps the channel busy until answers to marks have come.
     fn lines_may_wait(&self, urgent: bool) -> f64 {
-        let most = self.charter.most_waiting * MOST_LINES;
+        let most = self.config.most_waiting * MOST_LINES;
         let lines = self.lines_most().min(self.servers.len()) as f64;
-        let kept = f64::from(self.charter.proxies) * (self.charter.message_head + lines * LEAVES_AT_ONCE);
-        if most <= 0.0 || self.charter.channel_rate <= 0.0 {
+        let kept = f64::from(self.config.proxies) * (self.config.message_head + lines * LEAVES_AT_ONCE);
+        if most <= 0.0 || self.config.channel_rate <= 0.0 {
             f64::INFINITY
         } else if urgent {
             most
         } else {
-            let busy = (self.charter.way_most * IN_FLIGHT).as_secs() * self.charter.channel_rate;
+            let busy = (self.config.way_most * IN_FLIGHT).as_secs() * self.config.channel_rate;
             (self.in_grace() / FOR_LEAVING - kept).min(busy).max(most * ORDINARY_LINES)
         }
     }
@@ -704,7 +704,7 @@
     /// The lines that fit for some proxies in all. What can't wait goes at once a few times, then at a pace
     /// that the limit of messages bears for ever.
     fn room(&mut self, now: Moment, urgent: bool, proxies: &[u32]) -> f64 {
-        let (over, most) = (self.charter.messages_over, self.charter.messages_most as usize);
+        let (over, most) = (self.config.messages_over, self.config.messages_most as usize);
         let pace = over * (1.0 / most.saturating_sub(BURST).max(1) as f64);
         for proxy in proxies.iter().filter(|_| most > 0) {
             let (count, last) = self.ledger.messages(now, *proxy, over);
@@ -718,7 +718,7 @@
         }
         let waiting = self.ledger.waiting(now);
         // Whatever the limits, an idle channel takes a line to all.
-        let least = proxies.len() as f64 * (self.charter.message_head + self.levels.len() as f64 + 1.0);
+        let least = proxies.len() as f64 * (self.config.message_head + self.levels.len() as f64 + 1.0);
         (self.lines_may_wait(urgent) - waiting).max(if waiting < 1.0 { least } else { 0.0 })
     }
 
@@ -772,7 +772,7 @@
         pulse.struggling = hurting || answers < ANSWERS.0 || pulse.struggling && uneasy;
         // Reports tell of those who were here then: while more come they are no measure for all.
         pulse.shed = if joined * over > pulse.joined * STEP { now } else { pulse.shed };
-        if hurting && now - pulse.shed >= REPORT_LAG + self.charter.report_every {
+        if hurting && now - pulse.shed >= REPORT_LAG + self.config.report_every {
             (pulse.budget, pulse.shed) = (Some(pulse.served / over * SAFE_SHARE), now);
             pulse.counted = pulse.joined / over;
         } else if !pulse.struggling {
@@ -783,14 +783,14 @@
         // of a broken relay) would be turned away for as long as the budget takes to grow.
         let more = (joined / pulse.counted.max(1e-9)).max(1.0);
         let mut left = pulse.budget.map_or(f64::INFINITY, |budget| budget * more);
-        let revenue = |k: &usize| self.charter.products[*k].revenue;
+        let revenue = |k: &usize| self.config.products[*k].revenue;
         let mut order: Vec<usize> = (0..self.levels.len()).collect();
         order.sort_by(|a, b| revenue(b).total_cmp(&revenue(a)));
         for k in order {
             let asked = (pulse.asked[k] / over).max(1e-9);
             let level = (left / asked).clamp(LEVEL_FLOOR, 1.0);
             left = (left - level * asked).max(0.0);
-            let obeyed = self.charter.admission == Admission::Share;
+            let obeyed = self.config.admission == Admission::Share;
             if obeyed && ((level - self.levels[k]).abs() > LEVEL_STEP || level >= 1.0) {
                 self.levels[k] = level;
             }
@@ -816,10 +816,10 @@
             self.host.withdraw(id, server.out);
         }
         let usable = self.eased(self.parts(now));
-        let writing = self.charter.products.iter().enumerate().filter(|(_, p)| p.writes);
+        let writing = self.config.products.iter().enumerate().filter(|(_, p)| p.writes);
         let writes: Products = writing.fold(0, |set, (k, _)| set | 1 << k);
-        let in_hand = self.charter.way_most + self.charter.lease + self.charter.settle;
-        let (whole, one) = (usable.values().map(|u| u.0).sum::<f64>(), self.charter.single_writer);
+        let in_hand = self.config.way_most + self.config.lease + self.config.settle;
+        let (whole, one) = (usable.values().map(|u| u.0).sum::<f64>(), self.config.single_writer);
         for (&number, slice) in self.slices.iter_mut() {
             if slice.moving.is_none() && slice.lines.keys().any(|id| usable.contains_key(id)) {
                 continue;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,14 +1,14 @@
 //! One test a part of the mechanism and a guard; each builds its state and makes one call.
 
 use super::*;
-use crate::testing::{at, charter, listing, running};
+use crate::testing::{at, config, listing, running};
 use Standing::{Draining, Gone, Ready};
 
-/// A charter with a product that must stay in the proxy's zone.
-fn second_stays() -> Charter {
-    let mut charter = charter();
-    charter.products[1].own_zone = true;
-    charter
+/// A config with a product that must stay in the proxy's zone.
+fn second_stays() -> ControllerConfig {
+    let mut config = config();
+    config.products[1].own_zone = true;
+    config
 }
 
 fn said(rules: &mut Controller<crate::testing::Recorder>) -> String {
@@ -17,14 +17,14 @@
 
 #[test]
 fn a_table_holds_every_listed_server_at_listed_weight() {
-    let mut rules = running(charter(), &[], 1);
+    let mut rules = running(config(), &[], 1);
     rules.list_whole(at(1.0), &[listing("a", 0, Ready, None), listing("b", 3, Ready, None)]);
     assert_eq!((rules.host.weight(0, "a"), rules.host.weight(0, "b")), (Some(2.0), Some(2.0)));
 }
 
 #[test]
 fn only_lines_that_differ_are_sent() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     let mut heavier = listing("b", 0, Ready, None);
     heavier.weight = 3.0;
     rules.list_whole(at(2.0), &[listing("a", 0, Ready, None), heavier]);
@@ -33,7 +33,7 @@
 
 #[test]
 fn changes_that_can_wait_are_gathered() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.held.gathered = at(2.0);
     rules.list_changed(at(1.5), &[listing("b", 0, Ready, None)]);
     assert_eq!(rules.host.count("line"), 0);
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_draining_server_leaves_at_once_whatever_the_gathering() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.held.gathered = at(2.0);
     rules.list_changed(at(1.1), &[listing("a", 0, Draining, None)]);
     assert_eq!(rules.host.said, ["line 0 a 0", "withdraw a true"]);
@@ -49,21 +49,21 @@
 
 #[test]
 fn a_server_missing_from_a_whole_list_is_gone() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.list_whole(at(2.0), &[listing("b", 0, Ready, None)]);
     assert!(said(&mut rules).contains("withdraw a true"));
 }
 
 #[test]
 fn an_emptied_table_is_truth_when_nobody_reports() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.list_whole(at(2.0), &[]);
     assert!(said(&mut rules).contains("line 0 a 0"));
 }
 
 #[test]
 fn a_table_that_vanished_while_its_servers_report_is_carried() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.servers.get_mut("a").unwrap().heard = Some(at(1.5));
     rules.list_whole(at(2.0), &[]);
     assert_eq!((rules.host.count("line"), rules.host.count("withdraw")), (0, 0));
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_carried_table_ends_within_the_grace() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.servers.get_mut("a").unwrap().heard = Some(at(1.5));
     rules.servers.get_mut("a").unwrap().standing = Gone;
     rules.tbls.get_mut(&0).unwrap().carried = Some(at(2.0));
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_returning_server_is_let_back_in_with_its_line() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     let back = rules.servers.get_mut("a").unwrap();
     (back.standing, back.out) = (Gone, true);
     rules.tbls.get_mut(&0).unwrap().lines.remove("a");
@@ -91,21 +91,21 @@
 
 #[test]
 fn a_new_server_starts_at_a_tenth() {
-    let mut rules = running(charter(), &["a", "b", "c", "d"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d"], 1);
     rules.list_changed(at(2.0), &[listing("e", 0, Ready, Some(at(2.0)))]);
     assert!(rules.host.weight(0, "e").unwrap() <= 0.2 + 1e-9);
 }
 
 #[test]
 fn the_ramp_counts_from_the_start_not_from_the_list() {
-    let rules = running(charter(), &["a"], 1);
+    let rules = running(config(), &["a"], 1);
     let server = Server { started: Some(at(-8.0)), ..Server::default() };
     assert!((rules.warmth(at(0.0), &server) - (0.1 + 0.9 * 0.5f64.powf(RAMP_BEND))).abs() < 1e-9);
 }
 
 #[test]
 fn a_restart_behind_the_same_id_can_not_wait() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.held.gathered = at(2.0);
     rules.list_changed(at(1.1), &[listing("a", 0, Ready, Some(at(1.0)))]);
     assert!(rules.host.weight(0, "a").unwrap() < 0.3);
@@ -113,7 +113,7 @@
 
 #[test]
 fn a_fleet_that_turns_tries_away_cuts_its_cold_lines() {
-    let mut rules = running(charter(), &["a", "b", "c", "d", "e"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d", "e"], 1);
     (rules.pulse.tries, rules.pulse.answered) = (100.0, 50.0);
     rules.list_changed(at(2.0), &[listing("f", 0, Ready, Some(at(2.0)))]);
     assert!(rules.host.weight(0, "f").unwrap() <= 0.1 + 1e-9);
@@ -121,7 +121,7 @@
 
 #[test]
 fn no_young_server_joins_a_struggling_fleet_whose_proxies_shun() {
-    let mut rules = running(Charter { shuns_after: 3, ..charter() }, &["a", "b"], 1);
+    let mut rules = running(ControllerConfig { shuns_after: 3, ..config() }, &["a", "b"], 1);
     rules.pulse.struggling = true;
     rules.list_changed(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert_eq!(rules.host.count("line"), 0);
@@ -129,7 +129,7 @@
 
 #[test]
 fn cold_servers_are_all_there_is_when_all_are_cold() {
-    let mut rules = running(Charter { shuns_after: 3, ..charter() }, &[], 1);
+    let mut rules = running(ControllerConfig { shuns_after: 3, ..config() }, &[], 1);
     rules.pulse.struggling = true;
     rules.list_changed(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert!(rules.host.weight(0, "c").is_some());
@@ -137,7 +137,7 @@
 
 #[test]
 fn home_keeps_most_where_crossing_costs() {
-    let mut rules = running(Charter { crossing_costs: true, ..charter() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { crossing_costs: true, ..config() }, &["a"], 1);
     rules.proxy_joined(at(1.0), 1, 1, 10.0, true);
     rules.list_changed(at(2.0), &[listing("b", 1, Ready, None)]);
     assert!((rules.host.weight(ARCS, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_zone_without_servers_uses_the_others_in_full() {
-    let mut rules = running(Charter { crossing_costs: true, ..charter() }, &["a"], 0);
+    let mut rules = running(ControllerConfig { crossing_costs: true, ..config() }, &["a"], 0);
     rules.proxy_joined(at(1.0), 1, 5, 10.0, true);
     rules.woke(at(1.2), LOOK);
     assert_eq!(rules.host.weight(6 * ARCS, "a"), Some(2.0));
@@ -160,7 +160,7 @@
 
 /// Sixty servers in each of two zones, and sixty proxies of both, where tables may hold sixteen lines.
 fn tight() -> Controller<crate::testing::Recorder> {
-    let tight = Charter { crossing_costs: true, proxies: 60, message_head: 2.5, ..charter() };
+    let tight = ControllerConfig { crossing_costs: true, proxies: 60, message_head: 2.5, ..config() };
     let mut rules = running(tight, &[], 0);
     let fleet = (0..120).map(|k| listing(&format!("s{k}"), k % 2, Ready, None));
     rules.list_whole(at(0.5), &fleet.collect::<Vec<_>>());
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_bind_waits_for_a_usable_server() {
-    let mut rules = running(charter(), &[], 0);
+    let mut rules = running(config(), &[], 0);
     rules.proxy_joined(at(1.0), 4, 0, 10.0, false);
     rules.woke(at(9.0), HEARTBEAT);
     assert_eq!(rules.host.count("bind"), 0);
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_first_join_gets_the_best_there_is_once_the_budget_is_spent() {
-    let mut rules = running(charter(), &[], 0);
+    let mut rules = running(config(), &[], 0);
     rules.proxy_joined(at(1.0), 4, 9, 10.0, true);
     rules.woke(at(6.5), HEARTBEAT);
     assert_eq!(rules.host.count("bind 4 "), 1);
@@ -206,7 +206,7 @@
 
 #[test]
 fn held_binds_are_tried_again_on_a_jittered_heartbeat() {
-    let mut rules = running(charter(), &[], 0);
+    let mut rules = running(config(), &[], 0);
     rules.proxy_joined(at(1.0), 4, 0, 10.0, true);
     rules.bind_waiting(at(1.2));
     assert_eq!(rules.host.count("wake 2 "), 1);
@@ -214,7 +214,7 @@
 
 #[test]
 fn binds_wait_for_room_in_the_channel() {
-    let mut rules = running(Charter { proxies: 400, ..charter() }, &["a"], 0);
+    let mut rules = running(ControllerConfig { proxies: 400, ..config() }, &["a"], 0);
     (0..400).for_each(|proxy| rules.proxy_joined(at(1.0), proxy, 0, 10.0, true));
     rules.woke(at(1.2), LOOK);
     let bound = rules.host.count("bind");
@@ -224,7 +224,7 @@
 
 #[test]
 fn standing_tables_are_bound_before_those_of_an_earlier_stream() {
-    let mut rules = running(charter(), &["a"], 0);
+    let mut rules = running(config(), &["a"], 0);
     rules.proxy_joined(at(1.0), 4, 0, 90.0, false);
     rules.proxy_joined(at(1.0), 5, 0, 10.0, true);
     rules.turn(at(1.2));
@@ -233,7 +233,7 @@
 
 #[test]
 fn thin_standing_tables_bind_before_changes_go() {
-    let mut rules = running(charter(), &["a", "b", "c"], 1);
+    let mut rules = running(config(), &["a", "b", "c"], 1);
     rules.servers.get_mut("a").unwrap().standing = Gone;
     rules.tbls.get_mut(&0).unwrap().lines.remove("a");
     rules.servers.get_mut("c").unwrap().weight = 4.0;
@@ -244,7 +244,7 @@
 
 #[test]
 fn a_long_queue_asks_what_has_come_and_counts_it_off() {
-    let mut rules = running(charter(), &["a"], 0);
+    let mut rules = running(config(), &["a"], 0);
     (0..40).for_each(|proxy| rules.proxy_joined(at(1.0), proxy, 0, 10.0, true));
     rules.woke(at(1.2), LOOK);
     let waiting = rules.ledger.waiting(at(1.3));
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_slight_change_is_not_worth_its_way_to_many() {
-    let mut rules = running(Charter { channel_rate: 100.0, ..charter() }, &["a", "b"], 4);
+    let mut rules = running(ControllerConfig { channel_rate: 100.0, ..config() }, &["a", "b"], 4);
     let mut lighter = listing("b", 0, Ready, None);
     lighter.weight = 1.9;
     rules.list_changed(at(9.0), &[lighter]);
@@ -265,7 +265,7 @@
 fn crowded(message_head: f64, last: u32) -> Controller<crate::testing::Recorder> {
     let ids: Vec<String> = (10..last).map(|k| k.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut rules = running(Charter { messages_most: 0, message_head, ..charter() }, &ids, 30);
+    let mut rules = running(ControllerConfig { messages_most: 0, message_head, ..config() }, &ids, 30);
     rules.proxies.values_mut().for_each(|p| (p.bound, p.reached) = (true, true));
     rules
 }
@@ -282,7 +282,7 @@
 
 #[test]
 fn a_joined_proxy_that_stays_unbound_is_told_who_is_out() {
-    let mut rules = running(charter(), &["a"], 0);
+    let mut rules = running(config(), &["a"], 0);
     let a = rules.servers.get_mut("a").unwrap();
     (a.standing, a.out) = (Gone, true);
     rules.proxy_joined(at(1.0), 4, 0, 10.0, false);
@@ -292,7 +292,7 @@
 
 #[test]
 fn a_proxy_that_joins_again_is_bound_again() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.proxy_joined(at(2.0), 0, 0, 10.0, false);
     rules.woke(at(2.2), LOOK);
     assert_eq!(rules.host.count("bind 0 0"), 1);
@@ -301,7 +301,7 @@
 /// As when the event stream was reopened: nobody left, and the relay goes on sending them their table's lines.
 #[test]
 fn lines_to_proxies_told_of_anew_are_still_counted() {
-    let mut rules = running(charter(), &["a", "b"], 4);
+    let mut rules = running(config(), &["a", "b"], 4);
     (0..4).for_each(|proxy| rules.proxy_joined(at(1.0), proxy, 0, 10.0, false));
     let before = rules.ledger.ordered;
     let heavier = Listing { weight: 3.0, ..listing("b", 0, Ready, None) };
@@ -319,14 +319,14 @@
 
 #[test]
 fn ordinary_changes_leave_messages_for_drains() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     messages(&mut rules, (1..=6).map(f64::from));
     assert!(rules.room(at(7.0), false, &[0]) == 0.0 && rules.room(at(8.5), true, &[0]) > 0.0);
 }
 
 #[test]
 fn drains_never_pass_the_message_limit() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     messages(&mut rules, (0..12).map(|k| 1.0 + 0.1 * f64::from(k)));
     rules.list_changed(at(4.0), &[listing("a", 0, Draining, None)]);
     assert_eq!((rules.host.count("line"), rules.host.count("wake 4 ")), (0, 1));
@@ -334,7 +334,7 @@
 
 #[test]
 fn a_long_queue_holds_ordinary_changes_back() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.ledger = Ledger::default();
     rules.ledger.note(at(2.0), 0, 895.0, 0.0);
     assert!(rules.room(at(2.0), false, &[0]) < 1.0 && rules.room(at(2.0), true, &[0]) > 4.0);
@@ -342,7 +342,7 @@
 
 #[test]
 fn what_cannot_wait_is_gathered_while_the_queue_is_long() {
-    let mut rules = running(Charter { way_most: Span::secs(0.1), ..charter() }, &["a", "b", "c"], 1);
+    let mut rules = running(ControllerConfig { way_most: Span::secs(0.1), ..config() }, &["a", "b", "c"], 1);
     rules.ledger = Ledger::default();
     rules.ledger.note(at(2.0), 0, 400.0, 0.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
@@ -355,7 +355,7 @@
 
 #[test]
 fn where_all_answers_are_lost_one_proxy_is_asked_anew() {
-    let mut rules = running(Charter { way_most: Span::secs(0.1), ..charter() }, &["a", "b"], 2);
+    let mut rules = running(ControllerConfig { way_most: Span::secs(0.1), ..config() }, &["a", "b"], 2);
     rules.ledger.note(at(2.0), 0, 400.0, 0.0);
     rules.turn(at(2.5));
     assert_eq!(rules.host.count("bind"), 0);
@@ -365,7 +365,7 @@
 
 #[test]
 fn what_waited_for_a_proxy_that_left_does_not_wait_any_more() {
-    let mut rules = running(charter(), &["a"], 2);
+    let mut rules = running(config(), &["a"], 2);
     rules.ledger.note(at(2.0), 1, 400.0, 0.0);
     let waited = rules.ledger.waiting(at(2.0));
     rules.proxy_left(at(2.0), 1);
@@ -392,7 +392,7 @@
 
 #[test]
 fn no_further_try_is_ever_ordered() {
-    let mut rules = running(charter(), &["a"], 0);
+    let mut rules = running(config(), &["a"], 0);
     rules.tbls.insert(0, Tbl::default());
     rules.send(at(1.0), 0, Vec::new(), true, &[]);
     assert_eq!(rules.host.count("level"), rules.host.said.iter().filter(|s| s.ends_with("Never")).count());
@@ -401,7 +401,7 @@
 
 #[test]
 fn a_server_that_hurts_more_than_its_peers_goes_down_a_rung() {
-    let mut rules = running(charter(), &["a", "b", "c", "d"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d"], 1);
     rules.servers.values_mut().for_each(|s| s.tally.add(0, 20.0));
     rules.servers.get_mut("c").unwrap().tally.add(HURT.len() - 1, 20.0);
     rules.judge(at(5.0));
@@ -410,7 +410,7 @@
 
 /// Two servers of whom `tries` are heard each, one that is not heard, and `a` with two tries.
 fn judged(tries: f64, voided: f64, took: f64) -> Controller<crate::testing::Recorder> {
-    let mut rules = running(charter(), &["a", "b", "c", "d"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d"], 1);
     ["b", "c"].iter().for_each(|id| rules.met(at(1.0), id, tries, 0.0, Span::ZERO, Span::ZERO));
     rules.met(at(1.0), "a", 2.0, voided, Span::secs(took), Span::ZERO);
     rules.judge(at(1.0));
@@ -435,7 +435,7 @@
 
 #[test]
 fn only_part_of_the_fleet_is_held_back() {
-    let mut rules = running(charter(), &["a", "b", "c", "d", "e", "f", "g"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
     rules.servers.values_mut().for_each(|s| s.tally.add(0, 100.0));
     for id in ["a", "b"] {
         rules.servers.get_mut(id).unwrap().move_to(5, at(5.0));
@@ -447,7 +447,7 @@
 
 #[test]
 fn in_a_jam_no_server_is_held_back() {
-    let mut rules = running(charter(), &["a", "b", "c", "d"], 1);
+    let mut rules = running(config(), &["a", "b", "c", "d"], 1);
     rules.servers.values_mut().for_each(|s| (s.tally.add(0, 6.0), s.tally.add(HURT.len() - 1, 4.0)).0);
     rules.servers.get_mut("c").unwrap().tally.add(HURT.len() - 1, 90.0);
     rules.servers.get_mut("d").unwrap().tally.add(0, 200.0);
@@ -458,7 +458,7 @@
 #[test]
 fn a_rung_is_let_go_after_a_rest_however_late_the_timers_are() {
     for (late, rung) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
-        let mut rules = running(charter(), &["a", "b"], 1);
+        let mut rules = running(config(), &["a", "b"], 1);
         let a = rules.servers.get_mut("a").unwrap();
         (a.rung, a.strikes, a.judged) = (2, 1, at(1.0));
         rules.judge(at(1.0 + late));
@@ -468,7 +468,7 @@
 
 #[test]
 fn reports_of_the_weight_before_the_last_move_do_not_count() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     (rules.servers.get_mut("a").unwrap().rung, rules.servers.get_mut("a").unwrap().judged) = (1, at(5.0));
     rules.met(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
     assert_eq!(rules.servers["a"].tally.total(), 0.0);
@@ -476,7 +476,7 @@
 
 #[test]
 fn overload_lets_in_what_is_answered_and_the_dearest_first() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.pulse = Pulse {
         asked: vec![100.0, 50.0],
         tries: 150.0,
@@ -491,7 +491,7 @@
 
 /// What a supervisor knows three seconds after its start: a few tries of the first proxies that joined it.
 fn just_started(tries: f64, joined_lately: f64) -> Controller<crate::testing::Recorder> {
-    let mut rules = running(charter(), &["a", "b"], 4);
+    let mut rules = running(config(), &["a", "b"], 4);
     let (asked, over) = (vec![10.0, 10.0], Span::secs(2.0));
     let joined = joined_lately * over.as_secs();
     rules.pulse =
@@ -522,7 +522,7 @@
 
 #[test]
 fn levels_come_back_once_the_fleet_is_well() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     let (asked, budget, over) = (vec![100.0, 50.0], Some(100.0), Span::secs(1.0));
     rules.pulse = Pulse { asked, budget, over, tries: 90.0, answered: 90.0, ..Pulse::default() };
     rules.shed(at(9.0));
@@ -531,7 +531,7 @@
 
 #[test]
 fn a_budget_grows_with_the_proxies_that_come_back() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     // Nine tenths of 20 were answered lately to one proxy of 10 a second.
     let (asked, over) = (vec![0.0, 20.0], Span::secs(1.0));
     rules.pulse = Pulse { asked, over, tries: 20.0, answered: 5.0, served: 20.0, ..Pulse::default() };
@@ -545,14 +545,14 @@
 
 #[test]
 fn a_failed_list_call_is_made_again() {
-    let mut rules = running(Charter { list_on_request: true, ..charter() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { list_on_request: true, ..config() }, &["a"], 1);
     rules.list_failed(at(3.0));
     assert_eq!(rules.host.count("wake 3 "), 1);
 }
 
 #[test]
 fn the_first_failure_of_the_list_is_answered_at_once_and_those_right_after_it_with_a_pause() {
-    let mut rules = running(Charter { list_on_request: true, ..charter() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { list_on_request: true, ..config() }, &["a"], 1);
     for (now, at_once) in [(3.0, true), (3.1, false), (4.2, false), (6.0, true)] {
         rules.host.said.clear();
         rules.list_failed(at(now));
@@ -562,15 +562,20 @@
 
 #[test]
 fn reports_for_servers_never_listed_are_passed_over() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.met(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
     assert_eq!(rules.pulse.tries, 0.0);
 }
 
 #[test]
 fn a_charter_of_zeros_stops_nothing() {
-    let zero =
-        Charter { most_waiting: 0.0, channel_rate: 0.0, cold_for: Span::ZERO, messages_most: 0, ..charter() };
+    let zero = ControllerConfig {
+        most_waiting: 0.0,
+        channel_rate: 0.0,
+        cold_for: Span::ZERO,
+        messages_most: 0,
+        ..config()
+    };
     let mut rules = running(zero, &["a"], 2);
     rules.list_changed(at(2.0), &[listing("b", 0, Ready, Some(at(2.0)))]);
     assert_eq!(rules.host.weight(0, "b"), Some(2.0));
@@ -578,7 +583,7 @@
 
 #[test]
 fn a_server_long_gone_is_forgotten_and_served_again_when_its_id_returns() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.list_changed(at(2.0), &[listing("a", 0, Gone, None)]);
     rules.woke(at(61.0), TURN);
     assert!(rules.servers.contains_key("a"));
@@ -591,7 +596,7 @@
 
 #[test]
 fn a_fleet_replaced_for_hours_leaves_nothing_behind() {
-    let mut rules = running(charter(), &["s0"], 2);
+    let mut rules = running(config(), &["s0"], 2);
     let id = |n: u32| format!("s{n}");
     for n in 1..3_000_u32 {
         let now = at(f64::from(n) * 4.0);
@@ -604,7 +609,7 @@
 
 #[test]
 fn a_slice_whose_server_left_gets_another() {
-    let mut rules = running(Charter { slices: 2, ..charter() }, &["a", "b"], 0);
+    let mut rules = running(ControllerConfig { slices: 2, ..config() }, &["a", "b"], 0);
     rules.slice_given(1);
     rules.slice_line(1, &"a".into(), 1.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Gone, None)]);
@@ -613,9 +618,9 @@
 
 #[test]
 fn a_slice_with_one_writer_stops_its_writes_before_it_moves() {
-    let mut charter = Charter { slices: 2, single_writer: true, ..charter() };
-    charter.products[1].writes = true;
-    let mut rules = running(charter, &["a", "b"], 0);
+    let mut config = ControllerConfig { slices: 2, single_writer: true, ..config() };
+    config.products[1].writes = true;
+    let mut rules = running(config, &["a", "b"], 0);
     rules.slice_given(1);
     rules.slice_line(1, &"a".into(), 1.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
@@ -624,7 +629,7 @@
 
 #[test]
 fn commands_that_were_lost_go_again_and_nothing_overtakes_them() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.commands_lost(at(2.0), false);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
     rules.woke(at(2.1), REPEAT);
@@ -633,7 +638,7 @@
 
 #[test]
 fn what_was_held_behind_lost_commands_goes_once_they_are_taken() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.commands_lost(at(2.0), false);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
     rules.commands_taken(at(2.1));
@@ -653,7 +658,7 @@
 
 #[test]
 fn a_server_that_was_let_back_in_is_barred_again_when_it_leaves_again() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     for (now, standing) in [(2.0, Draining), (4.0, Ready), (6.0, Draining)] {
         rules.list_changed(at(now), &[listing("a", 0, standing, None)]);
         rules.woke(at(now + 1.0), TURN);
@@ -664,7 +669,7 @@
 
 #[test]
 fn commands_that_may_have_been_carried_out_count_twice() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     let waiting = rules.ledger.waiting(at(0.2));
     rules.commands_lost(at(0.2), true);
     assert!(rules.ledger.waiting(at(0.2)) >= 2.0 * waiting);
@@ -672,7 +677,7 @@
 
 #[test]
 fn lost_commands_that_reach_nobody_wait_for_nobodys_lines() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     let lines = rules.ledger.ordered;
     rules.turn(at(1.0));
     rules.commands_lost(at(1.0), true);
@@ -681,7 +686,7 @@
 
 #[test]
 fn a_repeat_of_what_may_have_been_carried_out_is_marked_and_clears_the_queue_when_it_comes() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     (0..50).for_each(|n| rules.commands_lost(at(1.0 + f64::from(n)), true));
     rules.applied(at(51.0), 50, 0);
     assert_eq!((rules.host.count("mark"), rules.ledger.waiting(at(51.0))), (50, 0.0));
@@ -689,7 +694,7 @@
 
 #[test]
 fn a_declined_bind_is_ordered_again() {
-    let mut rules = running(charter(), &["a"], 1);
+    let mut rules = running(config(), &["a"], 1);
     rules.bind_declined(at(2.0), 0);
     rules.woke(at(2.2), LOOK);
     assert_eq!(rules.host.count("bind 0 0"), 1);
@@ -697,7 +702,7 @@
 
 #[test]
 fn a_declined_line_is_ordered_again() {
-    let mut rules = running(charter(), &["a", "b"], 1);
+    let mut rules = running(config(), &["a", "b"], 1);
     rules.line_declined(0, &"b".into());
     rules.woke(at(2.0), LOOK);
     assert_eq!(rules.host.weight(0, "b"), Some(2.0));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! otterwinch: the decisions of a central planner behind a layer of plain proxies.
 //!
-//! [`controller`] decides; it acts through [`host::Host`] and reads a [`charter::Charter`] at start. Nothing in
+//! [`controller`] decides; it acts through [`host::Host`] and reads a [`config::ControllerConfig`] at start. Nothing in
 //! this crate does I/O.
 
 pub mod chance;
-pub mod charter;
+pub mod config;
 pub mod controller;
 pub mod histogram;
 pub mod host;
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,6 +1,6 @@
-//! What the module's tests share: a host that writes down what it is told, a charter, rules to start from.
+//! What the module's tests share: a host that writes down what it is told, a config, rules to start from.
 
-use crate::charter::{Admission, Charter, Product};
+use crate::config::{Admission, ControllerConfig, Product};
 use crate::controller::Controller;
 use crate::host::{Host, Id, Listing, Products, Retry, Standing};
 use crate::time::{Moment, Span};
@@ -55,9 +55,9 @@
     Moment::from_us(1_000_000_000) + Span::secs(secs)
 }
 
-pub fn charter() -> Charter {
+pub fn config() -> ControllerConfig {
     let product = |revenue| Product { sla: Span::secs(1.0), revenue, own_zone: false, writes: false };
-    Charter {
+    ControllerConfig {
         products: vec![product(1.0), product(3.0)],
         list_on_request: false,
         crossing_costs: false,
@@ -88,8 +88,8 @@
 }
 
 /// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
-pub fn running(charter: Charter, ids: &[&str], proxies: u32) -> Controller<Recorder> {
-    let mut rules = Controller::open(Recorder::default(), charter, 7, at(0.0));
+pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> Controller<Recorder> {
+    let mut rules = Controller::open(Recorder::default(), config, 7, at(0.0));
     let listings: Vec<Listing> = ids.iter().map(|id| listing(id, 0, Standing::Ready, None)).collect();
     rules.list_whole(at(0.0), &listings);
     (0..proxies).for_each(|proxy| rules.proxy_joined(at(0.0), proxy, 0, 10.0, true));
