--- a/adapter-support/src/checks.rs
+++ b/adapter-support/src/checks.rs
@@ -1,7 +1,7 @@
 //! Checks on commands before they go out, so that a slip in the rules costs a command and not the whole call.
 
 use otterwinch::config::ControllerConfig;
-use otterwinch::host::Id;
+use otterwinch::host::EndpointId;
 use std::collections::BTreeSet;
 
 /// What an instance may name: servers it was told of, proxies that are joined, slices in its charge.
@@ -18,7 +18,7 @@
 #[derive(Default)]
 pub struct Checks {
     slices: bool,
-    known: BTreeSet<Id>,
+    known: BTreeSet<EndpointId>,
     joined: BTreeSet<u32>,
     charges: BTreeSet<u32>,
 }
@@ -28,7 +28,7 @@
         Checks { slices: config.slices > 0, ..Checks::default() }
     }
 
-    pub fn learn<'a>(&mut self, ids: impl Iterator<Item = &'a Id>) {
+    pub fn learn<'a>(&mut self, ids: impl Iterator<Item = &'a EndpointId>) {
         ids.for_each(|id| {
             if !self.known.contains(id) {
                 self.known.insert(id.clone());
@@ -37,7 +37,7 @@
     }
 
     /// The rules will not name it any more: ids are new all day long.
-    pub fn forget(&mut self, id: &Id) {
+    pub fn forget(&mut self, id: &EndpointId) {
         self.known.remove(id);
     }
 
@@ -53,7 +53,7 @@
         tbl < 65_535 && (!self.slices || self.charges.contains(&tbl))
     }
 
-    pub fn line(&self, tbl: u32, server: &Id, weight: f64) -> Result<(), String> {
+    pub fn line(&self, tbl: u32, server: &EndpointId, weight: f64) -> Result<(), String> {
         let fits = self.tbl_stands(tbl) && self.known.contains(server) && weight.is_finite() && weight >= 0.0;
         ok(fits, || format!("line not sent: table {tbl}, server {server}, weight {weight}"))
     }
@@ -63,7 +63,7 @@
         ok(fits, || format!("bind not sent: proxy {proxy}, table {tbl}"))
     }
 
-    pub fn withdrawal(&self, server: &Id) -> Result<(), String> {
+    pub fn withdrawal(&self, server: &EndpointId) -> Result<(), String> {
         ok(self.known.contains(server), || format!("withdrawal not sent: server {server} was never listed"))
     }
 
--- a/adapter-support/src/figures.rs
+++ b/adapter-support/src/figures.rs
@@ -1,6 +1,6 @@
 //! The settings that an instance is given at its start, read into the `ControllerConfig` of the rules.
 
-use otterwinch::config::{Admission, ControllerConfig, Product};
+use otterwinch::config::{Admission, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use serde_json::Value;
 
@@ -45,7 +45,7 @@
 pub fn controller_config(env: &Figures) -> ControllerConfig {
     let (info, rules) = (env.at("familyInfo"), env.at("guarantees"));
     let by_product = |list: &str, k: usize| info.at(list).rows().nth(k).is_some_and(Figures::yes);
-    let product = |(k, row): (usize, Figures)| Product {
+    let product = |(k, row): (usize, Figures)| RequestClass {
         sla: row.at("promiseUs").span(),
         revenue: row.at("importance").num(),
         own_zone: by_product("staysLocal", k),
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -4,7 +4,7 @@
 use crate::list;
 use crate::planner::Seen;
 use otterwinch::config::ControllerConfig;
-use otterwinch::host::{Listing, Products};
+use otterwinch::host::{EndpointUpdate, RequestClassSet};
 use otterwinch_adapter_support::{controller_config, Fields, Figures};
 use serde_json::Value;
 use slog::{info, warn, Logger};
@@ -45,7 +45,7 @@
 const MOST_CONNECTIONS: u64 = 512;
 const MOST_LIST_BYTES: u64 = 4 << 20;
 /// Commands name products by the bits of a word.
-const MOST_PRODUCTS: usize = Products::BITS as usize;
+const MOST_PRODUCTS: usize = RequestClassSet::BITS as usize;
 /// Proxy numbers of a config that does not say how many there are.
 const MOST_PROXIES: u32 = 65_536;
 
@@ -57,7 +57,7 @@
     pub seed: u64,
     pub names: Rc<Names>,
     pub controller: ControllerConfig,
-    pub known: Vec<Listing>,
+    pub known: Vec<EndpointUpdate>,
     /// How many connections our address may hold: half of all sockets, so that our own ways out have theirs.
     pub connections: usize,
     /// The longest answer of the list, by the memory that we have: read into values it takes ten times as much.
--- a/control-plane/src/desk.rs
+++ b/control-plane/src/desk.rs
@@ -2,7 +2,7 @@
 //! what stands outside so that rules that broke can be opened anew.
 
 use crate::config::Names;
-use otterwinch::host::{Host, Id, Listing, Products, Retry, Standing};
+use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
@@ -20,7 +20,7 @@
 
 pub enum About {
     Bind(u32),
-    Line(u32, Id),
+    Line(u32, EndpointId),
     Level(u32),
     Withdrawal,
     Mark,
@@ -39,9 +39,9 @@
     wakes: BinaryHeap<Reverse<(Moment, u64, u64)>>,
     woken: u64,
     /// Whatever was listed and is not forgotten, as it was listed last.
-    listed: BTreeMap<Id, Listing>,
+    listed: BTreeMap<EndpointId, EndpointUpdate>,
     /// Servers that joined proxies are barred from by our command.
-    withdrawn: BTreeSet<Id>,
+    withdrawn: BTreeSet<EndpointId>,
     /// Zone and usual rate of each proxy that is joined.
     pub joined: BTreeMap<u32, (u32, f64)>,
 }
@@ -65,17 +65,20 @@
         }
     }
 
-    pub fn learn(&mut self, listings: &[Listing], whole: bool) {
+    pub fn learn(&mut self, listings: &[EndpointUpdate], whole: bool) {
         self.checks.learn(listings.iter().map(|l| &l.id));
         if whole {
-            self.listed.values_mut().for_each(|listing| listing.standing = Standing::Gone);
+            self.listed.values_mut().for_each(|listing| listing.standing = EndpointState::Removed);
         }
         self.listed.extend(listings.iter().map(|listing| (listing.id.clone(), listing.clone())));
     }
 
     /// What was listed last of some servers, as far as they are listed.
-    pub fn last_listed(&self, ids: impl Iterator<Item = Id>) -> Vec<Listing> {
-        ids.filter_map(|id| self.listed.get(&id)).filter(|l| l.standing != Standing::Gone).cloned().collect()
+    pub fn last_listed(&self, ids: impl Iterator<Item = EndpointId>) -> Vec<EndpointUpdate> {
+        ids.filter_map(|id| self.listed.get(&id))
+            .filter(|l| l.standing != EndpointState::Removed)
+            .cloned()
+            .collect()
     }
 
     /// Whether a server is listed, or was lately.
@@ -85,15 +88,15 @@
 
     /// How many servers are listed now.
     pub fn servers(&self) -> usize {
-        self.listed.values().filter(|l| l.standing != Standing::Gone).count()
+        self.listed.values().filter(|l| l.standing != EndpointState::Removed).count()
     }
 
     /// What is listed now, and what is not although the relay's tables or its bars may still name it.
-    pub fn stands(&self) -> (Vec<Listing>, Vec<Listing>) {
-        let gone = |l: &&Listing| l.standing == Standing::Gone;
+    pub fn stands(&self) -> (Vec<EndpointUpdate>, Vec<EndpointUpdate>) {
+        let gone = |l: &&EndpointUpdate| l.standing == EndpointState::Removed;
         let listed = self.listed.values().filter(|l| !gone(l)).cloned().collect();
         let barred = self.listed.values().filter(|l| gone(l) || self.withdrawn.contains(&l.id));
-        (listed, barred.map(|l| Listing { standing: Standing::Gone, ..l.clone() }).collect())
+        (listed, barred.map(|l| EndpointUpdate { standing: EndpointState::Removed, ..l.clone() }).collect())
     }
 
     pub fn joined(&mut self, proxy: u32, zone: u32, rate: f64) {
@@ -131,14 +134,14 @@
         self.commands.push_back(Command { text: command.to_string(), about });
     }
 
-    fn routes(&self, products: Products) -> Vec<&str> {
+    fn routes(&self, products: RequestClassSet) -> Vec<&str> {
         let all = self.names.products.iter().enumerate();
         all.filter(|(k, _)| products >> k & 1 == 1).map(|(_, name)| name.as_str()).collect()
     }
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &Id, weight: f64) {
+    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let command = json!({"op": "put", "table": tbl, "endpoint": &**server, "w": weight});
         self.say(self.checks.line(tbl, server, weight), command, About::Line(tbl, server.clone()));
     }
@@ -148,7 +151,7 @@
         self.say(self.checks.bind(proxy, tbl), command, About::Bind(proxy));
     }
 
-    fn withdraw(&mut self, server: &Id, out: bool) {
+    fn withdraw(&mut self, server: &EndpointId, out: bool) {
         if out {
             self.withdrawn.insert(server.clone());
         } else {
@@ -158,13 +161,13 @@
         self.say(self.checks.withdrawal(server), command, About::Withdrawal);
     }
 
-    fn forget(&mut self, server: &Id) {
+    fn forget(&mut self, server: &EndpointId) {
         self.checks.forget(server);
         self.listed.remove(server);
         self.withdrawn.remove(server);
     }
 
-    fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry) {
+    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         let (routes, policy) = (self.routes(products), retry as u8);
         let command =
             json!({"op": "gate", "table": tbl, "routes": routes, "admit": admitted, "policy": policy});
--- a/control-plane/src/list.rs
+++ b/control-plane/src/list.rs
@@ -8,7 +8,7 @@
 use crate::planner::Ear;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
-use otterwinch::host::{Id, Listing, Standing};
+use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
 use otterwinch::time::Moment;
 use otterwinch_adapter_support::Fields;
 use serde_json::Value;
@@ -25,13 +25,13 @@
 pub struct Answer {
     pub version: u64,
     pub whole: bool,
-    pub listings: Vec<Listing>,
+    pub listings: Vec<EndpointUpdate>,
     pub spoilt: Vec<Spoilt>,
 }
 
 /// An entry that can't be used: why, and of which server it tells where that much can be read.
 pub struct Spoilt {
-    pub id: Option<Id>,
+    pub id: Option<EndpointId>,
     pub why: String,
 }
 
@@ -43,7 +43,7 @@
         match listing(entry, names) {
             Ok(listing) => listings.push(listing),
             Err(why) => {
-                let id = entry.get("host").and_then(Value::as_str).map(Id::from);
+                let id = entry.get("host").and_then(Value::as_str).map(EndpointId::from);
                 spoilt.push(Spoilt { id, why: format!("entry {place}: {why}") });
             }
         }
@@ -51,13 +51,13 @@
     Ok(Answer { version, whole, listings, spoilt })
 }
 
-fn listing(entry: &Value, names: &Names) -> Result<Listing, String> {
+fn listing(entry: &Value, names: &Names) -> Result<EndpointUpdate, String> {
     let f = Fields::named(entry, "list entry")?;
     let id = f.text("host")?.into();
     let standing = match f.text("health")? {
-        "active" => Standing::Ready,
-        "leaving" => Standing::Draining,
-        "left" => Standing::Gone,
+        "active" => EndpointState::Ready,
+        "leaving" => EndpointState::Draining,
+        "left" => EndpointState::Removed,
         other => return Err(format!("list entry: field 'health' is unknown: '{other}'")),
     };
     // A zone that the settings do not name is far from all that they do.
@@ -66,12 +66,14 @@
     let weight = if f.has("share") { f.count("share") } else { Ok(1.0) };
     let born = f.int_or("born_ms", 0);
     let (zone, weight, born) = match standing {
-        Standing::Ready => (zone?, weight?, born?),
+        EndpointState::Ready => (zone?, weight?, born?),
         // Whatever else is amiss: it is to be left, and the grace runs.
-        Standing::Draining | Standing::Gone => (zone.unwrap_or(0), weight.unwrap_or(1.0), born.unwrap_or(0)),
+        EndpointState::Draining | EndpointState::Removed => {
+            (zone.unwrap_or(0), weight.unwrap_or(1.0), born.unwrap_or(0))
+        }
     };
     let started = (born > 0).then(|| Moment::from_us(born.saturating_mul(1000)));
-    Ok(Listing { id, zone, weight, standing, started })
+    Ok(EndpointUpdate { id, zone, weight, standing, started })
 }
 
 /// Follows the list for ever; `follow` is the rules' word to ask, at the start and after a failure. A list that
--- a/control-plane/src/planner/tests.rs
+++ b/control-plane/src/planner/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use otterwinch::host::{Listing, Standing};
+use otterwinch::host::{EndpointState, EndpointUpdate};
 use slog::{o, Discard};
 
 fn planner() -> Planner {
@@ -28,11 +28,11 @@
 fn a_server_that_broken_rules_had_barred_is_let_back_in() {
     let mut planner = planner();
     let now = planner.clock.now();
-    let gone = Listing { id: "a".into(), ..Listing::default() };
+    let gone = EndpointUpdate { id: "a".into(), ..EndpointUpdate::default() };
     planner.rules.host().learn(std::slice::from_ref(&gone), false);
     planner.rules.list_changed(now, std::slice::from_ref(&gone));
     planner.open_anew(now);
-    let back = Listing { weight: 1.0, standing: Standing::Ready, ..gone };
+    let back = EndpointUpdate { weight: 1.0, standing: EndpointState::Ready, ..gone };
     planner.rules.proxy_joined(now, 3, 0, 5.0, true);
     planner.rules.list_changed(now + Span::secs(1.0), &[back]);
     let commands = &planner.rules.host().commands;
--- a/emulator/src/forwarder.rs
+++ b/emulator/src/forwarder.rs
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use otterwinch::host::Retry;
+use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::draws::stream;
 use otterwinch_simulation::table::{Lines, Version};
 use rand::seq::IndexedRandom;
@@ -256,7 +256,7 @@
         let mut held = shared.held.lock().expect("no holder panics");
         let level = held.version.levels.get(product).copied().flatten();
         let (let_in, pick) = (held.draws.random::<f64>(), held.draws.random::<f64>());
-        let usual = if shared.again { Retry::IfNeverRan } else { Retry::Never };
+        let usual = if shared.again { RetryPolicy::IfNeverRan } else { RetryPolicy::Never };
         let picked = held.version.lines.pick(pick);
         (picked.filter(|_| level.is_none_or(|l| let_in < l.share)), level.map_or(usual, |l| l.retry))
     };
@@ -264,7 +264,7 @@
         return plain(StatusCode::TOO_MANY_REQUESTS, Some(DECLINED));
     };
     let mut came = try_at(node, work, shared).await;
-    if matches!(came, Came::NeverRan) && retry != Retry::Never {
+    if matches!(came, Came::NeverRan) && retry != RetryPolicy::Never {
         let other = {
             let mut held = shared.held.lock().expect("no holder panics");
             let others = Lines::of(held.version.lines.iter().filter(|line| line.0 != node));
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -5,7 +5,7 @@
 use crate::plane::{Applied, Between};
 use crate::word::report;
 use otterwinch::controller::Controller;
-use otterwinch::host::{Id, Listing};
+use otterwinch::host::{EndpointId, EndpointUpdate};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Fleet;
 use otterwinch_simulation::control::Desk;
@@ -34,7 +34,7 @@
     pub name: String,
     pub hall: u32,
     pub weight: f64,
-    pub standing: otterwinch::host::Standing,
+    pub standing: otterwinch::host::EndpointState,
     pub started: Option<Instant>,
 }
 
@@ -50,7 +50,7 @@
 ) {
     let began = Instant::now();
     let moment = |at: Instant| Moment::from_us(ORIGIN + (at - began).as_micros() as i64);
-    let ids: Vec<Id> = nodes.iter().map(|name| name.as_str().into()).collect();
+    let ids: Vec<EndpointId> = nodes.iter().map(|name| name.as_str().into()).collect();
     let places = Rc::new((0..).zip(&ids).map(|(k, id)| (id.clone(), k)).collect());
     let mut rules = Controller::open(Desk::new(places), controller_config(&fleet), seed, moment(began));
     let mut wakes: BinaryHeap<Reverse<(Instant, u64, u64)>> = BinaryHeap::new();
@@ -75,7 +75,7 @@
             word = words.recv() => match word {
                 None => return,
                 Some(Word::Listed(told)) => {
-                    let listing = |told: &Told| Listing {
+                    let listing = |told: &Told| EndpointUpdate {
                         id: told.name.as_str().into(),
                         zone: told.hall,
                         weight: told.weight,
@@ -85,7 +85,7 @@
                             None => Moment::from_us(ORIGIN - (began - at).as_micros() as i64),
                         }),
                     };
-                    let listings: Vec<Listing> = told.iter().map(listing).collect();
+                    let listings: Vec<EndpointUpdate> = told.iter().map(listing).collect();
                     rules.list_changed(moment(Instant::now()), &listings);
                 }
                 Some(Word::Joined { forwarder, hall, rate, fresh }) => {
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use otterwinch::host::Retry;
+use otterwinch::host::RetryPolicy;
 use otterwinch_simulation::control::Command;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -175,10 +175,10 @@
                 names.iter().filter_map(place).fold(0, |set, k| set | 1u64 << k)
             });
             let retry = match number("policy")? {
-                0 => Retry::Never,
-                1 => Retry::IfNeverRan,
-                2 => Retry::Once,
-                3 => Retry::Twice,
+                0 => RetryPolicy::Never,
+                1 => RetryPolicy::IfNeverRan,
+                2 => RetryPolicy::Once,
+                3 => RetryPolicy::Twice,
                 _ => return None,
             };
             let (tbl, share) = (number("table")?, figure("admit")?);
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -9,7 +9,7 @@
 use crate::plane::Between;
 use crate::relay::{Names, Relay};
 use crate::word;
-use otterwinch::host::{Retry, Standing};
+use otterwinch::host::{EndpointState, RetryPolicy};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::Due;
@@ -39,7 +39,7 @@
     Program { path: PathBuf, folder: PathBuf },
 }
 
-type Listed = (Standing, Option<Instant>);
+type Listed = (EndpointState, Option<Instant>);
 
 /// How long supervisors may take until each forwarder holds a table of theirs.
 const SETTLES_WITHIN: Duration = Duration::from_secs(20);
@@ -117,7 +117,7 @@
             let given = match steering {
                 Steering::Fixed { weights, levels } => {
                     let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                    let level = |share: &f64| Some(Level { share: *share, retry: Retry::Never });
+                    let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
                     Some(Arc::new(Version { lines, levels: levels.iter().map(level).collect() }))
                 }
                 _ => None,
@@ -143,7 +143,7 @@
         }
         let standing = |node: &Node| {
             let ago = fleet.groups[node.group].started;
-            (Standing::Ready, ago.and_then(|ago| now.checked_sub(span(ago))))
+            (EndpointState::Ready, ago.and_then(|ago| now.checked_sub(span(ago))))
         };
         let standings = Mutex::new(nodes.iter().map(standing).collect());
         let mut rig = Rig {
@@ -295,9 +295,9 @@
                 .unwrap_or_default(),
             site: self.fleet.halls[told.hall as usize].name.clone(),
             health: match told.standing {
-                Standing::Ready => "active",
-                Standing::Draining => "leaving",
-                Standing::Gone => "left",
+                EndpointState::Ready => "active",
+                EndpointState::Draining => "leaving",
+                EndpointState::Removed => "left",
             },
             share: told.weight,
             born_ms: told.started.map_or(0, |at| unix.saturating_sub(at.elapsed()).as_millis() as u64),
@@ -307,7 +307,7 @@
     }
 
     /// Changes what the list says of some nodes; supervisors hear of it later.
-    fn lists(&self, nodes: &[u32], standing: Standing, started: bool) {
+    fn lists(&self, nodes: &[u32], standing: EndpointState, started: bool) {
         {
             let mut standings = self.standings.lock().expect("no holder panics");
             for node in nodes {
@@ -338,20 +338,20 @@
         match what {
             Happening::Dies(node) => {
                 self.nodes[*node as usize].dies();
-                self.lists(&[*node], Standing::Gone, false);
+                self.lists(&[*node], EndpointState::Removed, false);
             }
             Happening::Returns(node) => {
                 self.nodes[*node as usize].returns().await?;
-                self.lists(&[*node], Standing::Ready, true);
+                self.lists(&[*node], EndpointState::Ready, true);
             }
-            Happening::Drains(node) => self.lists(&[*node], Standing::Draining, false),
+            Happening::Drains(node) => self.lists(&[*node], EndpointState::Draining, false),
             Happening::Slows(node, times) => self.nodes[*node as usize].slows(*times),
             Happening::Fails(node, part) => self.nodes[*node as usize].fails(*part),
             Happening::Hangs(node, does) => self.nodes[*node as usize].hangs(*does),
             Happening::HallLost(hall) => {
                 let nodes = of_hall(*hall);
                 nodes.iter().for_each(|node| self.nodes[*node as usize].dies());
-                self.lists(&nodes, Standing::Gone, false);
+                self.lists(&nodes, EndpointState::Removed, false);
                 self.fronts.lock().expect("no holder panics")[*hall].clear();
                 for forwarder in self.forwarders.iter().filter(|f| f.told.hall == *hall) {
                     forwarder.dies();
@@ -363,7 +363,7 @@
                 for node in &nodes {
                     self.nodes[*node as usize].returns().await?;
                 }
-                self.lists(&nodes, Standing::Ready, true);
+                self.lists(&nodes, EndpointState::Ready, true);
                 for forwarder in self.forwarders.iter().filter(|f| f.told.hall == *hall) {
                     forwarder.returns().await?;
                     self.joins(forwarder.told.number);
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -3,7 +3,7 @@
 use crate::queue::Time;
 use crate::table::{Level, Table, Version};
 use otterwinch::controller::Controller;
-use otterwinch::host::{Host, Id, Products, Retry};
+use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Supervisors;
 use rustc_hash::FxHashMap;
@@ -23,7 +23,7 @@
 pub struct Desk {
     pub commands: Vec<Command>,
     pub wakes: Vec<(Span, u64)>,
-    places: Rc<FxHashMap<Id, u32>>,
+    places: Rc<FxHashMap<EndpointId, u32>>,
 }
 
 /// A command, its node by its place.
@@ -32,18 +32,18 @@
     Line { tbl: u32, node: u32, weight: f64 },
     Bind { forwarder: u32, tbl: u32 },
     Withdraw { node: u32, out: bool },
-    Level { tbl: u32, products: Products, share: f64, retry: Retry },
+    Level { tbl: u32, products: RequestClassSet, share: f64, retry: RetryPolicy },
     Mark(u32),
 }
 
 impl Desk {
-    pub fn new(places: Rc<FxHashMap<Id, u32>>) -> Self {
+    pub fn new(places: Rc<FxHashMap<EndpointId, u32>>) -> Self {
         Desk { places, ..Desk::default() }
     }
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &Id, weight: f64) {
+    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         if let Some(node) = self.places.get(server).copied() {
             self.commands.push(Command::Line { tbl, node, weight });
         }
@@ -51,13 +51,13 @@
     fn bind(&mut self, proxy: u32, tbl: u32) {
         self.commands.push(Command::Bind { forwarder: proxy, tbl });
     }
-    fn withdraw(&mut self, server: &Id, out: bool) {
+    fn withdraw(&mut self, server: &EndpointId, out: bool) {
         if let Some(node) = self.places.get(server).copied() {
             self.commands.push(Command::Withdraw { node, out });
         }
     }
-    fn forget(&mut self, _server: &Id) {}
-    fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry) {
+    fn forget(&mut self, _server: &EndpointId) {}
+    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         self.commands.push(Command::Level { tbl, products, share: admitted, retry });
     }
     fn mark(&mut self, number: u32) {
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -1,12 +1,12 @@
 //! What supervisors of a described fleet read at their start.
 
-use otterwinch::config::{Admission, ControllerConfig, Product};
+use otterwinch::config::{Admission, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{Fleet, Repeats};
 
 pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
     let told = &fleet.supervisors;
-    let product = |p: &otterwinch_fleet::model::Product| Product {
+    let product = |p: &otterwinch_fleet::model::Product| RequestClass {
         sla: p.sla,
         revenue: p.revenue,
         own_zone: false,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::table::{Level, Lines, Version};
 use crate::tally::Tally;
 use otterwinch::controller::Controller;
-use otterwinch::host::{Id, Listing, Retry};
+use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy};
 use otterwinch::time::Span;
 use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{Fleet, Group, Speed};
@@ -221,7 +221,7 @@
     pub queue: Queue<Event>,
     pub nodes: Vec<Node>,
     /// Nodes by their ids.
-    pub places: Rc<FxHashMap<Id, u32>>,
+    pub places: Rc<FxHashMap<EndpointId, u32>>,
     pub forwarders: Vec<Forwarder>,
     /// Forwarders that are up, by hall.
     pub front: Vec<Vec<u32>>,
@@ -232,7 +232,7 @@
     pub free_attempts: Vec<u32>,
     pub happenings: Vec<At>,
     pub reports: Vec<Option<Sums>>,
-    pub lists: Vec<Vec<Listing>>,
+    pub lists: Vec<Vec<EndpointUpdate>>,
     pub messages: Vec<Option<Message>>,
     pub free_messages: Vec<u32>,
     pub tally: Tally,
@@ -286,7 +286,7 @@
                 (group.warm_up, group.topples) = (None, None);
             }
             for (k, speed) in speeds(told, place, plan.seed).into_iter().enumerate() {
-                let id: Id = format!("{}-{k}", told.name).into();
+                let id: EndpointId = format!("{}-{k}", told.name).into();
                 // Older than the play is long ago: a node that started within it is told so.
                 let started = told.started.and_then(|ago| lead.checked_sub(us(ago)));
                 nodes.push(Node::new(id, place, &group, speed, started));
@@ -341,7 +341,7 @@
                 (0..).zip(&self.nodes).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect();
             let version = fixed.map(|(weights, levels)| {
                 let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                let level = |share: &f64| Some(Level { share: *share, retry: Retry::Never });
+                let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
                 Arc::new(Version { lines, levels: levels.iter().map(level).collect() })
             });
             for _ in 0..told.forwarders {
@@ -374,7 +374,7 @@
                 Controller::open(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
             let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
             let mut supervisor = Supervisor { rules, plane, sums, gathers: false };
-            let listed: Vec<Listing> = self.nodes.iter().map(listing).collect();
+            let listed: Vec<EndpointUpdate> = self.nodes.iter().map(listing).collect();
             supervisor.rules.list_whole(moment(0), &listed);
             self.supervisors.push(supervisor);
             self.asks(k);
@@ -511,8 +511,8 @@
 }
 
 /// What the list says of a node.
-pub(crate) fn listing(node: &Node) -> Listing {
-    Listing {
+pub(crate) fn listing(node: &Node) -> EndpointUpdate {
+    EndpointUpdate {
         id: node.id.clone(),
         zone: node.hall as u32,
         weight: node.weight,
--- a/simulation/src/life.rs
+++ b/simulation/src/life.rs
@@ -6,7 +6,7 @@
 use crate::queue::{Class, Time};
 use crate::table::Lines;
 use crate::tally::End;
-use otterwinch::host::Retry;
+use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::model::Repeats;
 use otterwinch_fleet::Due;
 
@@ -281,10 +281,10 @@
         let forwarder = &self.forwarders[txn.forwarder as usize];
         let retry = match forwarder.held.levels[txn.product] {
             Some(level) => level.retry,
-            None if self.fleet.forwarders.again => Retry::IfNeverRan,
-            None => Retry::Never,
+            None if self.fleet.forwarders.again => RetryPolicy::IfNeverRan,
+            None => RetryPolicy::Never,
         };
-        if retry == Retry::Never {
+        if retry == RetryPolicy::Never {
             return false;
         }
         let others = Lines::of(forwarder.held.lines.iter().filter(|line| line.0 != not));
--- a/simulation/src/mishap.rs
+++ b/simulation/src/mishap.rs
@@ -4,7 +4,7 @@
 use crate::happening::Happening;
 use crate::queue::Class;
 use crate::tally::End;
-use otterwinch::host::Standing;
+use otterwinch::host::EndpointState;
 
 impl Engine<'_> {
     pub(crate) fn befalls(&mut self, k: u32) {
@@ -12,7 +12,7 @@
             Happening::Dies(node) => self.node_dies(node),
             Happening::Returns(node) => self.node_returns(node),
             Happening::Drains(node) => {
-                self.nodes[node as usize].standing = Standing::Draining;
+                self.nodes[node as usize].standing = EndpointState::Draining;
                 self.lists(&[node]);
             }
             Happening::Slows(node, times) => self.nodes[node as usize].slow = times,
@@ -47,7 +47,7 @@
             return;
         }
         self.nodes[number as usize].die(self.now);
-        self.nodes[number as usize].standing = Standing::Gone;
+        self.nodes[number as usize].standing = EndpointState::Removed;
         let held: Vec<u32> = (0..self.attempts.len() as u32)
             .filter(|slot| {
                 let attempt = &self.attempts[*slot as usize];
@@ -63,7 +63,7 @@
             return;
         }
         self.nodes[number as usize].come_back(self.now);
-        self.nodes[number as usize].standing = Standing::Ready;
+        self.nodes[number as usize].standing = EndpointState::Ready;
         self.lists(&[number]);
     }
 
--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -2,7 +2,7 @@
 //! works on but how much work that is.
 
 use crate::queue::Time;
-use otterwinch::host::{Id, Standing};
+use otterwinch::host::{EndpointId, EndpointState};
 use otterwinch_fleet::model::{Group, Topples, WarmUp};
 use std::collections::VecDeque;
 
@@ -19,14 +19,14 @@
 }
 
 pub struct Node {
-    pub id: Id,
+    pub id: EndpointId,
     pub group: usize,
     pub hall: usize,
     pub cores: u32,
     pub speed: f64,
     pub weight: f64,
     /// What the list says of it, once it says so.
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// It takes connections.
     pub up: bool,
     /// It fell over cold, and stays down until it is started again.
@@ -63,7 +63,7 @@
 }
 
 impl Node {
-    pub fn new(id: Id, place: usize, group: &Group, speed: f64, started: Option<Time>) -> Self {
+    pub fn new(id: EndpointId, place: usize, group: &Group, speed: f64, started: Option<Time>) -> Self {
         Node {
             id,
             group: place,
@@ -71,7 +71,7 @@
             cores: group.cores,
             speed,
             weight: group.weight,
-            standing: Standing::Ready,
+            standing: EndpointState::Ready,
             up: true,
             toppled: false,
             started,
--- a/simulation/src/table.rs
+++ b/simulation/src/table.rs
@@ -1,6 +1,6 @@
 //! What forwarders hold: tables by version. Whoever uses a table at one version shares it.
 
-use otterwinch::host::Retry;
+use otterwinch::host::RetryPolicy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Level {
     pub share: f64,
-    pub retry: Retry,
+    pub retry: RetryPolicy,
 }
 
 /// A table as it was when a message was written.
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -4,7 +4,7 @@
 use crate::engine::*;
 use crate::queue::{Class, Time};
 use crate::table::{Lines, Version};
-use otterwinch::host::Listing;
+use otterwinch::host::EndpointUpdate;
 use otterwinch::time::{Moment, Span};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -97,7 +97,7 @@
         if self.supervisors.is_empty() {
             return;
         }
-        let listings: Vec<Listing> = nodes.iter().map(|k| listing(&self.nodes[*k as usize])).collect();
+        let listings: Vec<EndpointUpdate> = nodes.iter().map(|k| listing(&self.nodes[*k as usize])).collect();
         self.lists.push(listings);
         let at = self.now + us(self.fleet.supervisors.list_late);
         let list = self.lists.len() as u32 - 1;
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -1,25 +1,25 @@
 //! From a page of the wire to what the list says of servers.
 
-use otterwinch::host::{Listing, Standing};
+use otterwinch::host::{EndpointState, EndpointUpdate};
 use otterwinch::time::Moment;
 use otterwinch_adapter_support::Fields;
 use serde_json::Value;
 
-pub fn listings(f: &Fields) -> Result<Vec<Listing>, String> {
+pub fn listings(f: &Fields) -> Result<Vec<EndpointUpdate>, String> {
     let entries = f.list("elements")?;
     entries.iter().map(listing).collect()
 }
 
-fn listing(entry: &Value) -> Result<Listing, String> {
+fn listing(entry: &Value) -> Result<EndpointUpdate, String> {
     let f = Fields::named(entry, "PAGE entry")?;
     let standing = match f.whole("health")? {
-        0 => Standing::Gone,
-        1 => Standing::Ready,
-        2 => Standing::Draining,
+        0 => EndpointState::Removed,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         other => return Err(format!("PAGE entry: health {other} is unknown")),
     };
     let started = f.int_or("cameUpUs", 0)?;
-    Ok(Listing {
+    Ok(EndpointUpdate {
         id: f.text("server")?.into(),
         zone: if f.has("campus") { f.small("campus")? } else { 0 },
         weight: if f.has("weight") { f.count("weight")? } else { 1.0 },
--- a/simulator-adapter/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -2,7 +2,7 @@
 //! fault, so that a slip in the rules costs a command and not the process.
 
 use otterwinch::config::ControllerConfig;
-use otterwinch::host::{Host, Id, Products, Retry};
+use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy};
 use otterwinch::time::Span;
 use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
@@ -30,7 +30,7 @@
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &Id, weight: f64) {
+    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let fields = json!({"mapId": tbl, "server": &**server, "weight": weight});
         self.say(self.checks.line(tbl, server, weight), "ENDPOINT", fields);
     }
@@ -43,15 +43,15 @@
         );
     }
 
-    fn withdraw(&mut self, server: &Id, out: bool) {
+    fn withdraw(&mut self, server: &EndpointId, out: bool) {
         self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": out}));
     }
 
-    fn forget(&mut self, server: &Id) {
+    fn forget(&mut self, server: &EndpointId) {
         self.checks.forget(server);
     }
 
-    fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry) {
+    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         let how = retry as u8;
         let fields = json!({"mapId": tbl, "forClasses": products, "allowance": admitted, "how": how});
         self.say(self.checks.level(tbl, admitted), "SET_LEVEL", fields);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 
 use desk::Desk;
 use otterwinch::controller::Controller;
-use otterwinch::host::Listing;
+use otterwinch::host::EndpointUpdate;
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{caught, controller_config, Fields};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct Hosted {
     instances: BTreeMap<u64, Controller<Desk>>,
-    pages: BTreeMap<u64, Vec<Listing>>,
+    pages: BTreeMap<u64, Vec<EndpointUpdate>>,
     now: Moment,
     serial: u64,
     failed: Vec<u8>,
--- a/src/ledger.rs
+++ b/src/channel_backlog.rs
@@ -13,8 +13,8 @@
 }
 
 /// ```
-/// use otterwinch::{ledger::Ledger, time::{Moment, Span}};
-/// let (mut ledger, now) = (Ledger::new(2.0), Moment::from_us(5));
+/// use otterwinch::{channel_backlog::ChannelBacklog, time::{Moment, Span}};
+/// let (mut ledger, now) = (ChannelBacklog::new(2.0), Moment::from_us(5));
 /// ledger.note(now, 1, 4.0, 3.0);
 /// ledger.note(now, 2, 2.0, 3.0);
 /// let number = ledger.mark(now).unwrap();
@@ -27,7 +27,7 @@
 /// assert_eq!(ledger.waiting(now + Span::secs(1.0)), 15.0);
 /// ```
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ChannelBacklog {
     /// Lines a second that leave whatever happens.
     pace: f64,
     /// All lines ever ordered, heads and marks included.
@@ -40,14 +40,14 @@
     numbered: u32,
 }
 
-impl Ledger {
+impl ChannelBacklog {
     /// Replies kept for an answer: those that asked for one. What waits bounds them, for each message is longer
     /// than its head; this is for answers that never come. A slow channel holds hundreds of moments: where only
     /// the latest are known, no answer tells anything until all older ones are through.
     const KEPT: usize = 2048;
 
     pub fn new(pace: f64) -> Self {
-        Ledger { pace, ..Ledger::default() }
+        ChannelBacklog { pace, ..ChannelBacklog::default() }
     }
 
     /// The most that may still wait.
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 
 /// One row a product: only what the decisions read.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Product {
+pub struct RequestClass {
     pub sla: Span,
     pub revenue: f64,
     pub own_zone: bool,
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerConfig {
-    pub products: Vec<Product>,
+    pub products: Vec<RequestClass>,
     /// The list of servers answers only when it is asked.
     pub list_on_request: bool,
     /// Txns that cross zones take something off the result.
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,12 +6,15 @@
 //! looked at every `turn`, only changes sent. The guards: rule 1 `wanted`, `bind_waiting`, rule 2 `RETRY`,
 //! `publish_slices`, `commands_lost`, rule 3 `leaving` in `publish`, rule 4 `warmth`, `eased`, rule 5 `room`.
 
-use crate::chance::Chance;
+use crate::channel_backlog::ChannelBacklog;
 use crate::config::{Admission, ControllerConfig};
 use crate::histogram::Histogram;
-use crate::host::{Host, Id, Listing, Products, Retry, Standing};
-use crate::ledger::Ledger;
-use crate::state::{weigh, Change, Held, Part, Present, Proxy, Pulse, Server, Slice, Tbl};
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
+use crate::seeded_rng::SeededRng;
+use crate::state::{
+    weigh, Candidate, Change, Endpoint, FleetLoad, Proxy, PublicationState, RouteTable, RoutingSnapshot,
+    Shard,
+};
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -49,7 +52,7 @@
 
 /// Rule 2: proxies repeat nothing on our commands, so no product's window or group can be missed, and a zone
 /// that has just become full does not drown in what its servers turned away.
-const RETRY: Retry = Retry::Never;
+const RETRY: RetryPolicy = RetryPolicy::Never;
 
 /// Parts of the waiting lines and messages for all and for what can wait; messages kept back for drains; the
 /// part of its stated pace that a channel is trusted with until proxies say what has come.
@@ -105,19 +108,19 @@
 pub struct Controller<H: Host> {
     host: H,
     config: ControllerConfig,
-    chance: Chance,
+    chance: SeededRng,
     /// Each supervisor lays the ring in an order of its own.
     salt: u32,
-    servers: BTreeMap<Id, Server>,
-    tbls: BTreeMap<u32, Tbl>,
+    servers: BTreeMap<EndpointId, Endpoint>,
+    tbls: BTreeMap<u32, RouteTable>,
     proxies: BTreeMap<u32, Proxy>,
     /// Zone and usual rate of each proxy ever served or seen here.
     usual: BTreeMap<u32, (u32, f64)>,
-    slices: BTreeMap<u32, Slice>,
+    slices: BTreeMap<u32, Shard>,
     levels: Vec<f64>,
-    pulse: Pulse,
-    ledger: Ledger,
-    held: Held,
+    pulse: FleetLoad,
+    ledger: ChannelBacklog,
+    held: PublicationState,
 }
 
 impl<H: Host> Controller<H> {
@@ -127,7 +130,7 @@
         }
         host.wake(GATHER, TURN);
         let all = if config.admission == Admission::PerSecond { 1e6 } else { 1.0 };
-        let mut chance = Chance::new(seed);
+        let mut chance = SeededRng::new(seed);
         let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
         Controller {
             host,
@@ -139,9 +142,9 @@
             usual: BTreeMap::new(),
             slices: BTreeMap::new(),
             levels: vec![all; config.products.len()],
-            pulse: Pulse { asked: vec![0.0; config.products.len()], ..Pulse::default() },
-            ledger: Ledger::new(config.channel_rate * PACE_TRUSTED),
-            held: Held { gathered: now, ..Held::default() },
+            pulse: FleetLoad { asked: vec![0.0; config.products.len()], ..FleetLoad::default() },
+            ledger: ChannelBacklog::new(config.channel_rate * PACE_TRUSTED),
+            held: PublicationState { gathered: now, ..PublicationState::default() },
             config,
         }
     }
@@ -150,16 +153,16 @@
         &mut self.host
     }
 
-    pub fn list_whole(&mut self, now: Moment, listings: &[Listing]) {
-        let listed: BTreeSet<&Id> = listings.iter().map(|l| &l.id).collect();
+    pub fn list_whole(&mut self, now: Moment, listings: &[EndpointUpdate]) {
+        let listed: BTreeSet<&EndpointId> = listings.iter().map(|l| &l.id).collect();
         let dropped = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
-        dropped.for_each(|(_, server)| server.stands(now, Standing::Gone));
+        dropped.for_each(|(_, server)| server.stands(now, EndpointState::Removed));
         self.list_changed(now, listings);
     }
 
-    pub fn list_changed(&mut self, now: Moment, listings: &[Listing]) {
+    pub fn list_changed(&mut self, now: Moment, listings: &[EndpointUpdate]) {
         for l in listings {
-            let new = || Server { left: now, ..Server::default() };
+            let new = || Endpoint { left: now, ..Endpoint::default() };
             let server = self.servers.entry(l.id.clone()).or_insert_with(new);
             if l.started > server.started {
                 server.move_to(0, now);
@@ -182,7 +185,7 @@
         self.host.wake(pause, SUBSCRIBE);
     }
 
-    fn ready(&self) -> impl Iterator<Item = (&Id, &Server)> {
+    fn ready(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
         self.servers.iter().filter(|(_, s)| s.ready())
     }
 
@@ -203,7 +206,7 @@
         let stood = self.proxies.get(&proxy).is_some_and(|p| p.reached && p.tbl == tbl);
         let fresh = fresh && !known;
         self.proxies.insert(proxy, Proxy { rate, joined: now, fresh, tbl, bound: false, reached: stood });
-        self.tbls.entry(tbl).or_insert(Tbl { home, afar: 1.0, ..Tbl::default() });
+        self.tbls.entry(tbl).or_insert(RouteTable { home, afar: 1.0, ..RouteTable::default() });
         // Rule 3: until it is bound it holds tables that are not ours, with servers that may have left.
         self.servers.values_mut().for_each(|s| s.told = false);
         self.look();
@@ -265,8 +268,8 @@
     /// A service that replaces its servers all day would make each join pay for barring all the dead. What is
     /// long gone and in no table is let back in, so that its id may return as a new one, and forgotten.
     fn forget(&mut self, now: Moment) {
-        let held = |id: &Id| self.tbls.values().any(|t| t.lines.contains_key(id));
-        let dead = |s: &Server| s.standing == Standing::Gone && now - s.left > FORGOTTEN;
+        let held = |id: &EndpointId| self.tbls.values().any(|t| t.lines.contains_key(id));
+        let dead = |s: &Endpoint| s.standing == EndpointState::Removed && now - s.left > FORGOTTEN;
         let dead = self.servers.iter().filter(|(id, s)| dead(s) && !self.held.unanswered && !held(id));
         for id in dead.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             if self.servers.remove(&id).is_some_and(|s| s.out) {
@@ -277,37 +280,37 @@
     }
 
     /// Rule 4: no more of its weight than the slowest warm-up allows at its age, counted from its start.
-    fn warmth(&self, now: Moment, server: &Server) -> f64 {
+    fn warmth(&self, now: Moment, server: &Endpoint) -> f64 {
         let cold_for = self.config.cold_for;
         let Some(age) = server.started.map(|at| now - at).filter(|age| *age < cold_for) else { return 1.0 };
         let grown = age.as_secs().max(0.0) / cold_for.as_secs();
         RAMP_FROM + (1.0 - RAMP_FROM) * grown.powf(RAMP_BEND)
     }
 
-    fn parts(&self, now: Moment) -> Vec<Part> {
-        let part = |(id, s): (&Id, &Server)| {
+    fn parts(&self, now: Moment) -> Vec<Candidate> {
+        let part = |(id, s): (&EndpointId, &Endpoint)| {
             let (weight, warmth) = (s.weight * RUNGS[s.rung], self.warmth(now, s));
-            Part { id: id.clone(), zone: s.zone, weight, warmth }
+            Candidate { id: id.clone(), zone: s.zone, weight, warmth }
         };
         self.ready().map(part).collect()
     }
 
     /// What all tables of a moment are made of: the servers in the order of a ring, and what each zone gets.
-    fn present(&self, now: Moment) -> Present {
+    fn present(&self, now: Moment) -> RoutingSnapshot {
         let mut parts = self.parts(now);
         parts.sort_by_cached_key(|p| p.place(self.salt));
         let mut rates = BTreeMap::<u32, f64>::new();
         self.usual.values().for_each(|(zone, rate)| *rates.entry(*zone).or_default() += rate);
         let whole = weigh(parts.iter().filter(|p| rates.contains_key(&p.zone)));
-        Present { parts, rates, whole }
+        RoutingSnapshot { parts, rates, whole }
     }
 
     /// What a table should hold: every listed server, at listed weight but for the exceptions, and whether it
     /// is warm. Where all proxies could not leave in time, each table holds an arc of the ring, home ones
     /// first.
-    fn wanted(&mut self, number: u32, all: &Present) -> BTreeMap<Id, (f64, bool)> {
+    fn wanted(&mut self, number: u32, all: &RoutingSnapshot) -> BTreeMap<EndpointId, (f64, bool)> {
         let Some(tbl) = self.tbls.get(&number) else { return BTreeMap::new() };
-        let (near, mut away): (Vec<&Part>, Vec<&Part>) =
+        let (near, mut away): (Vec<&Candidate>, Vec<&Candidate>) =
             all.parts.iter().partition(|p| tbl.home == Some(p.zone));
         if self.config.products.iter().any(|p| p.own_zone) {
             away.clear();
@@ -333,7 +336,7 @@
                 afar = tbl.afar;
             }
         }
-        let far = there.into_iter().map(|p| Part { weight: p.weight * afar, ..p.clone() });
+        let far = there.into_iter().map(|p| Candidate { weight: p.weight * afar, ..p.clone() });
         let parts = here.into_iter().cloned().chain(far).collect();
         self.tbls.get_mut(&number).expect("just read").afar = afar;
         self.eased(parts)
@@ -341,10 +344,10 @@
 
     /// A table's arc of a ring, so long at most. Of what stands a little more is kept at both ends, or each
     /// server that comes or goes would push another in or out.
-    fn arc<'a>(&self, number: u32, ring: Vec<&'a Part>, most: usize) -> Vec<&'a Part> {
+    fn arc<'a>(&self, number: u32, ring: Vec<&'a Candidate>, most: usize) -> Vec<&'a Candidate> {
         let (n, slack, lines) = (ring.len(), most.div_ceil(SLACK), &self.tbls[&number].lines);
         let start = n * (number % ARCS) as usize / ARCS as usize;
-        let within = |at: usize, p: &Part| {
+        let within = |at: usize, p: &Candidate| {
             at < most || (at < most + slack || at + slack >= n) && lines.contains_key(&p.id)
         };
         let placed = ring.into_iter().enumerate().map(|(i, p)| ((i + n - start) % n, p));
@@ -352,8 +355,8 @@
     }
 
     /// Rule 4 where a ramp alone does not keep it.
-    fn eased(&self, parts: Vec<Part>) -> BTreeMap<Id, (f64, bool)> {
-        let sum = |is| parts.iter().filter(|p| (p.warmth >= 1.0) == is).map(Part::bears).sum::<f64>();
+    fn eased(&self, parts: Vec<Candidate>) -> BTreeMap<EndpointId, (f64, bool)> {
+        let sum = |is| parts.iter().filter(|p| (p.warmth >= 1.0) == is).map(Candidate::bears).sum::<f64>();
         let (cold, warm) = (sum(false), sum(true));
         // A fleet that shrank or turns tries away brings a cold server more than its weight says: it is cut
         // by as much, but never so far that the warm ones fall in its place.
@@ -363,13 +366,13 @@
         // Proxies that shun leave a failing fleet for what they have not tried yet: the youngest stay out.
         let rush = self.config.shuns_after > 0 && warm > 0.0 && self.pulse.struggling;
         let kept = parts.into_iter().filter(|p| p.warmth >= YOUNG || !rush);
-        let ease = |p: &Part| if p.warmth < 1.0 { p.warmth * cut } else { 1.0 };
+        let ease = |p: &Candidate| if p.warmth < 1.0 { p.warmth * cut } else { 1.0 };
         kept.map(|p| (p.id.clone(), (p.weight * ease(&p), p.warmth >= 1.0))).collect()
     }
 
     /// What differs from what stands, widest gaps first; slight ones are not worth their way. Can't wait:
     /// servers that left, a table's first usable lines, a known server that came back cold.
-    fn changes(&mut self, now: Moment, number: u32, users: f64, all: &Present) -> Vec<Change> {
+    fn changes(&mut self, now: Moment, number: u32, users: f64, all: &RoutingSnapshot) -> Vec<Change> {
         let wanted = self.wanted(number, all);
         if wanted.is_empty() && self.carried(now, number) {
             return Vec::new();
@@ -378,7 +381,8 @@
         let mean = wanted.values().map(|w| w.0).sum::<f64>() / wanted.len().max(1) as f64;
         let Some(tbl) = self.tbls.get_mut(&number) else { return Vec::new() };
         tbl.carried = None;
-        let left = |(id, gap): (&Id, &f64)| Change { id: id.clone(), weight: 0.0, urgent: true, gap: *gap };
+        let left =
+            |(id, gap): (&EndpointId, &f64)| Change { id: id.clone(), weight: 0.0, urgent: true, gap: *gap };
         let gone = tbl.lines.iter().filter(|(id, _)| !wanted.contains_key(*id));
         let mut changes: Vec<Change> = gone.map(left).collect();
         for (id, (weight, warm)) in wanted {
@@ -399,7 +403,8 @@
         let Some(tbl) = self.tbls.get_mut(&number) else { return false };
         let (long, in_grace) = (HEARTBEAT_EVERY, self.config.drain_grace * 0.6 - self.config.way_most);
         let spell = if self.config.only_drains_bind { long } else { long.min(in_grace) };
-        let reports = |s: &Server| s.standing == Standing::Gone && s.heard.is_some_and(|h| now - h < long);
+        let reports =
+            |s: &Endpoint| s.standing == EndpointState::Removed && s.heard.is_some_and(|h| now - h < long);
         if tbl.carried.is_none() && tbl.lines.keys().any(|id| self.servers.get(id).is_some_and(reports)) {
             tbl.carried = Some(now);
         }
@@ -431,7 +436,7 @@
         self.look();
     }
 
-    pub fn line_declined(&mut self, tbl: u32, id: &Id) {
+    pub fn line_declined(&mut self, tbl: u32, id: &EndpointId) {
         self.tbls.get_mut(&tbl).and_then(|tbl| tbl.lines.remove(id));
         self.look();
     }
@@ -449,7 +454,7 @@
             _ => return self.publish_slices(now),
         }
         self.held.moment = now;
-        // Standing tables are thinned by all that leaves: before one is bare its proxy must be bound. Else
+        // EndpointState tables are thinned by all that leaves: before one is bare its proxy must be bound. Else
         // binds can wait longest: each takes what a line to all would.
         let lost = self.servers.values().filter(|s| !s.ready()).count() as f64;
         let thin = lost > self.servers.len() as f64 * THIN && self.proxies.values().any(|p| !p.bound);
@@ -493,7 +498,8 @@
                 changed.push((number, users, changes));
             }
         }
-        let order: BTreeMap<Id, usize> = hasty.into_iter().enumerate().map(|(n, h)| (h.1, n)).collect();
+        let order: BTreeMap<EndpointId, usize> =
+            hasty.into_iter().enumerate().map(|(n, h)| (h.1, n)).collect();
         let (head, whole) = (self.config.message_head, order.len());
         let goes = |n: usize, c: &Change| c.urgent && order[&c.id] < n;
         let lines = |n, c: &Vec<Change>| c.iter().filter(|c| goes(n, c)).count() as f64;
@@ -574,10 +580,10 @@
     }
 
     /// What drains or is gone, is in no table and not withdrawn from all; who left first first.
-    fn leaving(&self) -> Vec<Id> {
-        let held: BTreeSet<&Id> = self.tbls.values().flat_map(|t| t.lines.keys()).collect();
+    fn leaving(&self) -> Vec<EndpointId> {
+        let held: BTreeSet<&EndpointId> = self.tbls.values().flat_map(|t| t.lines.keys()).collect();
         let left = self.servers.iter().filter(|(id, s)| !s.ready() && !s.told && !held.contains(id));
-        let mut left: Vec<(Moment, Id)> = left.map(|(id, s)| (s.left, id.clone())).collect();
+        let mut left: Vec<(Moment, EndpointId)> = left.map(|(id, s)| (s.left, id.clone())).collect();
         left.sort();
         left.into_iter().map(|l| l.1).collect()
     }
@@ -723,15 +729,15 @@
     }
 
     /// A server that hurts more than its peers goes down a rung; a third over the mean's tries is enough.
-    /// Part of the fleet is held back at most, none while the middle one hurts: that only moves the jam.
+    /// Candidate of the fleet is held back at most, none while the middle one hurts: that only moves the jam.
     fn judge(&mut self, now: Moment) {
         let mut fleet = Histogram::<5>::default();
         self.ready().for_each(|(_, s)| fleet.merge(&s.tally));
         let par = fleet.mean_of(HURT).unwrap_or(0.0);
         let enough = ENOUGH.min(THINLY * fleet.total() / self.ready().count().max(1) as f64);
-        let tells = |s: &Server| s.tally.total() >= enough || s.tally.worst() >= SURE;
-        let hurt = |(id, s): (&Id, &Server)| (s.tally.mean_of(HURT).unwrap_or(0.0), id.clone());
-        let mut hurts: Vec<(f64, Id)> = self.ready().filter(|(_, s)| tells(s)).map(hurt).collect();
+        let tells = |s: &Endpoint| s.tally.total() >= enough || s.tally.worst() >= SURE;
+        let hurt = |(id, s): (&EndpointId, &Endpoint)| (s.tally.mean_of(HURT).unwrap_or(0.0), id.clone());
+        let mut hurts: Vec<(f64, EndpointId)> = self.ready().filter(|(_, s)| tells(s)).map(hurt).collect();
         hurts.sort_by(|a, b| b.0.total_cmp(&a.0));
         let known = hurts.iter().filter(|h| self.servers[&h.1].tally.total() >= enough).map(|h| h.0);
         self.pulse.middle = known.clone().nth(known.clone().count() / 2).unwrap_or(0.0);
@@ -798,10 +804,10 @@
     }
 
     pub fn slice_given(&mut self, slice: u32) {
-        self.slices.insert(slice, Slice::default());
+        self.slices.insert(slice, Shard::default());
     }
 
-    pub fn slice_line(&mut self, slice: u32, id: &Id, weight: f64) {
+    pub fn slice_line(&mut self, slice: u32, id: &EndpointId, weight: f64) {
         self.slices.entry(slice).or_default().lines.insert(id.clone(), weight);
     }
 
@@ -817,7 +823,7 @@
         }
         let usable = self.eased(self.parts(now));
         let writing = self.config.products.iter().enumerate().filter(|(_, p)| p.writes);
-        let writes: Products = writing.fold(0, |set, (k, _)| set | 1 << k);
+        let writes: RequestClassSet = writing.fold(0, |set, (k, _)| set | 1 << k);
         let in_hand = self.config.way_most + self.config.lease + self.config.settle;
         let (whole, one) = (usable.values().map(|u| u.0).sum::<f64>(), self.config.single_writer);
         for (&number, slice) in self.slices.iter_mut() {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::testing::{at, config, listing, running};
-use Standing::{Draining, Gone, Ready};
+use EndpointState::{Draining, Ready, Removed};
 
 /// A config with a product that must stay in the proxy's zone.
 fn second_stays() -> ControllerConfig {
@@ -73,7 +73,7 @@
 fn a_carried_table_ends_within_the_grace() {
     let mut rules = running(config(), &["a"], 1);
     rules.servers.get_mut("a").unwrap().heard = Some(at(1.5));
-    rules.servers.get_mut("a").unwrap().standing = Gone;
+    rules.servers.get_mut("a").unwrap().standing = Removed;
     rules.tbls.get_mut(&0).unwrap().carried = Some(at(2.0));
     rules.woke(at(3.0), LOOK);
     assert!(said(&mut rules).contains("withdraw a true"));
@@ -83,7 +83,7 @@
 fn a_returning_server_is_let_back_in_with_its_line() {
     let mut rules = running(config(), &["a", "b"], 1);
     let back = rules.servers.get_mut("a").unwrap();
-    (back.standing, back.out) = (Gone, true);
+    (back.standing, back.out) = (Removed, true);
     rules.tbls.get_mut(&0).unwrap().lines.remove("a");
     rules.list_changed(at(40.0), &[listing("a", 0, Ready, Some(at(10.0)))]);
     assert_eq!(rules.host.said, ["withdraw a false", "line 0 a 2"]);
@@ -99,7 +99,7 @@
 #[test]
 fn the_ramp_counts_from_the_start_not_from_the_list() {
     let rules = running(config(), &["a"], 1);
-    let server = Server { started: Some(at(-8.0)), ..Server::default() };
+    let server = Endpoint { started: Some(at(-8.0)), ..Endpoint::default() };
     assert!((rules.warmth(at(0.0), &server) - (0.1 + 0.9 * 0.5f64.powf(RAMP_BEND))).abs() < 1e-9);
 }
 
@@ -172,9 +172,9 @@
 #[test]
 fn tables_that_all_could_not_leave_in_time_hold_an_arc_of_the_fleet_each() {
     let rules = tight();
-    let lines = |t: &Tbl| t.lines.len();
+    let lines = |t: &RouteTable| t.lines.len();
     assert!(rules.tbls.len() > 8 && rules.tbls.values().all(|t| lines(t) == rules.lines_most()));
-    let homely = |t: &Tbl| t.lines.keys().filter(|id| Some(rules.servers[*id].zone) == t.home).count();
+    let homely = |t: &RouteTable| t.lines.keys().filter(|id| Some(rules.servers[*id].zone) == t.home).count();
     assert!(rules.tbls.values().all(|t| homely(t) * AWAY >= lines(t) * (AWAY - 1)));
 }
 
@@ -234,7 +234,7 @@
 #[test]
 fn thin_standing_tables_bind_before_changes_go() {
     let mut rules = running(config(), &["a", "b", "c"], 1);
-    rules.servers.get_mut("a").unwrap().standing = Gone;
+    rules.servers.get_mut("a").unwrap().standing = Removed;
     rules.tbls.get_mut(&0).unwrap().lines.remove("a");
     rules.servers.get_mut("c").unwrap().weight = 4.0;
     rules.proxy_joined(at(2.0), 4, 0, 90.0, true);
@@ -284,7 +284,7 @@
 fn a_joined_proxy_that_stays_unbound_is_told_who_is_out() {
     let mut rules = running(config(), &["a"], 0);
     let a = rules.servers.get_mut("a").unwrap();
-    (a.standing, a.out) = (Gone, true);
+    (a.standing, a.out) = (Removed, true);
     rules.proxy_joined(at(1.0), 4, 0, 10.0, false);
     rules.turn(at(1.05));
     assert_eq!(rules.host.count("withdraw a true"), 1);
@@ -304,7 +304,7 @@
     let mut rules = running(config(), &["a", "b"], 4);
     (0..4).for_each(|proxy| rules.proxy_joined(at(1.0), proxy, 0, 10.0, false));
     let before = rules.ledger.ordered;
-    let heavier = Listing { weight: 3.0, ..listing("b", 0, Ready, None) };
+    let heavier = EndpointUpdate { weight: 3.0, ..listing("b", 0, Ready, None) };
     rules.list_changed(at(1.01), &[heavier]);
     let lines = rules.host.count("line") as f64;
     assert!(rules.ledger.ordered - before >= 4.0 * lines);
@@ -335,7 +335,7 @@
 #[test]
 fn a_long_queue_holds_ordinary_changes_back() {
     let mut rules = running(config(), &["a"], 1);
-    rules.ledger = Ledger::default();
+    rules.ledger = ChannelBacklog::default();
     rules.ledger.note(at(2.0), 0, 895.0, 0.0);
     assert!(rules.room(at(2.0), false, &[0]) < 1.0 && rules.room(at(2.0), true, &[0]) > 4.0);
 }
@@ -343,12 +343,12 @@
 #[test]
 fn what_cannot_wait_is_gathered_while_the_queue_is_long() {
     let mut rules = running(ControllerConfig { way_most: Span::secs(0.1), ..config() }, &["a", "b", "c"], 1);
-    rules.ledger = Ledger::default();
+    rules.ledger = ChannelBacklog::default();
     rules.ledger.note(at(2.0), 0, 400.0, 0.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
     rules.list_changed(at(2.5), &[listing("b", 0, Draining, None)]);
     assert_eq!(rules.host.count("line"), 0);
-    rules.ledger = Ledger::default();
+    rules.ledger = ChannelBacklog::default();
     rules.turn(at(2.6));
     assert_eq!((rules.host.weight(0, "a"), rules.host.weight(0, "b")), (Some(0.0), Some(0.0)));
 }
@@ -393,7 +393,7 @@
 #[test]
 fn no_further_try_is_ever_ordered() {
     let mut rules = running(config(), &["a"], 0);
-    rules.tbls.insert(0, Tbl::default());
+    rules.tbls.insert(0, RouteTable::default());
     rules.send(at(1.0), 0, Vec::new(), true, &[]);
     assert_eq!(rules.host.count("level"), rules.host.said.iter().filter(|s| s.ends_with("Never")).count());
     assert_eq!(rules.host.count("level"), 2);
@@ -477,13 +477,13 @@
 #[test]
 fn overload_lets_in_what_is_answered_and_the_dearest_first() {
     let mut rules = running(config(), &["a"], 1);
-    rules.pulse = Pulse {
+    rules.pulse = FleetLoad {
         asked: vec![100.0, 50.0],
         tries: 150.0,
         answered: 60.0,
         served: 60.0,
         over: Span::secs(1.0),
-        ..Pulse::default()
+        ..FleetLoad::default()
     };
     rules.shed(at(9.0));
     assert!(rules.levels[0] <= LEVEL_FLOOR && rules.levels[1] == 1.0);
@@ -494,8 +494,16 @@
     let mut rules = running(config(), &["a", "b"], 4);
     let (asked, over) = (vec![10.0, 10.0], Span::secs(2.0));
     let joined = joined_lately * over.as_secs();
-    rules.pulse =
-        Pulse { asked, over, tries, answered: tries, served: tries, middle: 0.3, joined, ..Pulse::default() };
+    rules.pulse = FleetLoad {
+        asked,
+        over,
+        tries,
+        answered: tries,
+        served: tries,
+        middle: 0.3,
+        joined,
+        ..FleetLoad::default()
+    };
     rules.shed(at(9.0));
     rules
 }
@@ -524,7 +532,7 @@
 fn levels_come_back_once_the_fleet_is_well() {
     let mut rules = running(config(), &["a"], 1);
     let (asked, budget, over) = (vec![100.0, 50.0], Some(100.0), Span::secs(1.0));
-    rules.pulse = Pulse { asked, budget, over, tries: 90.0, answered: 90.0, ..Pulse::default() };
+    rules.pulse = FleetLoad { asked, budget, over, tries: 90.0, answered: 90.0, ..FleetLoad::default() };
     rules.shed(at(9.0));
     assert!(rules.pulse.budget.unwrap() > 100.0);
 }
@@ -534,11 +542,11 @@
     let mut rules = running(config(), &["a"], 1);
     // Nine tenths of 20 were answered lately to one proxy of 10 a second.
     let (asked, over) = (vec![0.0, 20.0], Span::secs(1.0));
-    rules.pulse = Pulse { asked, over, tries: 20.0, answered: 5.0, served: 20.0, ..Pulse::default() };
+    rules.pulse = FleetLoad { asked, over, tries: 20.0, answered: 5.0, served: 20.0, ..FleetLoad::default() };
     rules.shed(at(9.0));
     assert_eq!(rules.levels[1], 0.9);
     (1..4).for_each(|proxy| rules.proxy_joined(at(9.5), proxy, 0, 10.0, false));
-    rules.pulse = Pulse { asked: vec![0.0, 80.0], struggling: true, ..std::mem::take(&mut rules.pulse) };
+    rules.pulse = FleetLoad { asked: vec![0.0, 80.0], struggling: true, ..std::mem::take(&mut rules.pulse) };
     rules.shed(at(9.5));
     assert_eq!(rules.levels[1], 0.9);
 }
@@ -584,7 +592,7 @@
 #[test]
 fn a_server_long_gone_is_forgotten_and_served_again_when_its_id_returns() {
     let mut rules = running(config(), &["a", "b"], 1);
-    rules.list_changed(at(2.0), &[listing("a", 0, Gone, None)]);
+    rules.list_changed(at(2.0), &[listing("a", 0, Removed, None)]);
     rules.woke(at(61.0), TURN);
     assert!(rules.servers.contains_key("a"));
     rules.woke(at(63.0), TURN);
@@ -600,7 +608,7 @@
     let id = |n: u32| format!("s{n}");
     for n in 1..3_000_u32 {
         let now = at(f64::from(n) * 4.0);
-        rules.list_changed(now, &[listing(&id(n - 1), 0, Gone, None), listing(&id(n), 0, Ready, None)]);
+        rules.list_changed(now, &[listing(&id(n - 1), 0, Removed, None), listing(&id(n), 0, Ready, None)]);
         rules.woke(now + Span::secs(2.0), TURN);
     }
     assert!(rules.servers.len() < 20 && rules.tbls[&0].lines.len() == 1);
@@ -612,7 +620,7 @@
     let mut rules = running(ControllerConfig { slices: 2, ..config() }, &["a", "b"], 0);
     rules.slice_given(1);
     rules.slice_line(1, &"a".into(), 1.0);
-    rules.list_changed(at(2.0), &[listing("a", 0, Gone, None)]);
+    rules.list_changed(at(2.0), &[listing("a", 0, Removed, None)]);
     assert_eq!(rules.host.said, ["withdraw a true", "line 1 a 0", "line 1 b 1"]);
 }
 
@@ -648,7 +656,7 @@
 #[test]
 fn strays_wait_for_bars_from_when_a_server_leaves_although_no_order_gets_out() {
     let mut rules = crowded(3.0, 20);
-    rules.ledger = Ledger::default();
+    rules.ledger = ChannelBacklog::default();
     rules.commands_lost(at(2.0), false);
     rules.proxies.values_mut().for_each(|p| (p.bound, p.reached) = (false, false));
     rules.list_changed(at(2.1), &[listing("12", 0, Draining, None)]);
--- a/src/host.rs
+++ b/src/host.rs
@@ -4,34 +4,34 @@
 use std::rc::Rc;
 
 /// A server's id, as the outside gives it.
-pub type Id = Rc<str>;
+pub type EndpointId = Rc<str>;
 
 /// A set of products, bit k for the product at position k.
-pub type Products = u64;
+pub type RequestClassSet = u64;
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     Ready,
     Draining,
     #[default]
-    Gone,
+    Removed,
 }
 
 /// What the list knows of one server.
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
-    pub id: Id,
+pub struct EndpointUpdate {
+    pub id: EndpointId,
     pub zone: u32,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: EndpointState,
     /// The latest start; nothing where it is long past.
     pub started: Option<Moment>,
 }
 
 /// When a proxy tries another server; the protocols number these from 0 in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Retry {
+pub enum RetryPolicy {
     Never,
     IfNeverRan,
     Once,
@@ -41,15 +41,15 @@
 /// Commands take effect in the order of the calls; those of one moment travel together.
 pub trait Host {
     /// Sets one line of a table; weight 0 takes it out.
-    fn line(&mut self, tbl: u32, server: &Id, weight: f64);
+    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64);
     /// Puts a joined proxy on a table, for all products.
     fn bind(&mut self, proxy: u32, tbl: u32);
     /// Bars all joined proxies from a server, whatever tables they hold, or lets them back.
-    fn withdraw(&mut self, server: &Id, out: bool);
+    fn withdraw(&mut self, server: &EndpointId, out: bool);
     /// A server has long been gone: no command names it any more unless the list does so anew.
-    fn forget(&mut self, server: &Id);
+    fn forget(&mut self, server: &EndpointId);
     /// What part of some products a table lets in, and when its proxies try again.
-    fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry);
+    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy);
     /// Asks each proxy that this moment's commands reach to tell when they have come.
     fn mark(&mut self, number: u32);
     /// Sends once more what `Controller::commands_lost` was told of.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,12 +3,12 @@
 //! [`controller`] decides; it acts through [`host::Host`] and reads a [`config::ControllerConfig`] at start. Nothing in
 //! this crate does I/O.
 
-pub mod chance;
+pub mod channel_backlog;
 pub mod config;
 pub mod controller;
 pub mod histogram;
 pub mod host;
-pub mod ledger;
+pub mod seeded_rng;
 mod state;
 #[cfg(test)]
 mod testing;
--- a/src/chance.rs
+++ b/src/seeded_rng.rs
@@ -1,17 +1,17 @@
-//! Chance from a seed: Marsaglia's multiply-with-carry, so that the same seed gives the same day.
+//! SeededRng from a seed: Marsaglia's multiply-with-carry, so that the same seed gives the same day.
 
 /// ```
-/// use otterwinch::chance::Chance;
-/// let (mut one, mut two) = (Chance::new(7), Chance::new(7));
+/// use otterwinch::seeded_rng::SeededRng;
+/// let (mut one, mut two) = (SeededRng::new(7), SeededRng::new(7));
 /// assert_eq!(one.unit(), two.unit());
 /// ```
 #[derive(Clone, Debug)]
-pub struct Chance(u64);
+pub struct SeededRng(u64);
 
-impl Chance {
+impl SeededRng {
     pub fn new(seed: u64) -> Self {
         // An all-zero state would stay zero for ever, whatever the seed's halves are.
-        Chance((seed ^ (seed >> 32)) & 0xffff_ffff | 0x0000_3039_0000_0000)
+        SeededRng((seed ^ (seed >> 32)) & 0xffff_ffff | 0x0000_3039_0000_0000)
     }
 
     /// Evenly spread over 0 (included) to 1 (excluded).
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,15 +1,15 @@
 //! What the rules remember: plain types, filled and read by the controller alone.
 
 use crate::histogram::Histogram;
-use crate::host::{Id, Standing};
+use crate::host::{EndpointId, EndpointState};
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
-pub struct Server {
+pub struct Endpoint {
     pub zone: u32,
     pub weight: f64,
-    pub standing: Standing,
+    pub standing: EndpointState,
     pub started: Option<Moment>,
     pub heard: Option<Moment>,
     pub left: Moment,
@@ -22,12 +22,12 @@
     pub judged: Moment,
 }
 
-impl Server {
+impl Endpoint {
     pub fn ready(&self) -> bool {
-        self.standing == Standing::Ready
+        self.standing == EndpointState::Ready
     }
 
-    pub fn stands(&mut self, now: Moment, standing: Standing) {
+    pub fn stands(&mut self, now: Moment, standing: EndpointState) {
         if self.ready() {
             self.left = now;
         }
@@ -40,16 +40,16 @@
 }
 
 #[derive(Default)]
-pub struct Tbl {
+pub struct RouteTable {
     pub home: Option<u32>,
-    pub lines: BTreeMap<Id, f64>,
+    pub lines: BTreeMap<EndpointId, f64>,
     pub afar: f64,
     pub carried: Option<Moment>,
     pub sent: Moment,
     pub levels: BTreeMap<usize, f64>,
 }
 
-impl Tbl {
+impl RouteTable {
     /// Lines that a proxy is sent as it is put on this table, the head left out.
     pub fn sent_by_a_bind(&self) -> f64 {
         (self.lines.len() + self.levels.len() + 1) as f64
@@ -57,21 +57,21 @@
 }
 
 pub struct Change {
-    pub id: Id,
+    pub id: EndpointId,
     pub weight: f64,
     pub urgent: bool,
     pub gap: f64,
 }
 
 #[derive(Clone)]
-pub struct Part {
-    pub id: Id,
+pub struct Candidate {
+    pub id: EndpointId,
     pub zone: u32,
     pub weight: f64,
     pub warmth: f64,
 }
 
-impl Part {
+impl Candidate {
     /// What it can do by now.
     pub fn bears(&self) -> f64 {
         self.weight * self.warmth
@@ -88,13 +88,13 @@
 }
 
 /// What some servers can do, where cold ones count short.
-pub fn weigh<'a>(parts: impl Iterator<Item = &'a Part>) -> f64 {
+pub fn weigh<'a>(parts: impl Iterator<Item = &'a Candidate>) -> f64 {
     parts.map(|p| p.bears() * p.warmth).sum()
 }
 
 /// What all tables of a moment are made of.
-pub struct Present {
-    pub parts: Vec<Part>,
+pub struct RoutingSnapshot {
+    pub parts: Vec<Candidate>,
     /// What each zone's proxies usually get, and the weight of the servers of those zones.
     pub rates: BTreeMap<u32, f64>,
     pub whole: f64,
@@ -111,14 +111,14 @@
 }
 
 #[derive(Default)]
-pub struct Slice {
-    pub lines: BTreeMap<Id, f64>,
+pub struct Shard {
+    pub lines: BTreeMap<EndpointId, f64>,
     pub moving: Option<Moment>,
 }
 
 /// What came and what was answered over the last seconds, fading, and what is made of it.
 #[derive(Default)]
-pub struct Pulse {
+pub struct FleetLoad {
     pub asked: Vec<f64>,
     pub tries: f64,
     pub answered: f64,
@@ -136,7 +136,7 @@
     pub peak: f64,
 }
 
-impl Pulse {
+impl FleetLoad {
     pub fn halve(&mut self) {
         self.asked.iter_mut().for_each(|asked| *asked /= 2.0);
         for sum in [&mut self.tries, &mut self.answered, &mut self.served, &mut self.joined] {
@@ -154,7 +154,7 @@
 
 /// What holds commands back.
 #[derive(Default)]
-pub struct Held {
+pub struct PublicationState {
     /// When what can wait may go next.
     pub gathered: Moment,
     /// Since when proxies with tables that are not ours are to be told of servers that left.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,8 +1,8 @@
 //! What the module's tests share: a host that writes down what it is told, a config, rules to start from.
 
-use crate::config::{Admission, ControllerConfig, Product};
+use crate::config::{Admission, ControllerConfig, RequestClass};
 use crate::controller::Controller;
-use crate::host::{Host, Id, Listing, Products, Retry, Standing};
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
 use crate::time::{Moment, Span};
 
 #[derive(Default)]
@@ -22,19 +22,19 @@
 }
 
 impl Host for Recorder {
-    fn line(&mut self, tbl: u32, server: &Id, weight: f64) {
+    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         self.said.push(format!("line {tbl} {server} {weight}"));
     }
     fn bind(&mut self, proxy: u32, tbl: u32) {
         self.said.push(format!("bind {proxy} {tbl}"));
     }
-    fn withdraw(&mut self, server: &Id, out: bool) {
+    fn withdraw(&mut self, server: &EndpointId, out: bool) {
         self.said.push(format!("withdraw {server} {out}"));
     }
-    fn forget(&mut self, server: &Id) {
+    fn forget(&mut self, server: &EndpointId) {
         self.said.push(format!("forget {server}"));
     }
-    fn level(&mut self, tbl: u32, products: Products, admitted: f64, retry: Retry) {
+    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         self.said.push(format!("level {tbl} {products} {admitted:.2} {retry:?}"));
     }
     fn mark(&mut self, number: u32) {
@@ -56,7 +56,7 @@
 }
 
 pub fn config() -> ControllerConfig {
-    let product = |revenue| Product { sla: Span::secs(1.0), revenue, own_zone: false, writes: false };
+    let product = |revenue| RequestClass { sla: Span::secs(1.0), revenue, own_zone: false, writes: false };
     ControllerConfig {
         products: vec![product(1.0), product(3.0)],
         list_on_request: false,
@@ -83,14 +83,15 @@
     }
 }
 
-pub fn listing(id: &str, zone: u32, standing: Standing, started: Option<Moment>) -> Listing {
-    Listing { id: id.into(), zone, weight: 2.0, standing, started }
+pub fn listing(id: &str, zone: u32, standing: EndpointState, started: Option<Moment>) -> EndpointUpdate {
+    EndpointUpdate { id: id.into(), zone, weight: 2.0, standing, started }
 }
 
 /// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
 pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> Controller<Recorder> {
     let mut rules = Controller::open(Recorder::default(), config, 7, at(0.0));
-    let listings: Vec<Listing> = ids.iter().map(|id| listing(id, 0, Standing::Ready, None)).collect();
+    let listings: Vec<EndpointUpdate> =
+        ids.iter().map(|id| listing(id, 0, EndpointState::Ready, None)).collect();
     rules.list_whole(at(0.0), &listings);
     (0..proxies).for_each(|proxy| rules.proxy_joined(at(0.0), proxy, 0, 10.0, true));
     rules.woke(at(0.2), 4);
