--- a/adapter-support/src/checks.rs
+++ b/adapter-support/src/checks.rs
@@ -25,7 +25,7 @@
 
 impl Checks {
     pub fn new(config: &ControllerConfig) -> Self {
-        Checks { slices: config.slices > 0, ..Checks::default() }
+        Checks { slices: config.shards > 0, ..Checks::default() }
     }
 
     pub fn learn<'a>(&mut self, ids: impl Iterator<Item = &'a EndpointId>) {
--- a/adapter-support/src/figures.rs
+++ b/adapter-support/src/figures.rs
@@ -1,6 +1,6 @@
 //! The settings that an instance is given at its start, read into the `ControllerConfig` of the rules.
 
-use otterwinch::config::{Admission, ControllerConfig, RequestClass};
+use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use serde_json::Value;
 
@@ -46,37 +46,37 @@
     let (info, rules) = (env.at("familyInfo"), env.at("guarantees"));
     let by_product = |list: &str, k: usize| info.at(list).rows().nth(k).is_some_and(Figures::yes);
     let product = |(k, row): (usize, Figures)| RequestClass {
-        sla: row.at("promiseUs").span(),
-        revenue: row.at("importance").num(),
-        own_zone: by_product("staysLocal", k),
+        latency_objective: row.at("promiseUs").span(),
+        priority_weight: row.at("importance").num(),
+        zone_local: by_product("staysLocal", k),
         writes: by_product("writeClasses", k),
     };
     ControllerConfig {
-        products: env.at("classes").rows().take(64).enumerate().map(product).collect(),
-        list_on_request: env.at("discovery").word() == "ask",
-        crossing_costs: env.at("charges").at("crossZone").num() > 0.0,
+        request_classes: env.at("classes").rows().take(64).enumerate().map(product).collect(),
+        polls_endpoint_list: env.at("discovery").word() == "ask",
+        cross_zone_costs: env.at("charges").at("crossZone").num() > 0.0,
         admission: match info.at("throttleBy").word() {
-            "fraction" => Admission::Share,
-            "per_second" => Admission::PerSecond,
-            _ => Admission::Ignored,
+            "fraction" => AdmissionMode::Fraction,
+            "per_second" => AdmissionMode::RatePerSecond,
+            _ => AdmissionMode::Unsupported,
         },
-        shuns_after: info.at("outlierAfter").count(),
-        slices: info.at("slices").count(),
+        proxy_ejects_after_failures: info.at("outlierAfter").count(),
+        shards: info.at("slices").count(),
         single_writer: info.at("singleWriter").yes(),
         lease: info.at("keepsWritingUs").span(),
-        settle: info.at("settleUs").span(),
-        report_every: info.at("reportEveryUs").span(),
-        proxies: info.at("proxyCount").count(),
-        connections_least: info.at("minConnCap").count(),
-        standing_most: info.at("initialSet").count(),
+        settle_time: info.at("settleUs").span(),
+        report_interval: info.at("reportEveryUs").span(),
+        proxy_count: info.at("proxyCount").count(),
+        min_endpoint_connections: info.at("minConnCap").count(),
+        initial_table_size: info.at("initialSet").count(),
         channel_rate: info.at("channelRate").num(),
-        message_head: info.at("fixedCost").num(),
-        most_waiting: info.at("mostWaiting").num(),
-        messages_most: info.at("pushesAllowed").count(),
-        messages_over: info.at("reloadSpanUs").span(),
-        way_most: info.at("transitMaxUs").span(),
+        message_overhead_lines: info.at("fixedCost").num(),
+        max_queued_lines: info.at("mostWaiting").num(),
+        max_pushes: info.at("pushesAllowed").count(),
+        push_window: info.at("reloadSpanUs").span(),
+        max_transit: info.at("transitMaxUs").span(),
         drain_grace: rules.at("drainGraceUs").span(),
-        cold_for: rules.at("coldUs").span(),
-        only_drains_bind: rules.at("removalNotBinding").yes(),
+        slow_start_window: rules.at("coldUs").span(),
+        removal_not_binding: rules.at("removalNotBinding").yes(),
     }
 }
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -108,7 +108,7 @@
             },
         };
         // On sockets the list answers only when it is asked, whatever the settings say of it.
-        let controller = ControllerConfig { list_on_request: true, ..controller_config(&figures) };
+        let controller = ControllerConfig { polls_endpoint_list: true, ..controller_config(&figures) };
         if settings.is_some() {
             let holds_nothing = |list| move || format!("config: field 'settings.{list}' holds nothing");
             faults.unless(!names.zones.is_empty(), holds_nothing("zones"));
@@ -116,7 +116,7 @@
             faults.unless(names.products.len() <= MOST_PRODUCTS, || {
                 format!("config: field 'settings.classes' holds more than {MOST_PRODUCTS}")
             });
-            faults.unless(controller.slices == 0, || {
+            faults.unless(controller.shards == 0, || {
                 "config: field 'settings.familyInfo.slices' is above 0: the relay has no slices".into()
             });
         }
--- a/control-plane/src/desk.rs
+++ b/control-plane/src/desk.rs
@@ -68,7 +68,7 @@
     pub fn learn(&mut self, listings: &[EndpointUpdate], whole: bool) {
         self.checks.learn(listings.iter().map(|l| &l.id));
         if whole {
-            self.listed.values_mut().for_each(|listing| listing.standing = EndpointState::Removed);
+            self.listed.values_mut().for_each(|listing| listing.state = EndpointState::Removed);
         }
         self.listed.extend(listings.iter().map(|listing| (listing.id.clone(), listing.clone())));
     }
@@ -76,7 +76,7 @@
     /// What was listed last of some servers, as far as they are listed.
     pub fn last_listed(&self, ids: impl Iterator<Item = EndpointId>) -> Vec<EndpointUpdate> {
         ids.filter_map(|id| self.listed.get(&id))
-            .filter(|l| l.standing != EndpointState::Removed)
+            .filter(|l| l.state != EndpointState::Removed)
             .cloned()
             .collect()
     }
@@ -88,15 +88,15 @@
 
     /// How many servers are listed now.
     pub fn servers(&self) -> usize {
-        self.listed.values().filter(|l| l.standing != EndpointState::Removed).count()
+        self.listed.values().filter(|l| l.state != EndpointState::Removed).count()
     }
 
     /// What is listed now, and what is not although the relay's tables or its bars may still name it.
     pub fn stands(&self) -> (Vec<EndpointUpdate>, Vec<EndpointUpdate>) {
-        let gone = |l: &&EndpointUpdate| l.standing == EndpointState::Removed;
+        let gone = |l: &&EndpointUpdate| l.state == EndpointState::Removed;
         let listed = self.listed.values().filter(|l| !gone(l)).cloned().collect();
         let barred = self.listed.values().filter(|l| gone(l) || self.withdrawn.contains(&l.id));
-        (listed, barred.map(|l| EndpointUpdate { standing: EndpointState::Removed, ..l.clone() }).collect())
+        (listed, barred.map(|l| EndpointUpdate { state: EndpointState::Removed, ..l.clone() }).collect())
     }
 
     pub fn joined(&mut self, proxy: u32, zone: u32, rate: f64) {
@@ -141,52 +141,54 @@
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
+    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let command = json!({"op": "put", "table": tbl, "endpoint": &**server, "w": weight});
         self.say(self.checks.line(tbl, server, weight), command, About::Line(tbl, server.clone()));
     }
 
-    fn bind(&mut self, proxy: u32, tbl: u32) {
+    fn assign_table(&mut self, proxy: u32, tbl: u32) {
         let command = json!({"op": "attach", "node": proxy, "table": tbl});
         self.say(self.checks.bind(proxy, tbl), command, About::Bind(proxy));
     }
 
-    fn withdraw(&mut self, server: &EndpointId, out: bool) {
-        if out {
-            self.withdrawn.insert(server.clone());
-        } else {
-            self.withdrawn.remove(server);
-        }
-        let command = json!({"op": if out { "eject" } else { "uneject" }, "endpoint": &**server});
+    fn eject_endpoint(&mut self, server: &EndpointId) {
+        self.withdrawn.insert(server.clone());
+        let command = json!({"op": "eject", "endpoint": &**server});
+        self.say(self.checks.withdrawal(server), command, About::Withdrawal);
+    }
+
+    fn restore_endpoint(&mut self, server: &EndpointId) {
+        self.withdrawn.remove(server);
+        let command = json!({"op": "uneject", "endpoint": &**server});
         self.say(self.checks.withdrawal(server), command, About::Withdrawal);
     }
 
-    fn forget(&mut self, server: &EndpointId) {
+    fn forget_endpoint(&mut self, server: &EndpointId) {
         self.checks.forget(server);
         self.listed.remove(server);
         self.withdrawn.remove(server);
     }
 
-    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         let (routes, policy) = (self.routes(products), retry as u8);
         let command =
             json!({"op": "gate", "table": tbl, "routes": routes, "admit": admitted, "policy": policy});
         self.say(self.checks.level(tbl, admitted), command, About::Level(tbl));
     }
 
-    fn mark(&mut self, number: u32) {
+    fn request_acknowledgement(&mut self, number: u32) {
         self.say(Ok(()), json!({"op": "fence", "nonce_out": number}), About::Mark);
     }
 
-    fn repeat(&mut self) {
+    fn resend_commands(&mut self) {
         self.again = true;
     }
 
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.follow.notify_one();
     }
 
-    fn wake(&mut self, after: Span, label: u64) {
+    fn schedule_timer(&mut self, after: Span, label: u64) {
         self.woken += 1;
         self.wakes.push(Reverse((self.now + after, self.woken, label)));
     }
--- a/control-plane/src/list.rs
+++ b/control-plane/src/list.rs
@@ -73,7 +73,7 @@
         }
     };
     let started = (born > 0).then(|| Moment::from_us(born.saturating_mul(1000)));
-    Ok(EndpointUpdate { id, zone, weight, standing, started })
+    Ok(EndpointUpdate { id, zone, weight, state: standing, started })
 }
 
 /// Follows the list for ever; `follow` is the rules' word to ask, at the start and after a failure. A list that
--- a/control-plane/src/planner/tests.rs
+++ b/control-plane/src/planner/tests.rs
@@ -32,7 +32,7 @@
     planner.rules.host().learn(std::slice::from_ref(&gone), false);
     planner.rules.list_changed(now, std::slice::from_ref(&gone));
     planner.open_anew(now);
-    let back = EndpointUpdate { weight: 1.0, standing: EndpointState::Ready, ..gone };
+    let back = EndpointUpdate { weight: 1.0, state: EndpointState::Ready, ..gone };
     planner.rules.proxy_joined(now, 3, 0, 5.0, true);
     planner.rules.list_changed(now + Span::secs(1.0), &[back]);
     let commands = &planner.rules.host().commands;
@@ -57,8 +57,8 @@
     let mut planner = planner();
     let desk = planner.rules.host();
     desk.cleared();
-    desk.wake(Span::secs(2.0), 8);
-    desk.wake(Span::secs(1.0), 9);
+    desk.schedule_timer(Span::secs(2.0), 8);
+    desk.schedule_timer(Span::secs(1.0), 9);
     let late = desk.now + Span::secs(3.0);
     assert_eq!([desk.due(late), desk.due(late), desk.due(late)], [Some(9), Some(8), None]);
 }
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -79,7 +79,7 @@
                         id: told.name.as_str().into(),
                         zone: told.hall,
                         weight: told.weight,
-                        standing: told.standing,
+                        state: told.standing,
                         started: told.started.map(|at| match at.checked_duration_since(began) {
                             Some(since) => Moment::from_us(ORIGIN + since.as_micros() as i64),
                             None => Moment::from_us(ORIGIN - (began - at).as_micros() as i64),
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -43,30 +43,35 @@
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
+    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         if let Some(node) = self.places.get(server).copied() {
             self.commands.push(Command::Line { tbl, node, weight });
         }
     }
-    fn bind(&mut self, proxy: u32, tbl: u32) {
+    fn assign_table(&mut self, proxy: u32, tbl: u32) {
         self.commands.push(Command::Bind { forwarder: proxy, tbl });
     }
-    fn withdraw(&mut self, server: &EndpointId, out: bool) {
+    fn eject_endpoint(&mut self, server: &EndpointId) {
         if let Some(node) = self.places.get(server).copied() {
-            self.commands.push(Command::Withdraw { node, out });
+            self.commands.push(Command::Withdraw { node, out: true });
         }
     }
-    fn forget(&mut self, _server: &EndpointId) {}
-    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+    fn restore_endpoint(&mut self, server: &EndpointId) {
+        if let Some(node) = self.places.get(server).copied() {
+            self.commands.push(Command::Withdraw { node, out: false });
+        }
+    }
+    fn forget_endpoint(&mut self, _server: &EndpointId) {}
+    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         self.commands.push(Command::Level { tbl, products, share: admitted, retry });
     }
-    fn mark(&mut self, number: u32) {
+    fn request_acknowledgement(&mut self, number: u32) {
         self.commands.push(Command::Mark(number));
     }
     // Calls to the relay are not lost in these plays, and the list follows without being asked.
-    fn repeat(&mut self) {}
-    fn follow_list(&mut self) {}
-    fn wake(&mut self, after: Span, label: u64) {
+    fn resend_commands(&mut self) {}
+    fn watch_endpoints(&mut self) {}
+    fn schedule_timer(&mut self, after: Span, label: u64) {
         self.wakes.push((after, label));
     }
 }
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -1,39 +1,39 @@
 //! What supervisors of a described fleet read at their start.
 
-use otterwinch::config::{Admission, ControllerConfig, RequestClass};
+use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{Fleet, Repeats};
 
 pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
     let told = &fleet.supervisors;
     let product = |p: &otterwinch_fleet::model::Product| RequestClass {
-        sla: p.sla,
-        revenue: p.revenue,
-        own_zone: false,
+        latency_objective: p.sla,
+        priority_weight: p.revenue,
+        zone_local: false,
         writes: p.repeats != Repeats::InquiryLike,
     };
     ControllerConfig {
-        products: fleet.products.iter().map(product).collect(),
-        list_on_request: false,
-        crossing_costs: told.crossing_costs && fleet.halls.len() > 1,
-        admission: Admission::Share,
-        shuns_after: 0,
-        slices: 0,
+        request_classes: fleet.products.iter().map(product).collect(),
+        polls_endpoint_list: false,
+        cross_zone_costs: told.crossing_costs && fleet.halls.len() > 1,
+        admission: AdmissionMode::Fraction,
+        proxy_ejects_after_failures: 0,
+        shards: 0,
         single_writer: false,
         lease: Span::ZERO,
-        settle: Span::ZERO,
-        report_every: told.report_every,
-        proxies: fleet.halls.iter().map(|hall| hall.forwarders).sum(),
-        connections_least: fleet.groups.iter().map(|group| group.connections).min().unwrap_or(0),
-        standing_most: fleet.forwarders.standing,
+        settle_time: Span::ZERO,
+        report_interval: told.report_every,
+        proxy_count: fleet.halls.iter().map(|hall| hall.forwarders).sum(),
+        min_endpoint_connections: fleet.groups.iter().map(|group| group.connections).min().unwrap_or(0),
+        initial_table_size: fleet.forwarders.standing,
         channel_rate: told.lines_per_s,
-        message_head: told.head_lines,
-        most_waiting: told.most_waiting,
-        messages_most: 0,
-        messages_over: Span::ZERO,
-        way_most: told.message * 2.0,
+        message_overhead_lines: told.head_lines,
+        max_queued_lines: told.most_waiting,
+        max_pushes: 0,
+        push_window: Span::ZERO,
+        max_transit: told.message * 2.0,
         drain_grace: told.drain_grace,
-        cold_for: told.cold_for,
-        only_drains_bind: false,
+        slow_start_window: told.cold_for,
+        removal_not_binding: false,
     }
 }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -516,7 +516,7 @@
         id: node.id.clone(),
         zone: node.hall as u32,
         weight: node.weight,
-        standing: node.standing,
+        state: node.standing,
         started: node.started.map(moment),
     }
 }
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -23,7 +23,7 @@
         id: f.text("server")?.into(),
         zone: if f.has("campus") { f.small("campus")? } else { 0 },
         weight: if f.has("weight") { f.count("weight")? } else { 1.0 },
-        standing,
+        state: standing,
         started: (started > 0).then(|| Moment::from_us(started)),
     })
 }
--- a/simulator-adapter/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -30,12 +30,12 @@
 }
 
 impl Host for Desk {
-    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
+    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let fields = json!({"mapId": tbl, "server": &**server, "weight": weight});
         self.say(self.checks.line(tbl, server, weight), "ENDPOINT", fields);
     }
 
-    fn bind(&mut self, proxy: u32, tbl: u32) {
+    fn assign_table(&mut self, proxy: u32, tbl: u32) {
         self.say(
             self.checks.bind(proxy, tbl),
             "INSTALL",
@@ -43,32 +43,36 @@
         );
     }
 
-    fn withdraw(&mut self, server: &EndpointId, out: bool) {
-        self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": out}));
+    fn eject_endpoint(&mut self, server: &EndpointId) {
+        self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": true}));
     }
 
-    fn forget(&mut self, server: &EndpointId) {
+    fn restore_endpoint(&mut self, server: &EndpointId) {
+        self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": false}));
+    }
+
+    fn forget_endpoint(&mut self, server: &EndpointId) {
         self.checks.forget(server);
     }
 
-    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         let how = retry as u8;
         let fields = json!({"mapId": tbl, "forClasses": products, "allowance": admitted, "how": how});
         self.say(self.checks.level(tbl, admitted), "SET_LEVEL", fields);
     }
 
-    fn mark(&mut self, number: u32) {
+    fn request_acknowledgement(&mut self, number: u32) {
         self.say(Ok(()), "CHECKPOINT", json!({"epoch": number, "set": false}));
     }
 
     /// The wire loses nothing, so nothing is ever lost here.
-    fn repeat(&mut self) {}
+    fn resend_commands(&mut self) {}
 
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.say(Ok(()), "FOLLOW", json!({"set": true}));
     }
 
-    fn wake(&mut self, after: Span, label: u64) {
+    fn schedule_timer(&mut self, after: Span, label: u64) {
         let longest = 70 * 60 * 1_000_000;
         self.say(Ok(()), "TIMER", json!({"afterUs": after.as_us().clamp(1, longest), "label": label}));
     }
--- a/simulator-adapter/src/tests.rs
+++ b/simulator-adapter/src/tests.rs
@@ -92,10 +92,10 @@
     use otterwinch::host::Host;
     let mut hosted = up_with(&["a:1"]);
     let desk = hosted.instances.get_mut(&3).unwrap().host();
-    desk.bind(5, 0);
-    desk.line(0, &"nobody:1".into(), 1.0);
-    desk.line(0, &"a:1".into(), -1.0);
-    desk.line(65_535, &"a:1".into(), 1.0);
+    desk.assign_table(5, 0);
+    desk.set_endpoint_weight(0, &"nobody:1".into(), 1.0);
+    desk.set_endpoint_weight(0, &"a:1".into(), -1.0);
+    desk.set_endpoint_weight(65_535, &"a:1".into(), 1.0);
     assert!(desk.said.is_empty());
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,64 +1,83 @@
-//! What an instance reads once, at its start: the deployment's standing facts and limits.
+//! What an instance of the controller reads once, at its start: the facts and limits of the deployment.
 
 use crate::time::Span;
 
-/// One row a product: only what the decisions read.
+/// What the decisions read of one request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    pub sla: Span,
-    pub revenue: f64,
-    pub own_zone: bool,
+    /// A request that takes longer earns nothing.
+    pub latency_objective: Span,
+    /// The worth of a request that is answered in time, against that of the other classes.
+    pub priority_weight: f64,
+    /// Its requests must not leave the zone of their proxy.
+    pub zone_local: bool,
+    /// Its requests change stored data.
     pub writes: bool,
 }
 
-/// How the proxies read an ordered level.
+/// How the proxies read the admission level that a command sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Admission {
-    Share,
-    PerSecond,
-    Ignored,
+pub enum AdmissionMode {
+    /// As the part of the requests that is admitted, 0 to 1.
+    Fraction,
+    /// As requests a second.
+    RatePerSecond,
+    /// Not at all.
+    Unsupported,
 }
 
+/// The configuration of one controller. A figure of 0 means that the deployment states no such limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerConfig {
-    pub products: Vec<RequestClass>,
-    /// The list of servers answers only when it is asked.
-    pub list_on_request: bool,
-    /// Txns that cross zones take something off the result.
-    pub crossing_costs: bool,
-    pub admission: Admission,
-    /// A proxy turns from a server by itself after so many failures in a row; 0: never.
-    pub shuns_after: u32,
-    /// Slices of keys, each with a table of its own; 0: none, and proxies are put on tables.
-    pub slices: u32,
+    /// The request classes, by position.
+    pub request_classes: Vec<RequestClass>,
+    /// The endpoint list answers only when it is polled.
+    pub polls_endpoint_list: bool,
+    /// Requests that cross zones take something off the result.
+    pub cross_zone_costs: bool,
+    /// How the proxies read an admission level.
+    pub admission: AdmissionMode,
+    /// A proxy stops using an endpoint by itself after so many failures in a row; 0: never.
+    pub proxy_ejects_after_failures: u32,
+    /// Shards of keys, each with a table of its own; 0: none, and proxies are put on tables.
+    pub shards: u32,
+    /// At most one endpoint may accept writes for a shard at any time.
     pub single_writer: bool,
-    /// How long a proxy that lost its supervisor may go on writing to a slice's old owner.
+    /// How long a proxy that lost its controller may go on writing to the old owner of a shard.
     pub lease: Span,
-    pub settle: Span,
-    pub report_every: Span,
-    /// Proxies in all, whichever supervisor they are joined to.
-    pub proxies: u32,
-    /// Connections that the smallest servers take; 0: not told.
-    pub connections_least: u32,
-    /// Servers in the table that a proxy draws at its start.
-    pub standing_most: u32,
+    /// How long a write may still run at an endpoint once it was sent.
+    pub settle_time: Span,
+    /// The interval of load reports.
+    pub report_interval: Span,
+    /// Proxies in all, whichever controller they are joined to.
+    pub proxy_count: u32,
+    /// Connections that the smallest endpoints accept; 0: not stated.
+    pub min_endpoint_connections: u32,
+    /// Endpoints in the table that a proxy draws at its start.
+    pub initial_table_size: u32,
+    /// Lines a second that the channel to the proxies carries.
     pub channel_rate: f64,
-    pub message_head: f64,
-    pub most_waiting: f64,
-    /// Messages one proxy may get within `messages_over`; 0: no limit.
-    pub messages_most: u32,
-    pub messages_over: Span,
-    /// The longest way of a message from the channel to a proxy.
-    pub way_most: Span,
+    /// What a message costs the channel besides its lines, in lines.
+    pub message_overhead_lines: f64,
+    /// Lines that may be queued in the channel.
+    pub max_queued_lines: f64,
+    /// Messages that one proxy may get within `push_window`; 0: no limit.
+    pub max_pushes: u32,
+    /// The window of `max_pushes`.
+    pub push_window: Span,
+    /// The longest transit of a message from the channel to a proxy.
+    pub max_transit: Span,
+    /// How long an endpoint may be used after it was listed as draining.
     pub drain_grace: Span,
-    pub cold_for: Span,
-    /// A server merely dropped from the list need not be left.
-    pub only_drains_bind: bool,
+    /// How long an endpoint may take after its start until it bears its full load.
+    pub slow_start_window: Span,
+    /// The drain grace binds for draining endpoints alone, not for those merely removed from the list.
+    pub removal_not_binding: bool,
 }
 
 impl ControllerConfig {
-    /// The lines that leave the channel and still come within the grace of a drain.
-    pub fn carried_in_grace(&self) -> f64 {
-        (self.drain_grace - self.way_most).as_secs() * self.channel_rate
+    /// The lines that leave the channel and still arrive within the drain grace.
+    pub fn lines_within_grace(&self) -> f64 {
+        (self.drain_grace - self.max_transit).as_secs() * self.channel_rate
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -7,7 +7,7 @@
 //! `publish_slices`, `commands_lost`, rule 3 `leaving` in `publish`, rule 4 `warmth`, `eased`, rule 5 `room`.
 
 use crate::channel_backlog::ChannelBacklog;
-use crate::config::{Admission, ControllerConfig};
+use crate::config::{AdmissionMode, ControllerConfig};
 use crate::histogram::Histogram;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
 use crate::seeded_rng::SeededRng;
@@ -125,11 +125,11 @@
 
 impl<H: Host> Controller<H> {
     pub fn open(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
-        if config.list_on_request {
-            host.follow_list();
+        if config.polls_endpoint_list {
+            host.watch_endpoints();
         }
-        host.wake(GATHER, TURN);
-        let all = if config.admission == Admission::PerSecond { 1e6 } else { 1.0 };
+        host.schedule_timer(GATHER, TURN);
+        let all = if config.admission == AdmissionMode::RatePerSecond { 1e6 } else { 1.0 };
         let mut chance = SeededRng::new(seed);
         let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
         Controller {
@@ -141,8 +141,8 @@
             proxies: BTreeMap::new(),
             usual: BTreeMap::new(),
             slices: BTreeMap::new(),
-            levels: vec![all; config.products.len()],
-            pulse: FleetLoad { asked: vec![0.0; config.products.len()], ..FleetLoad::default() },
+            levels: vec![all; config.request_classes.len()],
+            pulse: FleetLoad { asked: vec![0.0; config.request_classes.len()], ..FleetLoad::default() },
             ledger: ChannelBacklog::new(config.channel_rate * PACE_TRUSTED),
             held: PublicationState { gathered: now, ..PublicationState::default() },
             config,
@@ -171,7 +171,7 @@
             // A listed server without a weight is still a server: rule 1 counts it.
             server.weight = if l.weight.is_finite() { l.weight.max(0.01) } else { 0.01 };
             server.zone = l.zone;
-            server.stands(now, l.standing);
+            server.stands(now, l.state);
         }
         self.pulse.peak = self.pulse.peak.max(self.ready_weight());
         self.turn(now);
@@ -182,7 +182,7 @@
     pub fn list_failed(&mut self, now: Moment) {
         let again = self.held.list_failed.replace(now).is_some_and(|l| now - l < SUBSCRIBE_AGAIN * 2.0);
         let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.unit()) } else { Span::ZERO };
-        self.host.wake(pause, SUBSCRIBE);
+        self.host.schedule_timer(pause, SUBSCRIBE);
     }
 
     fn ready(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
@@ -196,7 +196,7 @@
     pub fn proxy_joined(&mut self, now: Moment, proxy: u32, zone: u32, rate: f64, fresh: bool) {
         let known = self.usual.insert(proxy, (zone, rate)).is_some();
         // Where crossing zones costs or is barred, each zone's proxies have a table of their own.
-        let zoned = self.config.crossing_costs || self.config.products.iter().any(|p| p.own_zone);
+        let zoned = self.config.cross_zone_costs || self.config.request_classes.iter().any(|p| p.zone_local);
         let (place, home) = if zoned { (1 + zone, Some(zone)) } else { (0, None) };
         // One table where it holds the fleet and as much again; else several, an arc of the ring each.
         let whole = !self.servers.is_empty() && self.servers.len() <= self.lines_most() / 2;
@@ -214,7 +214,7 @@
 
     fn look(&mut self) {
         if self.held.wakes.insert(LOOK) {
-            self.host.wake(LOOK_AGAIN, LOOK);
+            self.host.schedule_timer(LOOK_AGAIN, LOOK);
         }
     }
 
@@ -230,7 +230,8 @@
         server.heard = if answered > 0.0 { Some(now) } else { server.heard };
         // Reports come late, and tries that end now began earlier: they tell of the weight before the move.
         if server.rung == 0 || now - server.judged >= REPORT_LAG + over {
-            let sla = self.config.products.iter().map(|p| p.sla).min().unwrap_or_default();
+            let sla =
+                self.config.request_classes.iter().map(|p| p.latency_objective).min().unwrap_or_default();
             server.tally.add(HURT.len() - 1, voided);
             server.tally.add(BANDS.iter().filter(|part| took >= sla * **part).count(), answered);
         }
@@ -247,8 +248,8 @@
     pub fn woke(&mut self, now: Moment, label: u64) {
         self.held.wakes.remove(&label);
         match label {
-            SUBSCRIBE => return self.host.follow_list(),
-            REPEAT => return self.host.repeat(),
+            SUBSCRIBE => return self.host.watch_endpoints(),
+            REPEAT => return self.host.resend_commands(),
             TURN => {
                 self.pulse.over = self.pulse.over + GATHER;
                 self.judge(now);
@@ -258,7 +259,7 @@
                 (self.pulse.tries, self.pulse.answered) = (self.pulse.tries / 2.0, self.pulse.answered / 2.0);
                 self.pulse.peak = (self.pulse.peak * PEAK_KEPT).max(self.ready_weight());
                 self.forget(now);
-                self.host.wake(GATHER, TURN);
+                self.host.schedule_timer(GATHER, TURN);
             }
             _ => {}
         }
@@ -273,15 +274,15 @@
         let dead = self.servers.iter().filter(|(id, s)| dead(s) && !self.held.unanswered && !held(id));
         for id in dead.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             if self.servers.remove(&id).is_some_and(|s| s.out) {
-                self.host.withdraw(&id, false);
+                self.host.restore_endpoint(&id);
             }
-            self.host.forget(&id);
+            self.host.forget_endpoint(&id);
         }
     }
 
     /// Rule 4: no more of its weight than the slowest warm-up allows at its age, counted from its start.
     fn warmth(&self, now: Moment, server: &Endpoint) -> f64 {
-        let cold_for = self.config.cold_for;
+        let cold_for = self.config.slow_start_window;
         let Some(age) = server.started.map(|at| now - at).filter(|age| *age < cold_for) else { return 1.0 };
         let grown = age.as_secs().max(0.0) / cold_for.as_secs();
         RAMP_FROM + (1.0 - RAMP_FROM) * grown.powf(RAMP_BEND)
@@ -312,7 +313,7 @@
         let Some(tbl) = self.tbls.get(&number) else { return BTreeMap::new() };
         let (near, mut away): (Vec<&Candidate>, Vec<&Candidate>) =
             all.parts.iter().partition(|p| tbl.home == Some(p.zone));
-        if self.config.products.iter().any(|p| p.own_zone) {
+        if self.config.request_classes.iter().any(|p| p.zone_local) {
             away.clear();
         }
         let most = self.lines_most();
@@ -364,7 +365,7 @@
         let crowded = (self.ready_weight() / self.pulse.peak.max(1e-9) * answers).clamp(0.05, 1.0);
         let cut = crowded.max(((cold + warm) / WARM_BEARS - warm) / cold.max(1e-9)).min(1.0);
         // Proxies that shun leave a failing fleet for what they have not tried yet: the youngest stay out.
-        let rush = self.config.shuns_after > 0 && warm > 0.0 && self.pulse.struggling;
+        let rush = self.config.proxy_ejects_after_failures > 0 && warm > 0.0 && self.pulse.struggling;
         let kept = parts.into_iter().filter(|p| p.warmth >= YOUNG || !rush);
         let ease = |p: &Candidate| if p.warmth < 1.0 { p.warmth * cut } else { 1.0 };
         kept.map(|p| (p.id.clone(), (p.weight * ease(&p), p.warmth >= 1.0))).collect()
@@ -401,8 +402,8 @@
     /// rule 3 allows: a list that dropped them all at once is more often wrong than right.
     fn carried(&mut self, now: Moment, number: u32) -> bool {
         let Some(tbl) = self.tbls.get_mut(&number) else { return false };
-        let (long, in_grace) = (HEARTBEAT_EVERY, self.config.drain_grace * 0.6 - self.config.way_most);
-        let spell = if self.config.only_drains_bind { long } else { long.min(in_grace) };
+        let (long, in_grace) = (HEARTBEAT_EVERY, self.config.drain_grace * 0.6 - self.config.max_transit);
+        let spell = if self.config.removal_not_binding { long } else { long.min(in_grace) };
         let reports =
             |s: &Endpoint| s.standing == EndpointState::Removed && s.heard.is_some_and(|h| now - h < long);
         if tbl.carried.is_none() && tbl.lines.keys().any(|id| self.servers.get(id).is_some_and(reports)) {
@@ -419,10 +420,10 @@
         // Rule 5: were they carried out, their lines wait twice; a mark of the repeat's tells when it came.
         let (lines, number) = if unsure { self.ledger.again(now, self.held.moment) } else { (0.0, None) };
         if let Some(number) = number {
-            self.host.mark(number);
+            self.host.request_acknowledgement(number);
             self.held.moment = now;
         }
-        self.host.wake(LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)), REPEAT);
+        self.host.schedule_timer(LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)), REPEAT);
     }
 
     pub fn commands_taken(&mut self, now: Moment) {
@@ -448,7 +449,7 @@
         if untold && self.proxies.values().any(|p| !p.bound) {
             self.held.barring.get_or_insert(now);
         }
-        match self.config.slices {
+        match self.config.shards {
             _ if self.held.unanswered => return,
             0 => {}
             _ => return self.publish_slices(now),
@@ -468,15 +469,15 @@
             self.bind_waiting(now);
         }
         let waiting = self.ledger.waiting(now);
-        let through = Span::secs(waiting / self.config.channel_rate.max(1.0)) + self.config.way_most * 2.0;
+        let through = Span::secs(waiting / self.config.channel_rate.max(1.0)) + self.config.max_transit * 2.0;
         if waiting > self.lines_may_wait(false) && now - self.ledger.spoken > through {
             // All answers due are lost, with their proxies or with the event stream: one is asked anew.
             let asked = self.proxies_that(|p| self.usable(p.tbl));
             let place = (asked.len() as f64 * self.chance.unit()) as usize;
             asked.get(place).into_iter().for_each(|proxy| self.bind(now, *proxy));
         }
-        if self.ledger.waiting(now) > self.config.most_waiting * MARKED_FROM {
-            self.ledger.mark(now).into_iter().for_each(|number| self.host.mark(number));
+        if self.ledger.waiting(now) > self.config.max_queued_lines * MARKED_FROM {
+            self.ledger.mark(now).into_iter().for_each(|number| self.host.request_acknowledgement(number));
         }
     }
 
@@ -500,7 +501,7 @@
         }
         let order: BTreeMap<EndpointId, usize> =
             hasty.into_iter().enumerate().map(|(n, h)| (h.1, n)).collect();
-        let (head, whole) = (self.config.message_head, order.len());
+        let (head, whole) = (self.config.message_overhead_lines, order.len());
         let goes = |n: usize, c: &Change| c.urgent && order[&c.id] < n;
         let lines = |n, c: &Vec<Change>| c.iter().filter(|c| goes(n, c)).count() as f64;
         let each = |lines: f64| if lines > 0.0 { head + lines } else { 0.0 };
@@ -545,7 +546,7 @@
             let half = (fits + not) / 2;
             (fits, not) = if cost(half) <= room { (half, not) } else { (fits, half) };
         }
-        if fits < whole && cost(fits) < self.config.most_waiting * PIECE {
+        if fits < whole && cost(fits) < self.config.max_queued_lines * PIECE {
             0
         } else {
             fits
@@ -558,9 +559,9 @@
     fn bar(&mut self, now: Moment, clear: bool) -> bool {
         let leaving = self.leaving();
         let (whole, since) = (self.strays_cost(leaving.len()), self.held.barring.unwrap_or(now));
-        let patience = (self.config.drain_grace - self.config.way_most) * PATIENCE;
+        let patience = (self.config.drain_grace - self.config.max_transit) * PATIENCE;
         // Else each moment's few would cost all who wait a message.
-        let idle = whole + self.ledger.waiting(now) <= self.config.most_waiting * MARKED_FROM;
+        let idle = whole + self.ledger.waiting(now) <= self.config.max_queued_lines * MARKED_FROM;
         if !idle && whole > 0.0 && now - since < patience {
             self.held.barring = Some(since);
             self.look();
@@ -572,7 +573,7 @@
         for id in &leaving[..n] {
             let server = self.servers.get_mut(id).expect("a listed server");
             (server.out, server.told) = (true, true);
-            self.host.withdraw(id, true);
+            self.host.eject_endpoint(id);
         }
         self.tell_strays(now, n);
         self.held.barring = (n < leaving.len()).then_some(since);
@@ -591,9 +592,11 @@
     /// The lines and the head that so many withdrawals cost each unbound proxy. A standing table holds few
     /// servers, drawn by chance; one that was laid on an earlier stream as many as ours.
     fn strays(&self, withdrawals: usize) -> impl Iterator<Item = (u32, f64, f64)> + '_ {
-        let (each, head) =
-            (withdrawals as f64 * CHANCE / self.servers.len().max(1) as f64, self.config.message_head);
-        let (drawn, laid) = (f64::from(self.config.standing_most), self.lines_most() as f64);
+        let (each, head) = (
+            withdrawals as f64 * CHANCE / self.servers.len().max(1) as f64,
+            self.config.message_overhead_lines,
+        );
+        let (drawn, laid) = (f64::from(self.config.initial_table_size), self.lines_most() as f64);
         let lines = move |p: &Proxy| (each * if p.fresh { drawn } else { laid }).min(withdrawals as f64);
         let unbound = self.proxies.iter().filter(move |(_, p)| !p.bound && withdrawals > 0);
         unbound.map(move |(n, p)| (*n, lines(p), head * lines(p).min(1.0)))
@@ -616,24 +619,24 @@
             // One that returns is let back in with its first line, not before: until then it may be cold.
             if let Some(server) = self.servers.get_mut(&id).filter(|s| s.out && s.ready()) {
                 (server.out, server.told) = (false, false);
-                self.host.withdraw(&id, false);
+                self.host.restore_endpoint(&id);
                 back += 1;
             }
-            self.host.line(number, &id, weight);
+            self.host.set_endpoint_weight(number, &id, weight);
             commands += 1;
             tbl.lines.insert(id, weight);
         }
         tbl.lines.retain(|_, weight| *weight > 0.0);
         for (k, level) in self.levels.iter().copied().enumerate().filter(|_| all) {
             if tbl.levels.insert(k, level) != Some(level) {
-                self.host.level(number, 1 << k, level, RETRY);
+                self.host.set_admission(number, 1 << k, level, RETRY);
                 commands += 1;
             }
         }
         if commands > 0 {
             tbl.sent = now;
             for proxy in users {
-                self.ledger.note(now, *proxy, f64::from(commands), self.config.message_head);
+                self.ledger.note(now, *proxy, f64::from(commands), self.config.message_overhead_lines);
             }
             self.tell_strays(now, back);
         }
@@ -643,7 +646,7 @@
     /// no longer than a budget. Those with the least to go by come first, then those with most traffic. They
     /// are gathered: what a table keeps at home hangs on all who join in a moment.
     fn bind_waiting(&mut self, now: Moment) {
-        let (most, head) = (self.lines_may_wait(false), self.config.message_head);
+        let (most, head) = (self.lines_may_wait(false), self.config.message_overhead_lines);
         let waits = self.proxies.iter().filter(|(_, p)| !p.bound);
         let mut queue: Vec<(bool, f64, u32)> = waits.map(|(n, p)| (!p.fresh, -p.rate, *n)).collect();
         queue.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -655,7 +658,7 @@
             } else if self.usable(number) || fresh && now - joined >= JOIN_BUDGET {
                 self.bind(now, proxy);
             } else if self.held.wakes.insert(HEARTBEAT) {
-                self.host.wake(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.unit()), HEARTBEAT);
+                self.host.schedule_timer(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.unit()), HEARTBEAT);
             }
         }
     }
@@ -667,38 +670,49 @@
     fn bind(&mut self, now: Moment, proxy: u32) {
         let bound = self.proxies.get_mut(&proxy).expect("a joined proxy");
         (bound.bound, bound.reached) = (true, true);
-        self.host.bind(proxy, bound.tbl);
-        self.ledger.note(now, proxy, self.tbls[&bound.tbl].sent_by_a_bind(), self.config.message_head);
+        self.host.assign_table(proxy, bound.tbl);
+        self.ledger.note(
+            now,
+            proxy,
+            self.tbls[&bound.tbl].sent_by_a_bind(),
+            self.config.message_overhead_lines,
+        );
     }
 
     fn in_grace(&self) -> f64 {
-        self.config.carried_in_grace().min(self.config.most_waiting * MOST_LINES) * FOR_LEAVING
+        self.config.lines_within_grace().min(self.config.max_queued_lines * MOST_LINES) * FOR_LEAVING
     }
 
     /// How many lines a table may hold so that, with all proxies here, a part of the fleet can leave while
     /// the same is still on its way.
     fn lines_most(&self) -> usize {
-        let ControllerConfig { channel_rate, most_waiting, message_head, .. } = self.config;
-        let proxies = f64::from(self.config.proxies.max(1));
+        let ControllerConfig {
+            channel_rate,
+            max_queued_lines: most_waiting,
+            message_overhead_lines: message_head,
+            ..
+        } = self.config;
+        let proxies = f64::from(self.config.proxy_count.max(1));
         let each = (self.in_grace() / 2.0 / proxies - message_head) / LEAVES_AT_ONCE;
         let each = if channel_rate * most_waiting > 0.0 { each } else { f64::INFINITY };
-        let conns = f64::from(self.config.connections_least) * self.ready().count() as f64 / proxies;
+        let conns = f64::from(self.config.min_endpoint_connections) * self.ready().count() as f64 / proxies;
         let conns = if conns > 0.0 { conns } else { f64::INFINITY };
-        each.min(conns).max(f64::from(self.config.standing_most.max(1))) as usize
+        each.min(conns).max(f64::from(self.config.initial_table_size.max(1))) as usize
     }
 
     /// What can wait leaves room for a part of the fleet to leave, within the grace, with all proxies here;
     /// and no more is laid in than keeps the channel busy until answers to marks have come.
     fn lines_may_wait(&self, urgent: bool) -> f64 {
-        let most = self.config.most_waiting * MOST_LINES;
+        let most = self.config.max_queued_lines * MOST_LINES;
         let lines = self.lines_most().min(self.servers.len()) as f64;
-        let kept = f64::from(self.config.proxies) * (self.config.message_head + lines * LEAVES_AT_ONCE);
+        let kept = f64::from(self.config.proxy_count)
+            * (self.config.message_overhead_lines + lines * LEAVES_AT_ONCE);
         if most <= 0.0 || self.config.channel_rate <= 0.0 {
             f64::INFINITY
         } else if urgent {
             most
         } else {
-            let busy = (self.config.way_most * IN_FLIGHT).as_secs() * self.config.channel_rate;
+            let busy = (self.config.max_transit * IN_FLIGHT).as_secs() * self.config.channel_rate;
             (self.in_grace() / FOR_LEAVING - kept).min(busy).max(most * ORDINARY_LINES)
         }
     }
@@ -710,7 +724,7 @@
     /// The lines that fit for some proxies in all. What can't wait goes at once a few times, then at a pace
     /// that the limit of messages bears for ever.
     fn room(&mut self, now: Moment, urgent: bool, proxies: &[u32]) -> f64 {
-        let (over, most) = (self.config.messages_over, self.config.messages_most as usize);
+        let (over, most) = (self.config.push_window, self.config.max_pushes as usize);
         let pace = over * (1.0 / most.saturating_sub(BURST).max(1) as f64);
         for proxy in proxies.iter().filter(|_| most > 0) {
             let (count, last) = self.ledger.messages(now, *proxy, over);
@@ -724,7 +738,8 @@
         }
         let waiting = self.ledger.waiting(now);
         // Whatever the limits, an idle channel takes a line to all.
-        let least = proxies.len() as f64 * (self.config.message_head + self.levels.len() as f64 + 1.0);
+        let least =
+            proxies.len() as f64 * (self.config.message_overhead_lines + self.levels.len() as f64 + 1.0);
         (self.lines_may_wait(urgent) - waiting).max(if waiting < 1.0 { least } else { 0.0 })
     }
 
@@ -778,7 +793,7 @@
         pulse.struggling = hurting || answers < ANSWERS.0 || pulse.struggling && uneasy;
         // Reports tell of those who were here then: while more come they are no measure for all.
         pulse.shed = if joined * over > pulse.joined * STEP { now } else { pulse.shed };
-        if hurting && now - pulse.shed >= REPORT_LAG + self.config.report_every {
+        if hurting && now - pulse.shed >= REPORT_LAG + self.config.report_interval {
             (pulse.budget, pulse.shed) = (Some(pulse.served / over * SAFE_SHARE), now);
             pulse.counted = pulse.joined / over;
         } else if !pulse.struggling {
@@ -789,14 +804,14 @@
         // of a broken relay) would be turned away for as long as the budget takes to grow.
         let more = (joined / pulse.counted.max(1e-9)).max(1.0);
         let mut left = pulse.budget.map_or(f64::INFINITY, |budget| budget * more);
-        let revenue = |k: &usize| self.config.products[*k].revenue;
+        let revenue = |k: &usize| self.config.request_classes[*k].priority_weight;
         let mut order: Vec<usize> = (0..self.levels.len()).collect();
         order.sort_by(|a, b| revenue(b).total_cmp(&revenue(a)));
         for k in order {
             let asked = (pulse.asked[k] / over).max(1e-9);
             let level = (left / asked).clamp(LEVEL_FLOOR, 1.0);
             left = (left - level * asked).max(0.0);
-            let obeyed = self.config.admission == Admission::Share;
+            let obeyed = self.config.admission == AdmissionMode::Fraction;
             if obeyed && ((level - self.levels[k]).abs() > LEVEL_STEP || level >= 1.0) {
                 self.levels[k] = level;
             }
@@ -819,12 +834,16 @@
     fn publish_slices(&mut self, now: Moment) {
         for (id, server) in self.servers.iter_mut().filter(|(_, s)| s.out == s.ready()) {
             server.out = !server.ready();
-            self.host.withdraw(id, server.out);
+            if server.out {
+                self.host.eject_endpoint(id);
+            } else {
+                self.host.restore_endpoint(id);
+            }
         }
         let usable = self.eased(self.parts(now));
-        let writing = self.config.products.iter().enumerate().filter(|(_, p)| p.writes);
+        let writing = self.config.request_classes.iter().enumerate().filter(|(_, p)| p.writes);
         let writes: RequestClassSet = writing.fold(0, |set, (k, _)| set | 1 << k);
-        let in_hand = self.config.way_most + self.config.lease + self.config.settle;
+        let in_hand = self.config.max_transit + self.config.lease + self.config.settle_time;
         let (whole, one) = (usable.values().map(|u| u.0).sum::<f64>(), self.config.single_writer);
         for (&number, slice) in self.slices.iter_mut() {
             if slice.moving.is_none() && slice.lines.keys().any(|id| usable.contains_key(id)) {
@@ -836,18 +855,18 @@
                 // Rule 2: writes stop, and those in hand or still sent on a lease end, before another owns.
                 let since = *slice.moving.get_or_insert(now);
                 if since == now {
-                    self.host.level(number, writes, 0.0, RETRY);
+                    self.host.set_admission(number, writes, 0.0, RETRY);
                 }
                 if now - since < in_hand * 1.5 {
                     continue;
                 }
                 slice.moving = None;
-                self.host.level(number, writes, 1.0, RETRY);
+                self.host.set_admission(number, writes, 1.0, RETRY);
             }
             for old in std::mem::take(&mut slice.lines).into_keys().filter(|_| !one) {
-                self.host.line(number, &old, 0.0);
+                self.host.set_endpoint_weight(number, &old, 0.0);
             }
-            self.host.line(number, id, 1.0);
+            self.host.set_endpoint_weight(number, id, 1.0);
             slice.lines.insert(id.clone(), 1.0);
         }
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -7,7 +7,7 @@
 /// A config with a product that must stay in the proxy's zone.
 fn second_stays() -> ControllerConfig {
     let mut config = config();
-    config.products[1].own_zone = true;
+    config.request_classes[1].zone_local = true;
     config
 }
 
@@ -121,7 +121,7 @@
 
 #[test]
 fn no_young_server_joins_a_struggling_fleet_whose_proxies_shun() {
-    let mut rules = running(ControllerConfig { shuns_after: 3, ..config() }, &["a", "b"], 1);
+    let mut rules = running(ControllerConfig { proxy_ejects_after_failures: 3, ..config() }, &["a", "b"], 1);
     rules.pulse.struggling = true;
     rules.list_changed(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert_eq!(rules.host.count("line"), 0);
@@ -129,7 +129,7 @@
 
 #[test]
 fn cold_servers_are_all_there_is_when_all_are_cold() {
-    let mut rules = running(ControllerConfig { shuns_after: 3, ..config() }, &[], 1);
+    let mut rules = running(ControllerConfig { proxy_ejects_after_failures: 3, ..config() }, &[], 1);
     rules.pulse.struggling = true;
     rules.list_changed(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert!(rules.host.weight(0, "c").is_some());
@@ -137,7 +137,7 @@
 
 #[test]
 fn home_keeps_most_where_crossing_costs() {
-    let mut rules = running(ControllerConfig { crossing_costs: true, ..config() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 1);
     rules.proxy_joined(at(1.0), 1, 1, 10.0, true);
     rules.list_changed(at(2.0), &[listing("b", 1, Ready, None)]);
     assert!((rules.host.weight(ARCS, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_zone_without_servers_uses_the_others_in_full() {
-    let mut rules = running(ControllerConfig { crossing_costs: true, ..config() }, &["a"], 0);
+    let mut rules = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
     rules.proxy_joined(at(1.0), 1, 5, 10.0, true);
     rules.woke(at(1.2), LOOK);
     assert_eq!(rules.host.weight(6 * ARCS, "a"), Some(2.0));
@@ -160,7 +160,8 @@
 
 /// Sixty servers in each of two zones, and sixty proxies of both, where tables may hold sixteen lines.
 fn tight() -> Controller<crate::testing::Recorder> {
-    let tight = ControllerConfig { crossing_costs: true, proxies: 60, message_head: 2.5, ..config() };
+    let tight =
+        ControllerConfig { cross_zone_costs: true, proxy_count: 60, message_overhead_lines: 2.5, ..config() };
     let mut rules = running(tight, &[], 0);
     let fleet = (0..120).map(|k| listing(&format!("s{k}"), k % 2, Ready, None));
     rules.list_whole(at(0.5), &fleet.collect::<Vec<_>>());
@@ -214,7 +215,7 @@
 
 #[test]
 fn binds_wait_for_room_in_the_channel() {
-    let mut rules = running(ControllerConfig { proxies: 400, ..config() }, &["a"], 0);
+    let mut rules = running(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
     (0..400).for_each(|proxy| rules.proxy_joined(at(1.0), proxy, 0, 10.0, true));
     rules.woke(at(1.2), LOOK);
     let bound = rules.host.count("bind");
@@ -265,7 +266,11 @@
 fn crowded(message_head: f64, last: u32) -> Controller<crate::testing::Recorder> {
     let ids: Vec<String> = (10..last).map(|k| k.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let mut rules = running(ControllerConfig { messages_most: 0, message_head, ..config() }, &ids, 30);
+    let mut rules = running(
+        ControllerConfig { max_pushes: 0, message_overhead_lines: message_head, ..config() },
+        &ids,
+        30,
+    );
     rules.proxies.values_mut().for_each(|p| (p.bound, p.reached) = (true, true));
     rules
 }
@@ -342,7 +347,8 @@
 
 #[test]
 fn what_cannot_wait_is_gathered_while_the_queue_is_long() {
-    let mut rules = running(ControllerConfig { way_most: Span::secs(0.1), ..config() }, &["a", "b", "c"], 1);
+    let mut rules =
+        running(ControllerConfig { max_transit: Span::secs(0.1), ..config() }, &["a", "b", "c"], 1);
     rules.ledger = ChannelBacklog::default();
     rules.ledger.note(at(2.0), 0, 400.0, 0.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Draining, None)]);
@@ -355,7 +361,7 @@
 
 #[test]
 fn where_all_answers_are_lost_one_proxy_is_asked_anew() {
-    let mut rules = running(ControllerConfig { way_most: Span::secs(0.1), ..config() }, &["a", "b"], 2);
+    let mut rules = running(ControllerConfig { max_transit: Span::secs(0.1), ..config() }, &["a", "b"], 2);
     rules.ledger.note(at(2.0), 0, 400.0, 0.0);
     rules.turn(at(2.5));
     assert_eq!(rules.host.count("bind"), 0);
@@ -553,14 +559,14 @@
 
 #[test]
 fn a_failed_list_call_is_made_again() {
-    let mut rules = running(ControllerConfig { list_on_request: true, ..config() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
     rules.list_failed(at(3.0));
     assert_eq!(rules.host.count("wake 3 "), 1);
 }
 
 #[test]
 fn the_first_failure_of_the_list_is_answered_at_once_and_those_right_after_it_with_a_pause() {
-    let mut rules = running(ControllerConfig { list_on_request: true, ..config() }, &["a"], 1);
+    let mut rules = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
     for (now, at_once) in [(3.0, true), (3.1, false), (4.2, false), (6.0, true)] {
         rules.host.said.clear();
         rules.list_failed(at(now));
@@ -578,10 +584,10 @@
 #[test]
 fn a_charter_of_zeros_stops_nothing() {
     let zero = ControllerConfig {
-        most_waiting: 0.0,
+        max_queued_lines: 0.0,
         channel_rate: 0.0,
-        cold_for: Span::ZERO,
-        messages_most: 0,
+        slow_start_window: Span::ZERO,
+        max_pushes: 0,
         ..config()
     };
     let mut rules = running(zero, &["a"], 2);
@@ -617,7 +623,7 @@
 
 #[test]
 fn a_slice_whose_server_left_gets_another() {
-    let mut rules = running(ControllerConfig { slices: 2, ..config() }, &["a", "b"], 0);
+    let mut rules = running(ControllerConfig { shards: 2, ..config() }, &["a", "b"], 0);
     rules.slice_given(1);
     rules.slice_line(1, &"a".into(), 1.0);
     rules.list_changed(at(2.0), &[listing("a", 0, Removed, None)]);
@@ -626,8 +632,8 @@
 
 #[test]
 fn a_slice_with_one_writer_stops_its_writes_before_it_moves() {
-    let mut config = ControllerConfig { slices: 2, single_writer: true, ..config() };
-    config.products[1].writes = true;
+    let mut config = ControllerConfig { shards: 2, single_writer: true, ..config() };
+    config.request_classes[1].writes = true;
     let mut rules = running(config, &["a", "b"], 0);
     rules.slice_given(1);
     rules.slice_line(1, &"a".into(), 1.0);
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,60 +1,77 @@
-//! The small interface through which the rules act, whatever protocol carries their commands.
+//! The interface between the controller and the program that embeds it, whatever protocol carries its commands.
 
 use crate::time::{Moment, Span};
 use std::rc::Rc;
 
-/// A server's id, as the outside gives it.
+/// The identifier of an endpoint, as the endpoint list gives it.
 pub type EndpointId = Rc<str>;
 
-/// A set of products, bit k for the product at position k.
+/// A set of request classes: bit k stands for the class at position k of the configuration.
 pub type RequestClassSet = u64;
 
-/// What the list says of a server.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
+    /// Listed and usable.
     Ready,
+    /// Listed, and shutting down gracefully: it may be used until the drain grace ends.
     Draining,
+    /// No longer listed.
     #[default]
     Removed,
 }
 
-/// What the list knows of one server.
+/// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
+    /// Which endpoint the entry describes.
     pub id: EndpointId,
+    /// The position of its zone in the configuration.
     pub zone: u32,
+    /// Its relative capacity; 1 where the list states none.
     pub weight: f64,
-    pub standing: EndpointState,
-    /// The latest start; nothing where it is long past.
+    /// Its state at the time of the update.
+    pub state: EndpointState,
+    /// Its latest start; `None` where that is long past.
     pub started: Option<Moment>,
 }
 
-/// When a proxy tries another server; the protocols number these from 0 in this order.
+/// When a proxy tries another endpoint. The protocols number these from 0 in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
+    /// No further attempt.
     Never,
+    /// One further attempt, if the first is proven not to have run.
     IfNeverRan,
+    /// One further attempt after any failure.
     Once,
+    /// Two further attempts after any failure.
     Twice,
 }
 
-/// Commands take effect in the order of the calls; those of one moment travel together.
+/// What the controller needs of the program that embeds it.
+///
+/// Commands take effect in the order of the calls; those of one moment travel together as one message to each proxy.
 pub trait Host {
-    /// Sets one line of a table; weight 0 takes it out.
-    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64);
-    /// Puts a joined proxy on a table, for all products.
-    fn bind(&mut self, proxy: u32, tbl: u32);
-    /// Bars all joined proxies from a server, whatever tables they hold, or lets them back.
-    fn withdraw(&mut self, server: &EndpointId, out: bool);
-    /// A server has long been gone: no command names it any more unless the list does so anew.
-    fn forget(&mut self, server: &EndpointId);
-    /// What part of some products a table lets in, and when its proxies try again.
-    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy);
-    /// Asks each proxy that this moment's commands reach to tell when they have come.
-    fn mark(&mut self, number: u32);
-    /// Sends once more what `Controller::commands_lost` was told of.
-    fn repeat(&mut self);
-    /// Subscribes to the list.
-    fn follow_list(&mut self);
-    fn wake(&mut self, after: Span, label: u64);
+    /// Sets the weight of an endpoint in a route table; weight 0 removes it.
+    fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64);
+    /// Puts a joined proxy on a route table, for all request classes.
+    fn assign_table(&mut self, proxy: u32, table: u32);
+    /// Bars all joined proxies from an endpoint, whatever tables they hold.
+    fn eject_endpoint(&mut self, endpoint: &EndpointId);
+    /// Lifts the ejection of an endpoint.
+    fn restore_endpoint(&mut self, endpoint: &EndpointId);
+    /// An endpoint was removed long ago: no command names it any more unless the list does so again.
+    fn forget_endpoint(&mut self, endpoint: &EndpointId);
+    /// Sets the part of the requests of some classes that a table admits, and when its proxies retry.
+    fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy);
+    /// Asks each proxy that this moment's commands reach to acknowledge them with this number.
+    fn request_acknowledgement(&mut self, number: u32);
+    /// Sends the commands that [`Controller::commands_lost`](crate::controller::Controller::commands_lost) was
+    /// told of once more.
+    fn resend_commands(&mut self);
+    /// Subscribes to the endpoint list.
+    fn watch_endpoints(&mut self);
+    /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this label after a span.
+    fn schedule_timer(&mut self, after: Span, label: u64);
 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,6 +1,6 @@
 //! What the module's tests share: a host that writes down what it is told, a config, rules to start from.
 
-use crate::config::{Admission, ControllerConfig, RequestClass};
+use crate::config::{AdmissionMode, ControllerConfig, RequestClass};
 use crate::controller::Controller;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
 use crate::time::{Moment, Span};
@@ -22,31 +22,34 @@
 }
 
 impl Host for Recorder {
-    fn line(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
+    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         self.said.push(format!("line {tbl} {server} {weight}"));
     }
-    fn bind(&mut self, proxy: u32, tbl: u32) {
+    fn assign_table(&mut self, proxy: u32, tbl: u32) {
         self.said.push(format!("bind {proxy} {tbl}"));
     }
-    fn withdraw(&mut self, server: &EndpointId, out: bool) {
-        self.said.push(format!("withdraw {server} {out}"));
+    fn eject_endpoint(&mut self, server: &EndpointId) {
+        self.said.push(format!("withdraw {server} true"));
     }
-    fn forget(&mut self, server: &EndpointId) {
+    fn restore_endpoint(&mut self, server: &EndpointId) {
+        self.said.push(format!("withdraw {server} false"));
+    }
+    fn forget_endpoint(&mut self, server: &EndpointId) {
         self.said.push(format!("forget {server}"));
     }
-    fn level(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         self.said.push(format!("level {tbl} {products} {admitted:.2} {retry:?}"));
     }
-    fn mark(&mut self, number: u32) {
+    fn request_acknowledgement(&mut self, number: u32) {
         self.said.push(format!("mark {number}"));
     }
-    fn repeat(&mut self) {
+    fn resend_commands(&mut self) {
         self.said.push("repeat".into());
     }
-    fn follow_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.said.push("follow".into());
     }
-    fn wake(&mut self, after: Span, label: u64) {
+    fn schedule_timer(&mut self, after: Span, label: u64) {
         self.said.push(format!("wake {label} {}", after.as_us()));
     }
 }
@@ -56,35 +59,40 @@
 }
 
 pub fn config() -> ControllerConfig {
-    let product = |revenue| RequestClass { sla: Span::secs(1.0), revenue, own_zone: false, writes: false };
+    let product = |revenue| RequestClass {
+        latency_objective: Span::secs(1.0),
+        priority_weight: revenue,
+        zone_local: false,
+        writes: false,
+    };
     ControllerConfig {
-        products: vec![product(1.0), product(3.0)],
-        list_on_request: false,
-        crossing_costs: false,
-        admission: Admission::Share,
-        shuns_after: 0,
-        slices: 0,
+        request_classes: vec![product(1.0), product(3.0)],
+        polls_endpoint_list: false,
+        cross_zone_costs: false,
+        admission: AdmissionMode::Fraction,
+        proxy_ejects_after_failures: 0,
+        shards: 0,
         single_writer: false,
         lease: Span::secs(2.0),
-        settle: Span::secs(0.1),
-        report_every: Span::secs(1.0),
-        proxies: 4,
-        connections_least: 0,
-        standing_most: 5,
+        settle_time: Span::secs(0.1),
+        report_interval: Span::secs(1.0),
+        proxy_count: 4,
+        min_endpoint_connections: 0,
+        initial_table_size: 5,
         channel_rate: 1000.0,
-        message_head: 3.0,
-        most_waiting: 1000.0,
-        messages_most: 12,
-        messages_over: Span::secs(10.0),
-        way_most: Span::secs(0.3),
+        message_overhead_lines: 3.0,
+        max_queued_lines: 1000.0,
+        max_pushes: 12,
+        push_window: Span::secs(10.0),
+        max_transit: Span::secs(0.3),
         drain_grace: Span::secs(2.0),
-        cold_for: Span::secs(16.0),
-        only_drains_bind: false,
+        slow_start_window: Span::secs(16.0),
+        removal_not_binding: false,
     }
 }
 
 pub fn listing(id: &str, zone: u32, standing: EndpointState, started: Option<Moment>) -> EndpointUpdate {
-    EndpointUpdate { id: id.into(), zone, weight: 2.0, standing, started }
+    EndpointUpdate { id: id.into(), zone, weight: 2.0, state: standing, started }
 }
 
 /// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
