--- a/adapter-support/src/figures.rs
+++ b/adapter-support/src/figures.rs
@@ -43,7 +43,7 @@
 }
 
 pub fn controller_config(env: &Figures) -> ControllerConfig {
-    let (info, rules) = (env.at("familyInfo"), env.at("guarantees"));
+    let (info, guarantees) = (env.at("familyInfo"), env.at("guarantees"));
     let by_product = |list: &str, k: usize| info.at(list).rows().nth(k).is_some_and(Figures::yes);
     let product = |(k, row): (usize, Figures)| RequestClass {
         latency_objective: row.at("promiseUs").span(),
@@ -75,8 +75,8 @@
         max_pushes: info.at("pushesAllowed").count(),
         push_window: info.at("reloadSpanUs").span(),
         max_transit: info.at("transitMaxUs").span(),
-        drain_grace: rules.at("drainGraceUs").span(),
-        slow_start_window: rules.at("coldUs").span(),
-        removal_not_binding: rules.at("removalNotBinding").yes(),
+        drain_grace: guarantees.at("drainGraceUs").span(),
+        slow_start_window: guarantees.at("coldUs").span(),
+        removal_not_binding: guarantees.at("removalNotBinding").yes(),
     }
 }
--- a/control-plane/src/collectors.rs
+++ b/control-plane/src/collectors.rs
@@ -159,9 +159,9 @@
             let voided = f.figure("errors", 0.0..=tries)?;
             // The mean of those that were answered: none of them, no mean.
             let took = if voided < tries { f.figure("rtt", 0.0..=LONGEST_MS)? } else { 0.0 };
-            ear.tell(move |rules, now| {
-                if rules.host().lists(&id) {
-                    rules.met(now, &id, tries, voided, millis(took), over);
+            ear.tell(move |controller, now| {
+                if controller.host().lists(&id) {
+                    controller.endpoint_outcomes(now, &id, tries, voided, millis(took), over);
                 }
             })
             .await;
@@ -171,7 +171,7 @@
             let (product, (txns, _)) = (names.product(f.text("route")?)?, counted(&f)?);
             // What came in an earlier interval may fail in this one: they are not bounded by the total.
             f.figure("errors", 0.0..=MOST_COUNTED)?;
-            ear.tell(move |rules, _| rules.asked(product, txns)).await;
+            ear.tell(move |controller, _| controller.demand(product, txns)).await;
         }
         kind => return Err(format!("kind '{kind}' is unknown")),
     }
--- a/control-plane/src/events.rs
+++ b/control-plane/src/events.rs
@@ -168,10 +168,10 @@
     };
     if value.as_object().is_some_and(|fields| fields.is_empty()) {
         if let Some(named) = named.take() {
-            ear.tell(move |rules, now| {
-                let joined: Vec<u32> = rules.host().joined.keys().copied().collect();
+            ear.tell(move |controller, now| {
+                let joined: Vec<u32> = controller.host().joined.keys().copied().collect();
                 let missing = joined.into_iter().filter(|proxy| !named.contains(proxy));
-                missing.for_each(|proxy| left(rules, now, proxy));
+                missing.for_each(|proxy| left(controller, now, proxy));
             })
             .await;
         }
@@ -188,9 +188,9 @@
     Ok(())
 }
 
-fn left(rules: &mut Controller<Desk>, now: Moment, proxy: u32) {
-    rules.host().left(proxy);
-    rules.proxy_left(now, proxy);
+fn left(controller: &mut Controller<Desk>, now: Moment, proxy: u32) {
+    controller.host().left(proxy);
+    controller.proxy_left(now, proxy);
 }
 
 async fn one(
@@ -207,22 +207,22 @@
             let (zone, rate, fresh) =
                 (names.zone(f.text("locality")?)?, f.figure("w", 0.0..=MOST_RATE)?, f.mark("cold"));
             named.iter_mut().for_each(|named| _ = named.insert(proxy));
-            ear.tell(move |rules, now| {
+            ear.tell(move |controller, now| {
                 // One that is joined already may have gone and come while the event stream was away.
-                rules.host().joined(proxy, zone, rate);
-                rules.proxy_joined(now, proxy, zone, rate, fresh);
+                controller.host().joined(proxy, zone, rate);
+                controller.proxy_joined(now, proxy, zone, rate, fresh);
             })
             .await;
         }
         "bye" => {
             named.iter_mut().for_each(|named| _ = named.remove(&proxy));
-            ear.tell(move |rules, now| left(rules, now, proxy)).await;
+            ear.tell(move |controller, now| left(controller, now, proxy)).await;
         }
         "ack" => {
             let number = f.small("nonce")?;
-            ear.tell(move |rules, now| {
-                if rules.host().joined.contains_key(&proxy) {
-                    rules.applied(now, number, proxy);
+            ear.tell(move |controller, now| {
+                if controller.host().joined.contains_key(&proxy) {
+                    controller.acknowledged(now, number, proxy);
                 }
             })
             .await;
--- a/control-plane/src/list.rs
+++ b/control-plane/src/list.rs
@@ -110,7 +110,7 @@
                 // lost its state may refuse to tell what is newer than it knows.
                 version = version.filter(|_| matches!(failed.came, Came::NotConnected | Came::Sent));
                 asking = false;
-                ear.tell(|rules, now| rules.list_failed(now)).await;
+                ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
                 continue;
             }
         };
@@ -130,22 +130,23 @@
         let nameless = spoilt.iter().any(|entry| entry.id.is_none());
         let missed = nameless || !whole && !spoilt.is_empty();
         if whole || !listings.is_empty() {
-            ear.tell(move |rules, now| {
+            ear.tell(move |controller, now| {
                 if whole && !nameless {
-                    listings
-                        .extend(rules.host().last_listed(spoilt.into_iter().filter_map(|entry| entry.id)));
-                    rules.host().learn(&listings, true);
-                    rules.list_whole(now, &listings);
+                    listings.extend(
+                        controller.host().last_listed(spoilt.into_iter().filter_map(|entry| entry.id)),
+                    );
+                    controller.host().learn(&listings, true);
+                    controller.endpoint_list_replaced(now, &listings);
                 } else {
-                    rules.host().learn(&listings, false);
-                    rules.list_changed(now, &listings);
+                    controller.host().learn(&listings, false);
+                    controller.endpoints_updated(now, &listings);
                 }
             })
             .await;
         }
         if missed {
             (version, asking) = (None, false);
-            ear.tell(|rules, now| rules.list_failed(now)).await;
+            ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
         }
     }
 }
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -74,7 +74,7 @@
 }
 
 pub struct Planner {
-    rules: Controller<Desk>,
+    controller: Controller<Desk>,
     config: Rc<Config>,
     clock: Clock,
     commands: Commands,
@@ -97,16 +97,16 @@
         let clock = Clock::start();
         let now = clock.now();
         let desk = Desk::new(Checks::new(&config.controller), config.names.clone(), now, log.clone());
-        let mut rules = Controller::open(desk, config.controller.clone(), config.seed, now);
-        rules.host().learn(&config.known, true);
-        rules.list_whole(now, &config.known);
+        let mut controller = Controller::start(desk, config.controller.clone(), config.seed, now);
+        controller.host().learn(&config.known, true);
+        controller.endpoint_list_replaced(now, &config.known);
         let (ear, told) = mpsc::channel(QUEUE);
         let seen = Rc::<Seen>::default();
         let (page, shown) = watch::channel(String::from("{}"));
         let (lost, opened, lost_calls) = (false, 1, 0);
         let (paged, summed) = (now, now);
         let planner = Planner {
-            rules,
+            controller,
             config,
             clock,
             commands,
@@ -125,7 +125,7 @@
     }
 
     pub fn follow(&mut self) -> Rc<tokio::sync::Notify> {
-        self.rules.host().follow.clone()
+        self.controller.host().follow.clone()
     }
 
     /// Goes on until the end. What was decided by then still goes out, and a call whose fate is open once more:
@@ -135,13 +135,13 @@
             let first = self.wait(&end).await;
             self.round(first).await;
         }
-        self.rules.host().again = true;
+        self.controller.host().again = true;
         self.round(None).await;
     }
 
     async fn round(&mut self, first: Option<Told>) {
         let now = self.clock.now();
-        self.rules.host().now = now;
+        self.controller.host().now = now;
         let mut next = first;
         for _ in 0..QUEUE {
             match next.or_else(|| self.told.try_recv().ok()) {
@@ -150,8 +150,8 @@
             }
             next = None;
         }
-        while let Some(label) = self.rules.host().due(now) {
-            self.guarded(now, Box::new(move |rules, now| rules.woke(now, label)));
+        while let Some(label) = self.controller.host().due(now) {
+            self.guarded(now, Box::new(move |controller, now| controller.timer_fired(now, label)));
         }
         self.send().await;
         self.report();
@@ -160,7 +160,7 @@
     /// The first that comes: something told, or nothing where a wake-up is due or the end has come.
     async fn wait(&mut self, end: &CancellationToken) -> Option<Told> {
         let now = self.clock.now();
-        let at = self.rules.host().next_wake().unwrap_or(now + PAGE_EVERY);
+        let at = self.controller.host().next_wake().unwrap_or(now + PAGE_EVERY);
         let left = Duration::from_micros((at - now).as_us().max(0) as u64);
         tokio::select! {
             biased;
@@ -173,18 +173,18 @@
     /// Sends what this moment ordered. While a call's fate is open nothing overtakes it.
     async fn send(&mut self) {
         loop {
-            let again = std::mem::take(&mut self.rules.host().again);
+            let again = std::mem::take(&mut self.controller.host().again);
             if self.lost && !again {
                 return;
             }
-            let fresh = std::mem::take(&mut self.rules.host().commands);
+            let fresh = std::mem::take(&mut self.controller.host().commands);
             self.commands.take(fresh);
             if self.commands.in_hand.is_empty() && !self.lost {
                 return;
             }
             let fate = self.commands.deliver().await;
             let now = self.clock.now();
-            self.rules.host().now = now;
+            self.controller.host().now = now;
             let unfit = matches!(&fate, Fate::Lost(failed) if failed.came == Came::Unfit);
             let unfit_again = std::mem::replace(&mut self.unfit, unfit) && unfit;
             match fate {
@@ -192,20 +192,26 @@
                     if std::mem::take(&mut self.lost) {
                         info!(self.log, "relay takes commands again");
                     }
-                    self.guarded(now, Box::new(|rules, now| rules.commands_taken(now)));
+                    self.guarded(now, Box::new(|controller, now| controller.commands_accepted(now)));
                 }
                 Fate::Declined(command) => {
                     warn!(self.log, "command declined by the relay"; "command" => &command.text);
                     match command.about {
                         About::Bind(proxy) => {
-                            self.guarded(now, Box::new(move |rules, now| rules.bind_declined(now, proxy)));
+                            self.guarded(
+                                now,
+                                Box::new(move |controller, now| controller.assignment_rejected(now, proxy)),
+                            );
                         }
                         About::Line(tbl, id) => {
-                            self.guarded(now, Box::new(move |rules, _| rules.line_declined(tbl, &id)));
+                            self.guarded(
+                                now,
+                                Box::new(move |controller, _| controller.weight_rejected(tbl, &id)),
+                            );
                         }
                         About::Level(_) | About::Withdrawal | About::Mark => {}
                     }
-                    self.rules.host().again = self.lost;
+                    self.controller.host().again = self.lost;
                 }
                 // A call that the relay can't read would stop all that follows, for ever. Said once it may be
                 // the answer that is spoilt, and the call goes again as it was.
@@ -221,7 +227,7 @@
                         warn!(self.log, "commands lost"; "why" => %failed, "commands" => commands);
                     }
                     let unsure = failed.unsure();
-                    self.guarded(now, Box::new(move |rules, now| rules.commands_lost(now, unsure)));
+                    self.guarded(now, Box::new(move |controller, now| controller.commands_lost(now, unsure)));
                     return;
                 }
             }
@@ -230,7 +236,7 @@
 
     /// Controller that break are opened anew from what stands outside, as after a start.
     fn guarded(&mut self, now: Moment, told: Told) {
-        if let Err(cause) = caught(|| told(&mut self.rules, now)) {
+        if let Err(cause) = caught(|| told(&mut self.controller, now)) {
             error!(self.log, "the rules broke"; "cause" => cause);
             self.open_anew(now);
         }
@@ -242,20 +248,20 @@
     fn open_anew(&mut self, now: Moment) {
         error!(self.log, "the rules are opened anew");
         let new = Desk::new(Checks::default(), self.config.names.clone(), now, self.log.clone());
-        let mut desk = std::mem::replace(self.rules.host(), new);
+        let mut desk = std::mem::replace(self.controller.host(), new);
         desk.cleared();
         self.commands.in_hand.clear();
         (self.lost, self.unfit, self.opened) = (false, false, self.opened + 1);
         let (listed, gone) = desk.stands();
         let joined = desk.joined.clone();
         let seed = self.config.seed.wrapping_add(self.opened);
-        self.rules = Controller::open(desk, self.config.controller.clone(), seed, now);
-        let tell = |rules: &mut Controller<Desk>| {
-            rules.list_changed(now, &gone);
-            rules.list_whole(now, &listed);
-            joined.iter().for_each(|(p, (zone, rate))| rules.proxy_joined(now, *p, *zone, *rate, false));
+        self.controller = Controller::start(desk, self.config.controller.clone(), seed, now);
+        let tell = |controller: &mut Controller<Desk>| {
+            controller.endpoints_updated(now, &gone);
+            controller.endpoint_list_replaced(now, &listed);
+            joined.iter().for_each(|(p, (zone, rate))| controller.proxy_joined(now, *p, *zone, *rate, false));
         };
-        if caught(|| tell(&mut self.rules)).is_err() {
+        if caught(|| tell(&mut self.controller)).is_err() {
             error!(self.log, "the rules broke again on what stands");
         }
     }
@@ -268,7 +274,7 @@
         self.paged = now;
         let (calls, lost_calls, opened, lost) =
             (self.commands.calls, self.lost_calls, self.opened, self.lost);
-        let desk = self.rules.host();
+        let desk = self.controller.host();
         let (servers, proxies, ordered) = (desk.servers(), desk.joined.len(), desk.ordered);
         let [dropped, ended, turned_away, config_read, config_refused] = [
             &self.seen.dropped,
--- a/control-plane/src/planner/tests.rs
+++ b/control-plane/src/planner/tests.rs
@@ -16,11 +16,11 @@
 fn rules_that_break_are_opened_anew_and_bind_who_stands() {
     let mut planner = planner();
     let now = planner.clock.now();
-    planner.rules.host().joined(3, 0, 5.0);
+    planner.controller.host().joined(3, 0, 5.0);
     planner.guarded(now, Box::new(|_, _| panic!("index out of range")));
     let later = now + Span::secs(1.0);
-    planner.rules.woke(later, 4);
-    let commands = &planner.rules.host().commands;
+    planner.controller.timer_fired(later, 4);
+    let commands = &planner.controller.host().commands;
     assert_eq!(commands.iter().filter(|o| o.text.contains(r#""node":3"#)).count(), 1);
 }
 
@@ -29,13 +29,13 @@
     let mut planner = planner();
     let now = planner.clock.now();
     let gone = EndpointUpdate { id: "a".into(), ..EndpointUpdate::default() };
-    planner.rules.host().learn(std::slice::from_ref(&gone), false);
-    planner.rules.list_changed(now, std::slice::from_ref(&gone));
+    planner.controller.host().learn(std::slice::from_ref(&gone), false);
+    planner.controller.endpoints_updated(now, std::slice::from_ref(&gone));
     planner.open_anew(now);
     let back = EndpointUpdate { weight: 1.0, state: EndpointState::Ready, ..gone };
-    planner.rules.proxy_joined(now, 3, 0, 5.0, true);
-    planner.rules.list_changed(now + Span::secs(1.0), &[back]);
-    let commands = &planner.rules.host().commands;
+    planner.controller.proxy_joined(now, 3, 0, 5.0, true);
+    planner.controller.endpoints_updated(now + Span::secs(1.0), &[back]);
+    let commands = &planner.controller.host().commands;
     assert!(commands.iter().any(|o| o.text.contains("uneject")));
 }
 
@@ -43,11 +43,11 @@
 fn a_server_that_left_as_the_rules_broke_is_barred() {
     let mut planner = planner();
     let now = planner.clock.now();
-    planner.rules.proxy_joined(now, 3, 0, 5.0, true);
-    planner.rules.woke(now + Span::secs(1.0), 4);
-    planner.rules.host().learn(&[], true);
+    planner.controller.proxy_joined(now, 3, 0, 5.0, true);
+    planner.controller.timer_fired(now + Span::secs(1.0), 4);
+    planner.controller.host().learn(&[], true);
     planner.open_anew(now + Span::secs(1.0));
-    let commands = &planner.rules.host().commands;
+    let commands = &planner.controller.host().commands;
     assert_eq!(commands.iter().filter(|o| o.text.contains(r#""eject""#)).count(), 1);
 }
 
@@ -55,7 +55,7 @@
 fn wake_ups_come_in_the_order_of_their_time() {
     use otterwinch::host::Host;
     let mut planner = planner();
-    let desk = planner.rules.host();
+    let desk = planner.controller.host();
     desk.cleared();
     desk.schedule_timer(Span::secs(2.0), 8);
     desk.schedule_timer(Span::secs(1.0), 9);
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -52,7 +52,7 @@
     let moment = |at: Instant| Moment::from_us(ORIGIN + (at - began).as_micros() as i64);
     let ids: Vec<EndpointId> = nodes.iter().map(|name| name.as_str().into()).collect();
     let places = Rc::new((0..).zip(&ids).map(|(k, id)| (id.clone(), k)).collect());
-    let mut rules = Controller::open(Desk::new(places), controller_config(&fleet), seed, moment(began));
+    let mut controller = Controller::start(Desk::new(places), controller_config(&fleet), seed, moment(began));
     let mut wakes: BinaryHeap<Reverse<(Instant, u64, u64)>> = BinaryHeap::new();
     let mut asked_for = 0;
     let us = |span: Span| Duration::from_micros(span.as_us().max(0) as u64);
@@ -60,11 +60,11 @@
     let mut reports = std::collections::VecDeque::new();
     let mut next_report = Instant::now() + every;
     loop {
-        for (after, label) in std::mem::take(&mut rules.host().wakes) {
+        for (after, label) in std::mem::take(&mut controller.host().wakes) {
             asked_for += 1;
             wakes.push(Reverse((Instant::now() + us(after), asked_for, label)));
         }
-        let commands = std::mem::take(&mut rules.host().commands);
+        let commands = std::mem::take(&mut controller.host().commands);
         if !commands.is_empty() {
             between.take(commands);
         }
@@ -86,15 +86,15 @@
                         }),
                     };
                     let listings: Vec<EndpointUpdate> = told.iter().map(listing).collect();
-                    rules.list_changed(moment(Instant::now()), &listings);
+                    controller.endpoints_updated(moment(Instant::now()), &listings);
                 }
                 Some(Word::Joined { forwarder, hall, rate, fresh }) => {
-                    rules.proxy_joined(moment(Instant::now()), forwarder, hall, rate, fresh);
+                    controller.proxy_joined(moment(Instant::now()), forwarder, hall, rate, fresh);
                 }
-                Some(Word::Left(forwarder)) => rules.proxy_left(moment(Instant::now()), forwarder),
+                Some(Word::Left(forwarder)) => controller.proxy_left(moment(Instant::now()), forwarder),
             },
             Some((mark, forwarder, _)) = applied.recv() => {
-                rules.applied(moment(Instant::now()), mark, forwarder);
+                controller.acknowledged(moment(Instant::now()), mark, forwarder);
             }
             () = sleep_until(next_report) => {
                 next_report += every;
@@ -107,13 +107,13 @@
                 for (_, node, tries, voided, took_us) in report.met {
                     let took = Span::from_us((took_us / (tries - voided).max(1)) as i64);
                     let over = Span::from_us(every.as_micros() as i64);
-                    rules.met(now, &ids[node as usize], tries as f64, voided as f64, took, over);
+                    controller.endpoint_outcomes(now, &ids[node as usize], tries as f64, voided as f64, took, over);
                 }
-                report.asked.iter().for_each(|(_, product, txns)| rules.asked(*product as u32, *txns as f64));
+                report.asked.iter().for_each(|(_, product, txns)| controller.demand(*product as u32, *txns as f64));
             }
             () = sleep_until(wake), if !wakes.is_empty() => {
                 if let Some(Reverse((_, _, label))) = wakes.pop() {
-                    rules.woke(moment(Instant::now()), label);
+                    controller.timer_fired(moment(Instant::now()), label);
                 }
             }
         }
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -99,7 +99,7 @@
 }
 
 pub struct Supervisor {
-    pub rules: Controller<Desk>,
+    pub controller: Controller<Desk>,
     pub plane: Plane,
     pub sums: Sums,
     /// Commands of this instant wait to be gathered.
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -370,12 +370,12 @@
         }
         for k in 0..count {
             let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
-            let rules =
-                Controller::open(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
+            let controller =
+                Controller::start(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
             let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
-            let mut supervisor = Supervisor { rules, plane, sums, gathers: false };
+            let mut supervisor = Supervisor { controller, plane, sums, gathers: false };
             let listed: Vec<EndpointUpdate> = self.nodes.iter().map(listing).collect();
-            supervisor.rules.list_whole(moment(0), &listed);
+            supervisor.controller.endpoint_list_replaced(moment(0), &listed);
             self.supervisors.push(supervisor);
             self.asks(k);
             let every = us(fleet.supervisors.report_every);
@@ -451,17 +451,19 @@
             Event::Cancelled { attempt, life } => self.cancelled(attempt, life),
             Event::Happens(k) => self.befalls(k),
             Event::Second => self.second(),
-            Event::Wake { supervisor, label } => self.hears(supervisor, |s, now| s.rules.woke(now, label)),
+            Event::Wake { supervisor, label } => {
+                self.hears(supervisor, |s, now| s.controller.timer_fired(now, label))
+            }
             Event::Report(supervisor) => self.reports(supervisor),
             Event::Heard { supervisor, report } => self.heard(supervisor, report),
             Event::Listed { supervisor, list } => {
                 let listings = self.lists[list as usize].clone();
-                self.hears(supervisor, |s, now| s.rules.list_changed(now, &listings));
+                self.hears(supervisor, |s, now| s.controller.endpoints_updated(now, &listings));
             }
             Event::Message(message) => self.arrives(message),
             Event::Applied { supervisor, number, forwarder, stream } => {
                 if self.forwarders[forwarder as usize].stream == stream {
-                    self.hears(supervisor, |s, now| s.rules.applied(now, number, forwarder));
+                    self.hears(supervisor, |s, now| s.controller.acknowledged(now, number, forwarder));
                 }
             }
             Event::Gather(supervisor) => self.gathers(supervisor),
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -19,11 +19,11 @@
     /// Takes up a supervisor's wake-ups; its commands of this instant are gathered at the instant's end.
     pub(crate) fn asks(&mut self, number: u32) {
         let supervisor = &mut self.supervisors[number as usize];
-        for (after, label) in std::mem::take(&mut supervisor.rules.host().wakes) {
+        for (after, label) in std::mem::take(&mut supervisor.controller.host().wakes) {
             let at = self.now + us(after).max(1);
             self.queue.push(at, Class::Word, Event::Wake { supervisor: number, label });
         }
-        if !supervisor.gathers && !supervisor.rules.host().commands.is_empty() {
+        if !supervisor.gathers && !supervisor.controller.host().commands.is_empty() {
             supervisor.gathers = true;
             self.queue.push(self.now, Class::Commands, Event::Gather(number));
         }
@@ -39,7 +39,7 @@
         }
         let rate = self.usual_rate(hall);
         self.supervisors[supervisor as usize].plane.joined.insert(number);
-        self.hears(supervisor, |s, now| s.rules.proxy_joined(now, number, hall as u32, rate, fresh));
+        self.hears(supervisor, |s, now| s.controller.proxy_joined(now, number, hall as u32, rate, fresh));
     }
 
     pub(crate) fn leaves(&mut self, number: u32) {
@@ -48,7 +48,7 @@
         let supervisor = forwarder.supervisor;
         if supervisor != NONE {
             self.supervisors[supervisor as usize].plane.leaves(number);
-            self.hears(supervisor, |s, now| s.rules.proxy_left(now, number));
+            self.hears(supervisor, |s, now| s.controller.proxy_left(now, number));
         }
     }
 
@@ -84,10 +84,17 @@
             for (met, id) in sums.met.values().zip(&ids) {
                 let answered = met.tries - met.voided;
                 let took = Span::from_us((met.took_us / u64::from(answered.max(1))) as i64);
-                s.rules.met(now, id, f64::from(met.tries), f64::from(met.voided), took, over);
+                s.controller.endpoint_outcomes(
+                    now,
+                    id,
+                    f64::from(met.tries),
+                    f64::from(met.voided),
+                    took,
+                    over,
+                );
             }
             for (product, txns) in (0..).zip(&sums.asked).filter(|(_, txns)| **txns > 0) {
-                s.rules.asked(product, f64::from(*txns));
+                s.controller.demand(product, f64::from(*txns));
             }
         });
     }
@@ -111,7 +118,7 @@
         let Engine { supervisors, forwarders, .. } = self;
         let supervisor = &mut supervisors[number as usize];
         supervisor.gathers = false;
-        let commands = std::mem::take(&mut supervisor.rules.host().commands);
+        let commands = std::mem::take(&mut supervisor.controller.host().commands);
         let standing = |f: u32, node: u32| forwarders[f as usize].standing.contains(&node);
         let plane = &mut supervisor.plane;
         let gathered = plane.take(commands, standing);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -66,7 +66,7 @@
                 let seed = f.whole("entropy")?;
                 let now = self.now;
                 self.guarded(who, |hosted| {
-                    hosted.instances.insert(who, Controller::open(desk, config, seed, now));
+                    hosted.instances.insert(who, Controller::start(desk, config, seed, now));
                 });
             }
             "DESTROY" => {
@@ -85,17 +85,17 @@
         let now = self.now;
         let call: Call = match f.kind {
             "TOPOLOGY" => match f.whole("form")? {
-                3 => Box::new(|rules| rules.list_failed(now)),
+                3 => Box::new(|controller| controller.endpoint_watch_failed(now)),
                 form @ 0..=2 => {
                     let page = f.whole("page")?;
                     let listings =
                         self.pages.get(&page).ok_or(format!("TOPOLOGY: page {page} never came"))?.clone();
-                    Box::new(move |rules| {
-                        rules.host().checks.learn(listings.iter().map(|l| &l.id));
+                    Box::new(move |controller| {
+                        controller.host().checks.learn(listings.iter().map(|l| &l.id));
                         if form == 0 {
-                            rules.list_changed(now, &listings)
+                            controller.endpoints_updated(now, &listings)
                         } else {
-                            rules.list_whole(now, &listings)
+                            controller.endpoint_list_replaced(now, &listings)
                         }
                     })
                 }
@@ -104,16 +104,16 @@
             "STREAM_UP" => {
                 let (px, zone, fresh) = (f.small("px")?, f.small("campus")?, f.mark("set"));
                 let rate = f.count("weight")?;
-                Box::new(move |rules| {
-                    rules.host().checks.joined(px, true);
-                    rules.proxy_joined(now, px, zone, rate, fresh);
+                Box::new(move |controller| {
+                    controller.host().checks.joined(px, true);
+                    controller.proxy_joined(now, px, zone, rate, fresh);
                 })
             }
             "STREAM_DOWN" => {
                 let px = f.small("px")?;
-                Box::new(move |rules| {
-                    rules.host().checks.joined(px, false);
-                    rules.proxy_left(now, px);
+                Box::new(move |controller| {
+                    controller.host().checks.joined(px, false);
+                    controller.proxy_left(now, px);
                 })
             }
             "HEARD" => {
@@ -121,46 +121,46 @@
                 let (tries, bad) = (f.count("triesN")?, f.count("bad")?);
                 let took = Span::from_us(f.int_or("delaySeenUs", 0)?);
                 let over = Span::from_us(f.int_or("periodLenUs", 0)?);
-                Box::new(move |rules| rules.met(now, id, tries, bad, took, over))
+                Box::new(move |controller| controller.endpoint_outcomes(now, id, tries, bad, took, over))
             }
             "INGRESS" => {
                 let (product, txns) = (f.small("class")?, f.count("triesN")?);
-                Box::new(move |rules| rules.asked(product, txns))
+                Box::new(move |controller| controller.demand(product, txns))
             }
             "BELL" => {
                 let label = f.whole("label")?;
-                Box::new(move |rules| rules.woke(now, label))
+                Box::new(move |controller| controller.timer_fired(now, label))
             }
             "ASSIGNED_TO_ME" => {
                 let (slice, given) = (f.small("mapId")?, f.mark("set"));
-                Box::new(move |rules| {
-                    rules.host().checks.charged(slice, given);
+                Box::new(move |controller| {
+                    controller.host().checks.charged(slice, given);
                     if given {
-                        rules.slice_given(slice)
+                        controller.shard_assigned(slice)
                     } else {
-                        rules.slice_taken(slice)
+                        controller.shard_revoked(slice)
                     }
                 })
             }
             "STORED_LINE" => {
                 let (slice, id, weight) = (f.small("mapId")?, f.text("server")?, f.count("weight")?);
-                Box::new(move |rules| {
+                Box::new(move |controller| {
                     let id = id.into();
-                    rules.host().checks.learn([&id].into_iter());
-                    rules.slice_line(slice, &id, weight)
+                    controller.host().checks.learn([&id].into_iter());
+                    controller.shard_weight_restored(slice, &id, weight)
                 })
             }
             "IN_FORCE" => {
                 let (number, px) = (f.small("epoch")?, f.small("px")?);
-                Box::new(move |rules| rules.applied(now, number, px))
+                Box::new(move |controller| controller.acknowledged(now, number, px))
             }
             // Nothing is decided by these: probes, demand by slice and peers' words.
             "STATUS_BACK" | "KEY_LOAD" | "INBOX" => return Ok(()),
             kind => return Err(format!("message {kind} is unknown")),
         };
         self.guarded(who, |hosted| {
-            if let Some(rules) = hosted.instances.get_mut(&who) {
-                call(rules);
+            if let Some(controller) = hosted.instances.get_mut(&who) {
+                call(controller);
             }
         });
         Ok(())
@@ -177,7 +177,7 @@
 
     fn reply(&mut self) -> Vec<u8> {
         let mut reply = std::mem::take(&mut self.failed);
-        self.instances.values_mut().for_each(|rules| reply.append(&mut rules.host().said));
+        self.instances.values_mut().for_each(|controller| reply.append(&mut controller.host().said));
         reply.extend_from_slice(format!("{{\"kind\":\"FINISHED\",\"serial\":{}}}\n", self.serial).as_bytes());
         reply
     }
--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -15,27 +15,27 @@
 /// ```
 /// use otterwinch::{channel_backlog::ChannelBacklog, time::{Moment, Span}};
 /// let (mut ledger, now) = (ChannelBacklog::new(2.0), Moment::from_us(5));
-/// ledger.note(now, 1, 4.0, 3.0);
-/// ledger.note(now, 2, 2.0, 3.0);
-/// let number = ledger.mark(now).unwrap();
-/// assert_eq!(ledger.waiting(now), 14.0);
-/// ledger.came(now, number, 2);
-/// assert_eq!(ledger.waiting(now), 8.0);
-/// assert_eq!(ledger.waiting(now + Span::secs(1.0)), 6.0);
+/// ledger.record(now, 1, 4.0, 3.0);
+/// ledger.record(now, 2, 2.0, 3.0);
+/// let number = ledger.request_acknowledgement(now).unwrap();
+/// assert_eq!(ledger.queued_lines(now), 14.0);
+/// ledger.acknowledged(now, number, 2);
+/// assert_eq!(ledger.queued_lines(now), 8.0);
+/// assert_eq!(ledger.queued_lines(now + Span::secs(1.0)), 6.0);
 /// assert_eq!(ledger.messages(now, 1, Span::secs(1.0)), (1, Some(now)));
-/// assert_eq!(ledger.again(now + Span::secs(1.0), now), (8.0, Some(2)));
-/// assert_eq!(ledger.waiting(now + Span::secs(1.0)), 15.0);
+/// assert_eq!(ledger.record_resend(now + Span::secs(1.0), now), (8.0, Some(2)));
+/// assert_eq!(ledger.queued_lines(now + Span::secs(1.0)), 15.0);
 /// ```
 #[derive(Debug, Default)]
 pub struct ChannelBacklog {
     /// Lines a second that leave whatever happens.
     pace: f64,
     /// All lines ever ordered, heads and marks included.
-    pub ordered: f64,
+    pub recorded_lines: f64,
     waiting: (f64, Moment),
     replies: VecDeque<Reply>,
     /// When something was ordered last, or an answer told what has come.
-    pub spoken: Moment,
+    pub last_activity: Moment,
     sent: BTreeMap<u32, VecDeque<Moment>>,
     numbered: u32,
 }
@@ -51,22 +51,22 @@
     }
 
     /// The most that may still wait.
-    pub fn waiting(&self, now: Moment) -> f64 {
+    pub fn queued_lines(&self, now: Moment) -> f64 {
         (self.waiting.0 - (now - self.waiting.1).as_secs() * self.pace).max(0.0)
     }
 
     /// Lines for a proxy. Those of one moment make one message with one head.
-    pub fn note(&mut self, now: Moment, proxy: u32, lines: f64, head: f64) {
+    pub fn record(&mut self, now: Moment, proxy: u32, lines: f64, head: f64) {
         if self.replies.back().is_none_or(|reply| reply.at != now) {
             // Where nothing can wait any more, no answer can tell anything new.
-            if self.waiting(now) <= 0.0 {
+            if self.queued_lines(now) <= 0.0 {
                 self.replies.clear();
             }
             // Nobody was asked about it: it is among the lines before the next.
             if self.replies.back().is_some_and(|reply| reply.number == 0) {
                 self.replies.pop_back();
             }
-            let (before, lines) = (self.ordered, BTreeMap::new());
+            let (before, lines) = (self.recorded_lines, BTreeMap::new());
             self.replies.push_back(Reply { at: now, number: 0, before, lines });
             self.replies.drain(..self.replies.len().saturating_sub(Self::KEPT));
         }
@@ -77,20 +77,21 @@
         if first {
             self.sent.entry(proxy).or_default().push_back(now);
         }
-        (self.waiting, self.ordered) = ((self.waiting(now) + lines, now), self.ordered + lines);
-        self.spoken = now;
+        (self.waiting, self.recorded_lines) =
+            ((self.queued_lines(now) + lines, now), self.recorded_lines + lines);
+        self.last_activity = now;
     }
 
     /// A moment's messages once more, as ones of this moment: they may leave twice. Tells lines and number.
-    pub fn again(&mut self, now: Moment, moment: Moment) -> (f64, Option<u32>) {
+    pub fn record_resend(&mut self, now: Moment, moment: Moment) -> (f64, Option<u32>) {
         let latest = self.replies.back().filter(|reply| reply.at == moment);
         let lines = latest.map(|reply| reply.lines.clone()).unwrap_or_default();
-        lines.iter().for_each(|(proxy, lines)| self.note(now, *proxy, *lines, 0.0));
-        (lines.values().sum(), self.mark(now))
+        lines.iter().for_each(|(proxy, lines)| self.record(now, *proxy, *lines, 0.0));
+        (lines.values().sum(), self.request_acknowledgement(now))
     }
 
     /// A number for this moment's messages, each a line longer for it; nothing where there are none.
-    pub fn mark(&mut self, now: Moment) -> Option<u32> {
+    pub fn request_acknowledgement(&mut self, now: Moment) -> Option<u32> {
         let reply = self.replies.back_mut().filter(|reply| reply.at == now)?;
         if reply.number == 0 {
             self.numbered = self.numbered % 65_535 + 1;
@@ -98,17 +99,17 @@
         }
         reply.lines.values_mut().for_each(|lines| *lines += 1.0);
         let lines = reply.lines.len() as f64;
-        (self.waiting.0, self.ordered) = (self.waiting.0 + lines, self.ordered + lines);
+        (self.waiting.0, self.recorded_lines) = (self.waiting.0 + lines, self.recorded_lines + lines);
         Some(reply.number)
     }
 
     /// A marked message came: it and all that was ordered before its moment have left.
-    pub fn came(&mut self, now: Moment, number: u32, proxy: u32) {
+    pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
         if let Some(place) = self.replies.iter().position(|reply| reply.number == number) {
             self.replies.drain(..place);
             self.replies[0].before += self.replies[0].lines.remove(&proxy).unwrap_or(0.0);
-            let left = self.ordered - self.replies[0].before;
-            (self.waiting, self.spoken) = ((self.waiting(now).min(left), now), now);
+            let left = self.recorded_lines - self.replies[0].before;
+            (self.waiting, self.last_activity) = ((self.queued_lines(now).min(left), now), now);
         }
     }
 
@@ -120,15 +121,15 @@
     }
 
     /// How much is remembered: rows of proxies, and times of messages.
-    pub fn kept(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         self.replies.iter().map(|reply| reply.lines.len()).sum::<usize>()
             + self.sent.values().map(VecDeque::len).sum::<usize>()
     }
 
     /// A proxy's stream broke: what waited for it is lost, and nobody will tell that it came.
-    pub fn left(&mut self, now: Moment, proxy: u32) {
+    pub fn proxy_left(&mut self, now: Moment, proxy: u32) {
         self.sent.remove(&proxy);
         let lost: f64 = self.replies.iter_mut().filter_map(|reply| reply.lines.remove(&proxy)).sum();
-        self.waiting = ((self.waiting(now) - lost).max(0.0), now);
+        self.waiting = ((self.queued_lines(now) - lost).max(0.0), now);
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -124,7 +124,7 @@
 }
 
 impl<H: Host> Controller<H> {
-    pub fn open(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
+    pub fn start(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
         if config.polls_endpoint_list {
             host.watch_endpoints();
         }
@@ -153,14 +153,14 @@
         &mut self.host
     }
 
-    pub fn list_whole(&mut self, now: Moment, listings: &[EndpointUpdate]) {
+    pub fn endpoint_list_replaced(&mut self, now: Moment, listings: &[EndpointUpdate]) {
         let listed: BTreeSet<&EndpointId> = listings.iter().map(|l| &l.id).collect();
         let dropped = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
         dropped.for_each(|(_, server)| server.stands(now, EndpointState::Removed));
-        self.list_changed(now, listings);
+        self.endpoints_updated(now, listings);
     }
 
-    pub fn list_changed(&mut self, now: Moment, listings: &[EndpointUpdate]) {
+    pub fn endpoints_updated(&mut self, now: Moment, listings: &[EndpointUpdate]) {
         for l in listings {
             let new = || Endpoint { left: now, ..Endpoint::default() };
             let server = self.servers.entry(l.id.clone()).or_insert_with(new);
@@ -179,7 +179,7 @@
 
     /// A call to the list failed or the subscription dropped: what is known stays, and it is asked again, the
     /// first time at once: a drain that was told meanwhile has its grace running.
-    pub fn list_failed(&mut self, now: Moment) {
+    pub fn endpoint_watch_failed(&mut self, now: Moment) {
         let again = self.held.list_failed.replace(now).is_some_and(|l| now - l < SUBSCRIBE_AGAIN * 2.0);
         let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.unit()) } else { Span::ZERO };
         self.host.schedule_timer(pause, SUBSCRIBE);
@@ -220,10 +220,18 @@
 
     pub fn proxy_left(&mut self, now: Moment, proxy: u32) {
         self.proxies.remove(&proxy);
-        self.ledger.left(now, proxy);
-    }
-
-    pub fn met(&mut self, now: Moment, id: &str, tries: f64, voided: f64, took: Span, over: Span) {
+        self.ledger.proxy_left(now, proxy);
+    }
+
+    pub fn endpoint_outcomes(
+        &mut self,
+        now: Moment,
+        id: &str,
+        tries: f64,
+        voided: f64,
+        took: Span,
+        over: Span,
+    ) {
         let Some(server) = self.servers.get_mut(id) else { return };
         let answered = (tries - voided).max(0.0);
         self.pulse.count(tries, answered);
@@ -237,15 +245,15 @@
         }
     }
 
-    pub fn asked(&mut self, product: u32, txns: f64) {
+    pub fn demand(&mut self, product: u32, txns: f64) {
         self.pulse.asked.get_mut(product as usize).into_iter().for_each(|asked| *asked += txns);
     }
 
-    pub fn applied(&mut self, now: Moment, number: u32, proxy: u32) {
-        self.ledger.came(now, number, proxy);
+    pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
+        self.ledger.acknowledged(now, number, proxy);
     }
 
-    pub fn woke(&mut self, now: Moment, label: u64) {
+    pub fn timer_fired(&mut self, now: Moment, label: u64) {
         self.held.wakes.remove(&label);
         match label {
             SUBSCRIBE => return self.host.watch_endpoints(),
@@ -418,7 +426,8 @@
     pub fn commands_lost(&mut self, now: Moment, unsure: bool) {
         self.held.unanswered = true;
         // Rule 5: were they carried out, their lines wait twice; a mark of the repeat's tells when it came.
-        let (lines, number) = if unsure { self.ledger.again(now, self.held.moment) } else { (0.0, None) };
+        let (lines, number) =
+            if unsure { self.ledger.record_resend(now, self.held.moment) } else { (0.0, None) };
         if let Some(number) = number {
             self.host.request_acknowledgement(number);
             self.held.moment = now;
@@ -426,18 +435,18 @@
         self.host.schedule_timer(LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)), REPEAT);
     }
 
-    pub fn commands_taken(&mut self, now: Moment) {
+    pub fn commands_accepted(&mut self, now: Moment) {
         if std::mem::take(&mut self.held.unanswered) {
             self.turn(now);
         }
     }
 
-    pub fn bind_declined(&mut self, now: Moment, proxy: u32) {
+    pub fn assignment_rejected(&mut self, now: Moment, proxy: u32) {
         self.proxies.get_mut(&proxy).into_iter().for_each(|p| (p.bound, p.joined) = (false, now));
         self.look();
     }
 
-    pub fn line_declined(&mut self, tbl: u32, id: &EndpointId) {
+    pub fn weight_rejected(&mut self, tbl: u32, id: &EndpointId) {
         self.tbls.get_mut(&tbl).and_then(|tbl| tbl.lines.remove(id));
         self.look();
     }
@@ -461,23 +470,26 @@
         let thin = lost > self.servers.len() as f64 * THIN && self.proxies.values().any(|p| !p.bound);
         // What can't wait goes once the queue is short: put behind a long one it comes no sooner, and what
         // else leaves meanwhile would cost every proxy a message more.
-        let clear = self.ledger.waiting(now) <= self.lines_may_wait(false);
+        let clear = self.ledger.queued_lines(now) <= self.lines_may_wait(false);
         let late = self.publish(now, now >= self.held.gathered && !thin, clear) | self.bar(now, clear);
         if late {
             self.look();
         } else {
             self.bind_waiting(now);
         }
-        let waiting = self.ledger.waiting(now);
+        let waiting = self.ledger.queued_lines(now);
         let through = Span::secs(waiting / self.config.channel_rate.max(1.0)) + self.config.max_transit * 2.0;
-        if waiting > self.lines_may_wait(false) && now - self.ledger.spoken > through {
+        if waiting > self.lines_may_wait(false) && now - self.ledger.last_activity > through {
             // All answers due are lost, with their proxies or with the event stream: one is asked anew.
             let asked = self.proxies_that(|p| self.usable(p.tbl));
             let place = (asked.len() as f64 * self.chance.unit()) as usize;
             asked.get(place).into_iter().for_each(|proxy| self.bind(now, *proxy));
         }
-        if self.ledger.waiting(now) > self.config.max_queued_lines * MARKED_FROM {
-            self.ledger.mark(now).into_iter().for_each(|number| self.host.request_acknowledgement(number));
+        if self.ledger.queued_lines(now) > self.config.max_queued_lines * MARKED_FROM {
+            self.ledger
+                .request_acknowledgement(now)
+                .into_iter()
+                .for_each(|number| self.host.request_acknowledgement(number));
         }
     }
 
@@ -509,7 +521,7 @@
             |n| changed.iter().map(|(_, users, c)| users.len() as f64 * each(lines(n, c))).sum::<f64>();
         let room = self.room(now, true, &reached);
         let n = if clear { self.piece(whole, room, cost) } else { 0 };
-        let paid = self.ledger.ordered + if n > 0 { cost(n) } else { 0.0 };
+        let paid = self.ledger.recorded_lines + if n > 0 { cost(n) } else { 0.0 };
         let mut late = n < whole;
         let due = due && !late;
         // The table that has waited longest first, or one that always changes would take all the room.
@@ -531,7 +543,7 @@
             changes.retain(|c| goes(n, c) || !c.urgent && more > 0 && (more -= 1, true).1);
             self.send(now, number, changes, n == whole, &users);
         }
-        let took = (self.ledger.ordered - paid) / self.config.channel_rate.max(1.0);
+        let took = (self.ledger.recorded_lines - paid) / self.config.channel_rate.max(1.0);
         if took > 0.0 {
             self.held.gathered = now + Span::secs(took * SPARING);
         }
@@ -561,7 +573,7 @@
         let (whole, since) = (self.strays_cost(leaving.len()), self.held.barring.unwrap_or(now));
         let patience = (self.config.drain_grace - self.config.max_transit) * PATIENCE;
         // Else each moment's few would cost all who wait a message.
-        let idle = whole + self.ledger.waiting(now) <= self.config.max_queued_lines * MARKED_FROM;
+        let idle = whole + self.ledger.queued_lines(now) <= self.config.max_queued_lines * MARKED_FROM;
         if !idle && whole > 0.0 && now - since < patience {
             self.held.barring = Some(since);
             self.look();
@@ -608,7 +620,7 @@
 
     fn tell_strays(&mut self, now: Moment, withdrawals: usize) {
         for (proxy, lines, head) in self.strays(withdrawals).collect::<Vec<_>>() {
-            self.ledger.note(now, proxy, lines, head);
+            self.ledger.record(now, proxy, lines, head);
         }
     }
 
@@ -636,7 +648,7 @@
         if commands > 0 {
             tbl.sent = now;
             for proxy in users {
-                self.ledger.note(now, *proxy, f64::from(commands), self.config.message_overhead_lines);
+                self.ledger.record(now, *proxy, f64::from(commands), self.config.message_overhead_lines);
             }
             self.tell_strays(now, back);
         }
@@ -652,7 +664,7 @@
         queue.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         for (_, _, proxy) in queue {
             let Proxy { tbl: number, joined, fresh, .. } = self.proxies[&proxy];
-            let (lines, waiting) = (self.tbls[&number].sent_by_a_bind(), self.ledger.waiting(now));
+            let (lines, waiting) = (self.tbls[&number].sent_by_a_bind(), self.ledger.queued_lines(now));
             if now - joined < JOINS_GATHERED || waiting > 1.0 && waiting + head + lines > most {
                 self.look();
             } else if self.usable(number) || fresh && now - joined >= JOIN_BUDGET {
@@ -671,7 +683,7 @@
         let bound = self.proxies.get_mut(&proxy).expect("a joined proxy");
         (bound.bound, bound.reached) = (true, true);
         self.host.assign_table(proxy, bound.tbl);
-        self.ledger.note(
+        self.ledger.record(
             now,
             proxy,
             self.tbls[&bound.tbl].sent_by_a_bind(),
@@ -736,7 +748,7 @@
                 return 0.0;
             }
         }
-        let waiting = self.ledger.waiting(now);
+        let waiting = self.ledger.queued_lines(now);
         // Whatever the limits, an idle channel takes a line to all.
         let least =
             proxies.len() as f64 * (self.config.message_overhead_lines + self.levels.len() as f64 + 1.0);
@@ -818,15 +830,15 @@
         }
     }
 
-    pub fn slice_given(&mut self, slice: u32) {
+    pub fn shard_assigned(&mut self, slice: u32) {
         self.slices.insert(slice, Shard::default());
     }
 
-    pub fn slice_line(&mut self, slice: u32, id: &EndpointId, weight: f64) {
+    pub fn shard_weight_restored(&mut self, slice: u32, id: &EndpointId, weight: f64) {
         self.slices.entry(slice).or_default().lines.insert(id.clone(), weight);
     }
 
-    pub fn slice_taken(&mut self, slice: u32) {
+    pub fn shard_revoked(&mut self, slice: u32) {
         self.slices.remove(&slice);
     }
 
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -97,12 +97,12 @@
 
 /// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
 pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> Controller<Recorder> {
-    let mut rules = Controller::open(Recorder::default(), config, 7, at(0.0));
+    let mut controller = Controller::start(Recorder::default(), config, 7, at(0.0));
     let listings: Vec<EndpointUpdate> =
         ids.iter().map(|id| listing(id, 0, EndpointState::Ready, None)).collect();
-    rules.list_whole(at(0.0), &listings);
-    (0..proxies).for_each(|proxy| rules.proxy_joined(at(0.0), proxy, 0, 10.0, true));
-    rules.woke(at(0.2), 4);
-    rules.host().said.clear();
-    rules
+    controller.endpoint_list_replaced(at(0.0), &listings);
+    (0..proxies).for_each(|proxy| controller.proxy_joined(at(0.0), proxy, 0, 10.0, true));
+    controller.timer_fired(at(0.2), 4);
+    controller.host().said.clear();
+    controller
 }
