--- a/control-plane/src/desk.rs
+++ b/control-plane/src/desk.rs
@@ -2,7 +2,9 @@
 //! what stands outside so that rules that broke can be opened anew.
 
 use crate::config::Names;
-use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
+use otterwinch::host::{
+    EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer,
+};
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
@@ -36,7 +38,7 @@
     pub again: bool,
     /// The present moment, from which wake-ups count.
     pub now: Moment,
-    wakes: BinaryHeap<Reverse<(Moment, u64, u64)>>,
+    wakes: BinaryHeap<Reverse<(Moment, u64, Timer)>>,
     woken: u64,
     /// Whatever was listed and is not forgotten, as it was listed last.
     listed: BTreeMap<EndpointId, EndpointUpdate>,
@@ -120,8 +122,8 @@
         self.wakes.peek().map(|wake| wake.0 .0)
     }
 
-    /// The label of a wake-up that is due.
-    pub fn due(&mut self, now: Moment) -> Option<u64> {
+    /// The timer that is due.
+    pub fn due(&mut self, now: Moment) -> Option<Timer> {
         self.next_wake().filter(|at| *at <= now)?;
         self.wakes.pop().map(|wake| wake.0 .2)
     }
@@ -188,8 +190,8 @@
         self.follow.notify_one();
     }
 
-    fn schedule_timer(&mut self, after: Span, label: u64) {
+    fn schedule_timer(&mut self, after: Span, timer: Timer) {
         self.woken += 1;
-        self.wakes.push(Reverse((self.now + after, self.woken, label)));
+        self.wakes.push(Reverse((self.now + after, self.woken, timer)));
     }
 }
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -150,8 +150,8 @@
             }
             next = None;
         }
-        while let Some(label) = self.controller.host().due(now) {
-            self.guarded(now, Box::new(move |controller, now| controller.timer_fired(now, label)));
+        while let Some(timer) = self.controller.host().due(now) {
+            self.guarded(now, Box::new(move |controller, now| controller.timer_fired(now, timer)));
         }
         self.send().await;
         self.report();
--- a/control-plane/src/planner/tests.rs
+++ b/control-plane/src/planner/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use otterwinch::host::{EndpointState, EndpointUpdate};
+use otterwinch::host::{EndpointState, EndpointUpdate, Timer};
 use slog::{o, Discard};
 
 fn planner() -> Planner {
@@ -19,7 +19,7 @@
     planner.controller.host().joined(3, 0, 5.0);
     planner.guarded(now, Box::new(|_, _| panic!("index out of range")));
     let later = now + Span::secs(1.0);
-    planner.controller.timer_fired(later, 4);
+    planner.controller.timer_fired(later, Timer::Recheck);
     let commands = &planner.controller.host().commands;
     assert_eq!(commands.iter().filter(|o| o.text.contains(r#""node":3"#)).count(), 1);
 }
@@ -44,7 +44,7 @@
     let mut planner = planner();
     let now = planner.clock.now();
     planner.controller.proxy_joined(now, 3, 0, 5.0, true);
-    planner.controller.timer_fired(now + Span::secs(1.0), 4);
+    planner.controller.timer_fired(now + Span::secs(1.0), Timer::Recheck);
     planner.controller.host().learn(&[], true);
     planner.open_anew(now + Span::secs(1.0));
     let commands = &planner.controller.host().commands;
@@ -57,8 +57,11 @@
     let mut planner = planner();
     let desk = planner.controller.host();
     desk.cleared();
-    desk.schedule_timer(Span::secs(2.0), 8);
-    desk.schedule_timer(Span::secs(1.0), 9);
+    desk.schedule_timer(Span::secs(2.0), Timer::Heartbeat);
+    desk.schedule_timer(Span::secs(1.0), Timer::Resend);
     let late = desk.now + Span::secs(3.0);
-    assert_eq!([desk.due(late), desk.due(late), desk.due(late)], [Some(9), Some(8), None]);
+    assert_eq!(
+        [desk.due(late), desk.due(late), desk.due(late)],
+        [Some(Timer::Resend), Some(Timer::Heartbeat), None]
+    );
 }
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -5,7 +5,7 @@
 use crate::plane::{Applied, Between};
 use crate::word::report;
 use otterwinch::controller::Controller;
-use otterwinch::host::{EndpointId, EndpointUpdate};
+use otterwinch::host::{EndpointId, EndpointUpdate, Timer};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Fleet;
 use otterwinch_simulation::control::Desk;
@@ -53,16 +53,16 @@
     let ids: Vec<EndpointId> = nodes.iter().map(|name| name.as_str().into()).collect();
     let places = Rc::new((0..).zip(&ids).map(|(k, id)| (id.clone(), k)).collect());
     let mut controller = Controller::start(Desk::new(places), controller_config(&fleet), seed, moment(began));
-    let mut wakes: BinaryHeap<Reverse<(Instant, u64, u64)>> = BinaryHeap::new();
+    let mut wakes: BinaryHeap<Reverse<(Instant, u64, Timer)>> = BinaryHeap::new();
     let mut asked_for = 0;
     let us = |span: Span| Duration::from_micros(span.as_us().max(0) as u64);
     let (every, late) = (us(fleet.supervisors.report_every), us(fleet.supervisors.report_late));
     let mut reports = std::collections::VecDeque::new();
     let mut next_report = Instant::now() + every;
     loop {
-        for (after, label) in std::mem::take(&mut controller.host().wakes) {
+        for (after, timer) in std::mem::take(&mut controller.host().wakes) {
             asked_for += 1;
-            wakes.push(Reverse((Instant::now() + us(after), asked_for, label)));
+            wakes.push(Reverse((Instant::now() + us(after), asked_for, timer)));
         }
         let commands = std::mem::take(&mut controller.host().commands);
         if !commands.is_empty() {
@@ -112,8 +112,8 @@
                 report.asked.iter().for_each(|(_, product, txns)| controller.demand(*product as u32, *txns as f64));
             }
             () = sleep_until(wake), if !wakes.is_empty() => {
-                if let Some(Reverse((_, _, label))) = wakes.pop() {
-                    controller.timer_fired(moment(Instant::now()), label);
+                if let Some(Reverse((_, _, timer))) = wakes.pop() {
+                    controller.timer_fired(moment(Instant::now()), timer);
                 }
             }
         }
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -3,7 +3,7 @@
 use crate::queue::Time;
 use crate::table::{Level, Table, Version};
 use otterwinch::controller::Controller;
-use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy};
+use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Supervisors;
 use rustc_hash::FxHashMap;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct Desk {
     pub commands: Vec<Command>,
-    pub wakes: Vec<(Span, u64)>,
+    pub wakes: Vec<(Span, Timer)>,
     places: Rc<FxHashMap<EndpointId, u32>>,
 }
 
@@ -71,8 +71,8 @@
     // Calls to the relay are not lost in these plays, and the list follows without being asked.
     fn resend_commands(&mut self) {}
     fn watch_endpoints(&mut self) {}
-    fn schedule_timer(&mut self, after: Span, label: u64) {
-        self.wakes.push((after, label));
+    fn schedule_timer(&mut self, after: Span, timer: Timer) {
+        self.wakes.push((after, timer));
     }
 }
 
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::table::{Level, Lines, Version};
 use crate::tally::Tally;
 use otterwinch::controller::Controller;
-use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy};
+use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
 use otterwinch::time::Span;
 use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{Fleet, Group, Speed};
@@ -87,7 +87,7 @@
     Cancelled { attempt: u32, life: u32 },
     Happens(u32),
     Second,
-    Wake { supervisor: u32, label: u64 },
+    Wake { supervisor: u32, timer: Timer },
     Report(u32),
     Heard { supervisor: u32, report: u32 },
     Listed { supervisor: u32, list: u32 },
@@ -451,8 +451,8 @@
             Event::Cancelled { attempt, life } => self.cancelled(attempt, life),
             Event::Happens(k) => self.befalls(k),
             Event::Second => self.second(),
-            Event::Wake { supervisor, label } => {
-                self.hears(supervisor, |s, now| s.controller.timer_fired(now, label))
+            Event::Wake { supervisor, timer } => {
+                self.hears(supervisor, |s, now| s.controller.timer_fired(now, timer))
             }
             Event::Report(supervisor) => self.reports(supervisor),
             Event::Heard { supervisor, report } => self.heard(supervisor, report),
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -19,9 +19,9 @@
     /// Takes up a supervisor's wake-ups; its commands of this instant are gathered at the instant's end.
     pub(crate) fn asks(&mut self, number: u32) {
         let supervisor = &mut self.supervisors[number as usize];
-        for (after, label) in std::mem::take(&mut supervisor.controller.host().wakes) {
+        for (after, timer) in std::mem::take(&mut supervisor.controller.host().wakes) {
             let at = self.now + us(after).max(1);
-            self.queue.push(at, Class::Word, Event::Wake { supervisor: number, label });
+            self.queue.push(at, Class::Word, Event::Wake { supervisor: number, timer });
         }
         if !supervisor.gathers && !supervisor.controller.host().commands.is_empty() {
             supervisor.gathers = true;
--- a/simulator-adapter/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -2,7 +2,7 @@
 //! fault, so that a slip in the rules costs a command and not the process.
 
 use otterwinch::config::ControllerConfig;
-use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy};
+use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::Span;
 use otterwinch_adapter_support::Checks;
 use serde_json::{json, Value};
@@ -72,8 +72,12 @@
         self.say(Ok(()), "FOLLOW", json!({"set": true}));
     }
 
-    fn schedule_timer(&mut self, after: Span, label: u64) {
+    fn schedule_timer(&mut self, after: Span, timer: Timer) {
         let longest = 70 * 60 * 1_000_000;
-        self.say(Ok(()), "TIMER", json!({"afterUs": after.as_us().clamp(1, longest), "label": label}));
+        self.say(
+            Ok(()),
+            "TIMER",
+            json!({"afterUs": after.as_us().clamp(1, longest), "label": timer.label()}),
+        );
     }
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 
 use desk::Desk;
 use otterwinch::controller::Controller;
-use otterwinch::host::EndpointUpdate;
+use otterwinch::host::{EndpointUpdate, Timer};
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{caught, controller_config, Fields};
 use std::collections::BTreeMap;
@@ -129,7 +129,9 @@
             }
             "BELL" => {
                 let label = f.whole("label")?;
-                Box::new(move |controller| controller.timer_fired(now, label))
+                let timer =
+                    Timer::from_label(label).ok_or_else(|| format!("BELL: timer {label} is unknown"))?;
+                Box::new(move |controller| controller.timer_fired(now, timer))
             }
             "ASSIGNED_TO_ME" => {
                 let (slice, given) = (f.small("mapId")?, f.mark("set"));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -9,7 +9,7 @@
 use crate::channel_backlog::ChannelBacklog;
 use crate::config::{AdmissionMode, ControllerConfig};
 use crate::histogram::Histogram;
-use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
 use crate::seeded_rng::SeededRng;
 use crate::state::{
     weigh, Candidate, Change, Endpoint, FleetLoad, Proxy, PublicationState, RouteTable, RoutingSnapshot,
@@ -18,12 +18,6 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-const TURN: u64 = 1;
-const HEARTBEAT: u64 = 2;
-const SUBSCRIBE: u64 = 3;
-const LOOK: u64 = 4;
-const REPEAT: u64 = 5;
-
 /// The design's open values: the gathering of changes, the heartbeat, the budget of a first join.
 const GATHER: Span = Span::from_us(1_000_000);
 const HEARTBEAT_EVERY: Span = Span::from_us(3_000_000);
@@ -128,7 +122,7 @@
         if config.polls_endpoint_list {
             host.watch_endpoints();
         }
-        host.schedule_timer(GATHER, TURN);
+        host.schedule_timer(GATHER, Timer::Evaluation);
         let all = if config.admission == AdmissionMode::RatePerSecond { 1e6 } else { 1.0 };
         let mut chance = SeededRng::new(seed);
         let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
@@ -182,7 +176,7 @@
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
         let again = self.held.list_failed.replace(now).is_some_and(|l| now - l < SUBSCRIBE_AGAIN * 2.0);
         let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.unit()) } else { Span::ZERO };
-        self.host.schedule_timer(pause, SUBSCRIBE);
+        self.host.schedule_timer(pause, Timer::WatchRetry);
     }
 
     fn ready(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
@@ -213,8 +207,8 @@
     }
 
     fn look(&mut self) {
-        if self.held.wakes.insert(LOOK) {
-            self.host.schedule_timer(LOOK_AGAIN, LOOK);
+        if self.held.wakes.insert(Timer::Recheck) {
+            self.host.schedule_timer(LOOK_AGAIN, Timer::Recheck);
         }
     }
 
@@ -253,12 +247,12 @@
         self.ledger.acknowledged(now, number, proxy);
     }
 
-    pub fn timer_fired(&mut self, now: Moment, label: u64) {
-        self.held.wakes.remove(&label);
-        match label {
-            SUBSCRIBE => return self.host.watch_endpoints(),
-            REPEAT => return self.host.resend_commands(),
-            TURN => {
+    pub fn timer_fired(&mut self, now: Moment, timer: Timer) {
+        self.held.wakes.remove(&timer);
+        match timer {
+            Timer::WatchRetry => return self.host.watch_endpoints(),
+            Timer::Resend => return self.host.resend_commands(),
+            Timer::Evaluation => {
                 self.pulse.over = self.pulse.over + GATHER;
                 self.judge(now);
                 self.shed(now);
@@ -267,7 +261,7 @@
                 (self.pulse.tries, self.pulse.answered) = (self.pulse.tries / 2.0, self.pulse.answered / 2.0);
                 self.pulse.peak = (self.pulse.peak * PEAK_KEPT).max(self.ready_weight());
                 self.forget(now);
-                self.host.schedule_timer(GATHER, TURN);
+                self.host.schedule_timer(GATHER, Timer::Evaluation);
             }
             _ => {}
         }
@@ -432,7 +426,10 @@
             self.host.request_acknowledgement(number);
             self.held.moment = now;
         }
-        self.host.schedule_timer(LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)), REPEAT);
+        self.host.schedule_timer(
+            LOOK_AGAIN + Span::secs(lines / self.config.channel_rate.max(1.0)),
+            Timer::Resend,
+        );
     }
 
     pub fn commands_accepted(&mut self, now: Moment) {
@@ -669,8 +666,9 @@
                 self.look();
             } else if self.usable(number) || fresh && now - joined >= JOIN_BUDGET {
                 self.bind(now, proxy);
-            } else if self.held.wakes.insert(HEARTBEAT) {
-                self.host.schedule_timer(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.unit()), HEARTBEAT);
+            } else if self.held.wakes.insert(Timer::Heartbeat) {
+                self.host
+                    .schedule_timer(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.unit()), Timer::Heartbeat);
             }
         }
     }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -75,7 +75,7 @@
     controller.servers.get_mut("a").unwrap().heard = Some(at(1.5));
     controller.servers.get_mut("a").unwrap().standing = Removed;
     controller.tbls.get_mut(&0).unwrap().carried = Some(at(2.0));
-    controller.timer_fired(at(3.0), LOOK);
+    controller.timer_fired(at(3.0), Timer::Recheck);
     assert!(said(&mut controller).contains("withdraw a true"));
 }
 
@@ -148,7 +148,7 @@
 fn a_zone_without_servers_uses_the_others_in_full() {
     let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
     controller.proxy_joined(at(1.0), 1, 5, 10.0, true);
-    controller.timer_fired(at(1.2), LOOK);
+    controller.timer_fired(at(1.2), Timer::Recheck);
     assert_eq!(controller.host.weight(6 * ARCS, "a"), Some(2.0));
 }
 
@@ -167,7 +167,7 @@
     let fleet = (0..120).map(|k| listing(&format!("s{k}"), k % 2, Ready, None));
     controller.endpoint_list_replaced(at(0.5), &fleet.collect::<Vec<_>>());
     (0..60).for_each(|proxy| controller.proxy_joined(at(0.6), proxy, proxy % 2, 10.0, true));
-    controller.timer_fired(at(0.8), LOOK);
+    controller.timer_fired(at(0.8), Timer::Recheck);
     controller
 }
 
@@ -188,7 +188,7 @@
     let mut controller = tight();
     let new: Vec<_> = (0..8).map(|k| listing(&format!("n{k}"), k % 2, Ready, Some(at(1.0)))).collect();
     controller.endpoints_updated(at(2.0), &new);
-    controller.timer_fired(at(4.0), TURN);
+    controller.timer_fired(at(4.0), Timer::Evaluation);
     let out = controller.host.said.iter().filter(|s| s.starts_with("line") && s.ends_with(" 0"));
     assert!(out.count() <= 16);
 }
@@ -197,7 +197,7 @@
 fn a_bind_waits_for_a_usable_server() {
     let mut controller = running(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
-    controller.timer_fired(at(9.0), HEARTBEAT);
+    controller.timer_fired(at(9.0), Timer::Heartbeat);
     assert_eq!(controller.host.count("bind"), 0);
 }
 
@@ -205,7 +205,7 @@
 fn a_first_join_gets_the_best_there_is_once_the_budget_is_spent() {
     let mut controller = running(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 9, 10.0, true);
-    controller.timer_fired(at(6.5), HEARTBEAT);
+    controller.timer_fired(at(6.5), Timer::Heartbeat);
     assert_eq!(controller.host.count("bind 4 "), 1);
 }
 
@@ -221,7 +221,7 @@
 fn binds_wait_for_room_in_the_channel() {
     let mut controller = running(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
     (0..400).for_each(|proxy| controller.proxy_joined(at(1.0), proxy, 0, 10.0, true));
-    controller.timer_fired(at(1.2), LOOK);
+    controller.timer_fired(at(1.2), Timer::Recheck);
     let bound = controller.host.count("bind");
     let fits = 1000.0 * MOST_LINES * ORDINARY_LINES;
     assert!(bound as f64 * 7.0 <= fits && (bound + 1) as f64 * 7.0 > fits);
@@ -251,7 +251,7 @@
 fn a_long_queue_asks_what_has_come_and_counts_it_off() {
     let mut controller = running(config(), &["a"], 0);
     (0..40).for_each(|proxy| controller.proxy_joined(at(1.0), proxy, 0, 10.0, true));
-    controller.timer_fired(at(1.2), LOOK);
+    controller.timer_fired(at(1.2), Timer::Recheck);
     let waiting = controller.ledger.queued_lines(at(1.3));
     controller.acknowledged(at(1.3), 1, 7);
     assert!(controller.host.count("mark 1") == 1 && controller.ledger.queued_lines(at(1.3)) < waiting);
@@ -303,7 +303,7 @@
 fn a_proxy_that_joins_again_is_bound_again() {
     let mut controller = running(config(), &["a"], 1);
     controller.proxy_joined(at(2.0), 0, 0, 10.0, false);
-    controller.timer_fired(at(2.2), LOOK);
+    controller.timer_fired(at(2.2), Timer::Recheck);
     assert_eq!(controller.host.count("bind 0 0"), 1);
 }
 
@@ -317,7 +317,7 @@
     controller.endpoints_updated(at(1.01), &[heavier]);
     let lines = controller.host.count("line") as f64;
     assert!(controller.ledger.recorded_lines - before >= 4.0 * lines);
-    controller.timer_fired(at(3.0), TURN);
+    controller.timer_fired(at(3.0), Timer::Evaluation);
     assert!(controller.host.weight(0, "b") == Some(3.0));
 }
 
@@ -615,14 +615,14 @@
 fn a_server_long_gone_is_forgotten_and_served_again_when_its_id_returns() {
     let mut controller = running(config(), &["a", "b"], 1);
     controller.endpoints_updated(at(2.0), &[listing("a", 0, Removed, None)]);
-    controller.timer_fired(at(61.0), TURN);
+    controller.timer_fired(at(61.0), Timer::Evaluation);
     assert!(controller.servers.contains_key("a"));
-    controller.timer_fired(at(63.0), TURN);
+    controller.timer_fired(at(63.0), Timer::Evaluation);
     assert!(
         !controller.servers.contains_key("a") && said(&mut controller).contains("withdraw a false\nforget a")
     );
     controller.endpoints_updated(at(64.0), &[listing("a", 0, Ready, None)]);
-    controller.timer_fired(at(65.0), TURN);
+    controller.timer_fired(at(65.0), Timer::Evaluation);
     assert_eq!(controller.host.weight(0, "a"), Some(2.0));
 }
 
@@ -636,7 +636,7 @@
             now,
             &[listing(&id(n - 1), 0, Removed, None), listing(&id(n), 0, Ready, None)],
         );
-        controller.timer_fired(now + Span::secs(2.0), TURN);
+        controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
     }
     assert!(controller.servers.len() < 20 && controller.tbls[&0].lines.len() == 1);
     assert!(controller.ledger.retained_entries() < 200, "{}", controller.ledger.retained_entries());
@@ -667,7 +667,7 @@
     let mut controller = running(config(), &["a", "b"], 1);
     controller.commands_lost(at(2.0), false);
     controller.endpoints_updated(at(2.0), &[listing("a", 0, Draining, None)]);
-    controller.timer_fired(at(2.1), REPEAT);
+    controller.timer_fired(at(2.1), Timer::Resend);
     assert_eq!(controller.host.said, ["wake 5 50000", "repeat"]);
 }
 
@@ -696,7 +696,7 @@
     let mut controller = running(config(), &["a", "b"], 1);
     for (now, standing) in [(2.0, Draining), (4.0, Ready), (6.0, Draining)] {
         controller.endpoints_updated(at(now), &[listing("a", 0, standing, None)]);
-        controller.timer_fired(at(now + 1.0), TURN);
+        controller.timer_fired(at(now + 1.0), Timer::Evaluation);
     }
     let bars: Vec<&String> =
         controller.host.said.iter().filter(|said| said.starts_with("withdraw")).collect();
@@ -735,7 +735,7 @@
 fn a_declined_bind_is_ordered_again() {
     let mut controller = running(config(), &["a"], 1);
     controller.assignment_rejected(at(2.0), 0);
-    controller.timer_fired(at(2.2), LOOK);
+    controller.timer_fired(at(2.2), Timer::Recheck);
     assert_eq!(controller.host.count("bind 0 0"), 1);
 }
 
@@ -743,6 +743,6 @@
 fn a_declined_line_is_ordered_again() {
     let mut controller = running(config(), &["a", "b"], 1);
     controller.weight_rejected(0, &"b".into());
-    controller.timer_fired(at(2.0), LOOK);
+    controller.timer_fired(at(2.0), Timer::Recheck);
     assert_eq!(controller.host.weight(0, "b"), Some(2.0));
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -49,6 +49,34 @@
     Twice,
 }
 
+/// What a timer of the controller is for. Protocols that carry a number for a timer use [`Timer::label`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Timer {
+    /// The periodic evaluation of load, outliers and admission.
+    Evaluation = 1,
+    /// The jittered heartbeat while an assignment is held back.
+    Heartbeat = 2,
+    /// The next attempt to watch the endpoint list.
+    WatchRetry = 3,
+    /// Another look soon, for what found no room or had to wait.
+    Recheck = 4,
+    /// The time to resend commands that were lost.
+    Resend = 5,
+}
+
+impl Timer {
+    /// The number that stands for this timer in a protocol.
+    pub fn label(self) -> u64 {
+        self as u64
+    }
+
+    /// The timer that a protocol's number stands for.
+    pub fn from_label(label: u64) -> Option<Self> {
+        let all = [Timer::Evaluation, Timer::Heartbeat, Timer::WatchRetry, Timer::Recheck, Timer::Resend];
+        all.into_iter().find(|timer| timer.label() == label)
+    }
+}
+
 /// What the controller needs of the program that embeds it.
 ///
 /// Commands take effect in the order of the calls; those of one moment travel together as one message to each proxy.
@@ -72,6 +100,6 @@
     fn resend_commands(&mut self);
     /// Subscribes to the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this label after a span.
-    fn schedule_timer(&mut self, after: Span, label: u64);
+    /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this timer after a span.
+    fn schedule_timer(&mut self, after: Span, timer: Timer);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! What the rules remember: plain types, filled and read by the controller alone.
 
 use crate::histogram::Histogram;
-use crate::host::{EndpointId, EndpointState};
+use crate::host::{EndpointId, EndpointState, Timer};
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -162,7 +162,7 @@
     /// When the list failed last.
     pub list_failed: Option<Moment>,
     /// Wake-ups under way, by label.
-    pub wakes: BTreeSet<u64>,
+    pub wakes: BTreeSet<Timer>,
     /// When commands went out last.
     pub moment: Moment,
     /// The commands of a moment came to nothing, or nobody knows, and go again.
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{AdmissionMode, ControllerConfig, RequestClass};
 use crate::controller::Controller;
-use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy};
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
 use crate::time::{Moment, Span};
 
 #[derive(Default)]
@@ -49,8 +49,8 @@
     fn watch_endpoints(&mut self) {
         self.said.push("follow".into());
     }
-    fn schedule_timer(&mut self, after: Span, label: u64) {
-        self.said.push(format!("wake {label} {}", after.as_us()));
+    fn schedule_timer(&mut self, after: Span, timer: Timer) {
+        self.said.push(format!("wake {} {}", timer.label(), after.as_us()));
     }
 }
 
@@ -102,7 +102,7 @@
         ids.iter().map(|id| listing(id, 0, EndpointState::Ready, None)).collect();
     controller.endpoint_list_replaced(at(0.0), &listings);
     (0..proxies).for_each(|proxy| controller.proxy_joined(at(0.0), proxy, 0, 10.0, true));
-    controller.timer_fired(at(0.2), 4);
+    controller.timer_fired(at(0.2), Timer::Recheck);
     controller.host().said.clear();
     controller
 }
