--- /dev/null
+++ b/adapter-support/src/json_fields.rs
@@ -0,0 +1,187 @@
+//! A JSON object and the fields that the decisions need of it. Unknown fields are skipped; a missing or malformed one
+//! is an error that names it.
+
+use crate::SettingsReader;
+use serde_json::{Map, Value};
+use std::ops::RangeInclusive;
+
+/// Beyond this no figure can be right: a greater one is a fault of its sender, and would spoil every sum.
+const MAX_FIGURE: f64 = 1e12;
+
+/// What is wrong with a JSON object.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum JsonFieldError {
+    /// A message is no object.
+    #[error("not a JSON object")]
+    NotAMessage,
+    /// A nested value is no object.
+    #[error("{object}: not a JSON object")]
+    NotAnObject {
+        /// Which value.
+        object: String,
+    },
+    /// A message does not say of which kind it is.
+    #[error("no field '{field}' with a message's name")]
+    NoKind {
+        /// The field that should say it.
+        field: String,
+    },
+    /// A field that has to be there is missing.
+    #[error("{object}: field '{field}' is missing")]
+    Missing {
+        /// In which object.
+        object: String,
+        /// Which field.
+        field: String,
+    },
+    /// A field is of the wrong type or out of bounds.
+    #[error("{object}: field '{field}' is not {expected}: {value}")]
+    Invalid {
+        /// In which object.
+        object: String,
+        /// Which field.
+        field: String,
+        /// What it should be.
+        expected: &'static str,
+        /// What it is.
+        value: String,
+    },
+}
+
+/// One JSON object: its kind, which errors name, and its fields.
+///
+/// ```
+/// use otterwinch_adapter_support::JsonFields;
+/// let value = serde_json::json!({"kind": "HEARD", "bad": -1, "tries": 1e300, "odd": []});
+/// let fields = JsonFields::of_message(&value, "kind").unwrap();
+/// assert_eq!(fields.non_negative("absent"), Ok(0.0));
+/// let error = fields.non_negative("bad").unwrap_err();
+/// assert_eq!(error.to_string(), "HEARD: field 'bad' is not a number of 0 or more: -1");
+/// assert!(fields.non_negative("tries").is_err());
+/// ```
+#[derive(Clone, Copy)]
+pub struct JsonFields<'a> {
+    /// The kind of the message, or the place of the object.
+    pub kind: &'a str,
+    map: &'a Map<String, Value>,
+}
+
+impl<'a> JsonFields<'a> {
+    /// A message whose kind stands in the field `kind_field`.
+    pub fn of_message(value: &'a Value, kind_field: &str) -> Result<Self, JsonFieldError> {
+        let map = value.as_object().ok_or(JsonFieldError::NotAMessage)?;
+        let kind = map.get(kind_field).and_then(Value::as_str);
+        let kind = kind.ok_or_else(|| JsonFieldError::NoKind { field: kind_field.to_owned() })?;
+        Ok(JsonFields { kind, map })
+    }
+
+    /// An object that is what it is by its place.
+    pub fn of_object(value: &'a Value, kind: &'a str) -> Result<Self, JsonFieldError> {
+        let map = value.as_object();
+        let map = map.ok_or_else(|| JsonFieldError::NotAnObject { object: kind.to_owned() })?;
+        Ok(JsonFields { kind, map })
+    }
+
+    /// Whether a field of that name is there.
+    pub fn has(&self, name: &str) -> bool {
+        self.map.contains_key(name)
+    }
+
+    fn get<T>(
+        &self,
+        name: &str,
+        expected: &'static str,
+        read: impl Fn(&'a Value) -> Option<T>,
+    ) -> Result<T, JsonFieldError> {
+        let missing = || JsonFieldError::Missing { object: self.kind.to_owned(), field: name.to_owned() };
+        let value = self.map.get(name).ok_or_else(missing)?;
+        read(value).ok_or_else(|| JsonFieldError::Invalid {
+            object: self.kind.to_owned(),
+            field: name.to_owned(),
+            expected,
+            value: value.to_string(),
+        })
+    }
+
+    /// A whole number of 0 or more.
+    pub fn u64(&self, name: &str) -> Result<u64, JsonFieldError> {
+        self.get(name, "a whole number", Value::as_u64)
+    }
+
+    /// A whole number of 0 or more and below 2^32.
+    pub fn u32(&self, name: &str) -> Result<u32, JsonFieldError> {
+        let read = |value: &Value| value.as_u64().and_then(|number| u32::try_from(number).ok());
+        self.get(name, "a small whole number", read)
+    }
+
+    /// An integer.
+    pub fn i64(&self, name: &str) -> Result<i64, JsonFieldError> {
+        self.get(name, "an integer", Value::as_i64)
+    }
+
+    /// An integer; `absent` where the field is missing.
+    pub fn i64_or(&self, name: &str, absent: i64) -> Result<i64, JsonFieldError> {
+        if self.has(name) {
+            self.i64(name)
+        } else {
+            Ok(absent)
+        }
+    }
+
+    /// A number of 0 or more that counts or weighs something; 0 where the field is missing.
+    pub fn non_negative(&self, name: &str) -> Result<f64, JsonFieldError> {
+        if !self.has(name) {
+            return Ok(0.0);
+        }
+        let read = |value: &Value| value.as_f64().filter(|number| (0.0..=MAX_FIGURE).contains(number));
+        self.get(name, "a number of 0 or more", read)
+    }
+
+    /// A number that has to be there and to lie within bounds.
+    ///
+    /// ```
+    /// use otterwinch_adapter_support::JsonFields;
+    /// let value = serde_json::json!({"low": 0, "text": "7"});
+    /// let fields = JsonFields::of_object(&value, "report").unwrap();
+    /// assert!(fields.number_within("low", 1.0..=9.0).is_err());
+    /// assert!(fields.number_within("text", 0.0..=9.0).is_err());
+    /// assert_eq!(fields.number_within("low", 0.0..=9.0), Ok(0.0));
+    /// assert!(fields.number_within("none", 0.0..=9.0).is_err());
+    /// ```
+    pub fn number_within(&self, name: &str, bounds: RangeInclusive<f64>) -> Result<f64, JsonFieldError> {
+        let read = |value: &Value| value.as_f64().filter(|number| bounds.contains(number));
+        self.get(name, "a number within bounds", read)
+    }
+
+    /// A text.
+    pub fn text(&self, name: &str) -> Result<&'a str, JsonFieldError> {
+        self.get(name, "a text", Value::as_str)
+    }
+
+    /// A list.
+    pub fn list(&self, name: &str) -> Result<&'a Vec<Value>, JsonFieldError> {
+        self.get(name, "a list", Value::as_array)
+    }
+
+    /// A flag; the protocols leave false ones out.
+    pub fn flag(&self, name: &str) -> bool {
+        self.map.get(name).and_then(Value::as_bool).unwrap_or(false)
+    }
+
+    /// An object.
+    pub fn object(&self, name: &str) -> Result<&'a Value, JsonFieldError> {
+        self.get(name, "an object", |value| value.is_object().then_some(value))
+    }
+
+    /// An object of settings, whose fields may all be missing.
+    pub fn settings(&self, name: &str) -> Result<SettingsReader<'a>, JsonFieldError> {
+        self.object(name).map(SettingsReader::new)
+    }
+}
+
+/// For callers whose errors are still plain text.
+impl From<JsonFieldError> for String {
+    fn from(error: JsonFieldError) -> String {
+        error.to_string()
+    }
+}
--- a/adapter-support/src/lib.rs
+++ b/adapter-support/src/lib.rs
@@ -1,12 +1,15 @@
-//! What every host of the rules does alike, whatever protocol it speaks: takes fields out of JSON, reads the
-//! settings into a `ControllerConfig`, checks commands before they go out, and catches a panic of the rules.
+//! What every host of the controller does alike, whatever protocol it speaks: it takes fields out of JSON objects,
+//! reads the settings into a `ControllerConfig`, validates commands before they go out, and catches a panic of the
+//! controller.
 
-mod caught;
-mod checks;
-mod fields;
-mod figures;
+#![deny(missing_docs)]
 
-pub use caught::caught;
-pub use checks::Checks;
-pub use fields::Fields;
-pub use figures::{controller_config, Figures};
+mod command_validator;
+mod json_fields;
+mod panic_guard;
+mod settings;
+
+pub use command_validator::{CommandValidator, InvalidCommand};
+pub use json_fields::{JsonFieldError, JsonFields};
+pub use panic_guard::{catch_panic, CaughtPanic};
+pub use settings::{controller_config, SettingsReader};
--- /dev/null
+++ b/adapter-support/src/settings.rs
@@ -0,0 +1,100 @@
+//! Reads the settings that an instance is given at its start into the configuration of the controller. This is the one
+//! place where the names of the settings' fields are mapped to the field's terms.
+
+use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
+use otterwinch::time::Span;
+use serde_json::Value;
+
+/// Classes beyond this position have no bit in a `RequestClassSet`.
+const MAX_REQUEST_CLASSES: usize = 64;
+
+/// A place in the settings; one that does not exist reads as 0, false, empty text or an empty list.
+#[derive(Clone, Copy)]
+pub struct SettingsReader<'a>(Option<&'a Value>);
+
+impl<'a> SettingsReader<'a> {
+    /// Reads a JSON value.
+    pub fn new(value: &'a Value) -> Self {
+        SettingsReader(Some(value))
+    }
+
+    /// The field of that name.
+    pub fn field(self, name: &str) -> SettingsReader<'a> {
+        SettingsReader(self.0.and_then(|value| value.get(name)))
+    }
+
+    /// The elements of a list.
+    pub fn elements(self) -> impl Iterator<Item = SettingsReader<'a>> {
+        self.0.and_then(Value::as_array).into_iter().flatten().map(|value| SettingsReader(Some(value)))
+    }
+
+    /// A whole number of 0 or more; others are clamped to the bounds of the type.
+    pub fn count(self) -> u32 {
+        self.number().clamp(0.0, f64::from(u32::MAX)) as u32
+    }
+
+    /// A text.
+    pub fn text(self) -> &'a str {
+        self.0.and_then(Value::as_str).unwrap_or("")
+    }
+
+    fn number(self) -> f64 {
+        self.0.and_then(Value::as_f64).filter(|number| number.is_finite()).unwrap_or(0.0)
+    }
+
+    fn microseconds(self) -> Span {
+        Span::from_us(self.number() as i64)
+    }
+
+    fn flag(self) -> bool {
+        self.0.and_then(Value::as_bool).unwrap_or(false)
+    }
+}
+
+/// The configuration of the controller that the settings of a deployment describe.
+pub fn controller_config(settings: &SettingsReader) -> ControllerConfig {
+    let family = settings.field("familyInfo");
+    let guarantees = settings.field("guarantees");
+    ControllerConfig {
+        request_classes: request_classes(settings),
+        polls_endpoint_list: settings.field("discovery").text() == "ask",
+        cross_zone_costs: settings.field("charges").field("crossZone").number() > 0.0,
+        admission: match family.field("throttleBy").text() {
+            "fraction" => AdmissionMode::Fraction,
+            "per_second" => AdmissionMode::RatePerSecond,
+            _ => AdmissionMode::Unsupported,
+        },
+        proxy_ejects_after_failures: family.field("outlierAfter").count(),
+        shards: family.field("slices").count(),
+        single_writer: family.field("singleWriter").flag(),
+        lease: family.field("keepsWritingUs").microseconds(),
+        settle_time: family.field("settleUs").microseconds(),
+        report_interval: family.field("reportEveryUs").microseconds(),
+        proxy_count: family.field("proxyCount").count(),
+        min_endpoint_connections: family.field("minConnCap").count(),
+        initial_table_size: family.field("initialSet").count(),
+        channel_rate: family.field("channelRate").number(),
+        message_overhead_lines: family.field("fixedCost").number(),
+        max_queued_lines: family.field("mostWaiting").number(),
+        max_pushes: family.field("pushesAllowed").count(),
+        push_window: family.field("reloadSpanUs").microseconds(),
+        max_transit: family.field("transitMaxUs").microseconds(),
+        drain_grace: guarantees.field("drainGraceUs").microseconds(),
+        slow_start_window: guarantees.field("coldUs").microseconds(),
+        removal_not_binding: guarantees.field("removalNotBinding").flag(),
+    }
+}
+
+fn request_classes(settings: &SettingsReader) -> Vec<RequestClass> {
+    let family = settings.field("familyInfo");
+    let flag_of_class =
+        |list: &str, k: usize| family.field(list).elements().nth(k).is_some_and(SettingsReader::flag);
+    let classes = settings.field("classes").elements().take(MAX_REQUEST_CLASSES);
+    let request_class = |(k, class): (usize, SettingsReader)| RequestClass {
+        latency_objective: class.field("promiseUs").microseconds(),
+        priority_weight: class.field("importance").number(),
+        zone_local: flag_of_class("staysLocal", k),
+        writes: flag_of_class("writeClasses", k),
+    };
+    classes.enumerate().map(request_class).collect()
+}
--- a/control-plane/src/collectors.rs
+++ b/control-plane/src/collectors.rs
@@ -9,7 +9,7 @@
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
 use otterwinch::time::Span;
-use otterwinch_adapter_support::Fields;
+use otterwinch_adapter_support::JsonFields;
 use serde_json::Value;
 use slog::{warn, Logger};
 use std::time::Duration;
@@ -69,7 +69,7 @@
 /// The zone that a stranger's frame joins for; nothing where it is a probe.
 fn greeting(frame: &[u8], names: &Names) -> Result<Option<u32>, String> {
     let value = json(frame)?;
-    let f = Fields::of(&value, "msg")?;
+    let f = JsonFields::of_message(&value, "msg")?;
     match f.kind {
         "probe" => Ok(None),
         "agent" => names.zone(f.text("locality")?).map(Some),
@@ -148,7 +148,7 @@
 
 /// Takes one frame; true where it asks for a sign of life.
 async fn one(value: &Value, names: &Names, ear: &Ear) -> Result<bool, String> {
-    let f = Fields::of(value, "msg")?;
+    let f = JsonFields::of_message(value, "msg")?;
     match f.kind {
         "probe" => return Ok(true),
         "agent" => _ = names.zone(f.text("locality")?)?,
@@ -156,9 +156,9 @@
             let id = f.text("endpoint")?.to_owned();
             names.zone(f.text("locality")?)?;
             let (tries, over) = counted(&f)?;
-            let voided = f.figure("errors", 0.0..=tries)?;
+            let voided = f.number_within("errors", 0.0..=tries)?;
             // The mean of those that were answered: none of them, no mean.
-            let took = if voided < tries { f.figure("rtt", 0.0..=LONGEST_MS)? } else { 0.0 };
+            let took = if voided < tries { f.number_within("rtt", 0.0..=LONGEST_MS)? } else { 0.0 };
             ear.tell(move |controller, now| {
                 if controller.host().lists(&id) {
                     controller.endpoint_outcomes(now, &id, tries, voided, millis(took), over);
@@ -167,10 +167,10 @@
             .await;
         }
         "demand" => {
-            names.proxy(f.small("node")?)?;
+            names.proxy(f.u32("node")?)?;
             let (product, (txns, _)) = (names.product(f.text("route")?)?, counted(&f)?);
             // What came in an earlier interval may fail in this one: they are not bounded by the total.
-            f.figure("errors", 0.0..=MOST_COUNTED)?;
+            f.number_within("errors", 0.0..=MOST_COUNTED)?;
             ear.tell(move |controller, _| controller.demand(product, txns)).await;
         }
         kind => return Err(format!("kind '{kind}' is unknown")),
@@ -179,9 +179,9 @@
 }
 
 /// How many in all, and over how long.
-fn counted(f: &Fields) -> Result<(f64, Span), String> {
-    let total = f.figure("total", 0.0..=MOST_COUNTED)?;
-    let over = f.figure("interval", f64::MIN_POSITIVE..=LONGEST_MS)?;
+fn counted(f: &JsonFields) -> Result<(f64, Span), String> {
+    let total = f.number_within("total", 0.0..=MOST_COUNTED)?;
+    let over = f.number_within("interval", f64::MIN_POSITIVE..=LONGEST_MS)?;
     Ok((total, millis(over)))
 }
 
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -5,7 +5,7 @@
 use crate::planner::Seen;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
-use otterwinch_adapter_support::{controller_config, Fields, Figures};
+use otterwinch_adapter_support::{controller_config, JsonFieldError, JsonFields, SettingsReader};
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     }
 
     pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<String>> {
-        let f = Fields::named(value, "config").map_err(|e| vec![e])?;
+        let f = JsonFields::of_object(value, "config").map_err(|e| vec![e.to_string()])?;
         let mut faults = Faults::default();
         // Not so the list's address: a file that was replaced moves it, and the environment never changes.
         for (field, var) in [("name", "GW_NAME"), ("listen", "GW_LISTEN")] {
@@ -91,18 +91,23 @@
         let name = faults.none_in(f.text("name")).unwrap_or_default().to_owned();
         let listen = faults.none_in(address("listen", f.text("listen")));
         let list = faults.none_in(address("discovery", f.text("discovery")));
-        let relay = f.value("relay").and_then(|v| Fields::named(v, "config: 'relay'")?.text("address"));
+        let relay =
+            f.object("relay").and_then(|v| JsonFields::of_object(v, "config: 'relay'")?.text("address"));
         let relay = faults.none_in(address("relay.address", relay));
-        let seed = faults.none_in(f.text("seed").and_then(|text| {
+        let seed = faults.none_in(f.text("seed").map_err(String::from).and_then(|text| {
             u64::from_str_radix(text, 16)
                 .map_err(|_| format!("config: field 'seed' is not hexadecimal: '{text}'"))
         }));
-        let settings = faults.none_in(f.object("settings"));
-        let figures = settings.unwrap_or(Figures::of(&Value::Null));
+        let settings = faults.none_in(f.settings("settings"));
+        let figures = settings.unwrap_or(SettingsReader::new(&Value::Null));
         let names = Names {
-            zones: figures.at("zones").rows().map(|zone| zone.word().to_owned()).collect(),
-            products: figures.at("classes").rows().map(|row| row.at("name").word().to_owned()).collect(),
-            proxies: match figures.at("familyInfo").at("proxyCount").count() {
+            zones: figures.field("zones").elements().map(|zone| zone.text().to_owned()).collect(),
+            products: figures
+                .field("classes")
+                .elements()
+                .map(|row| row.field("name").text().to_owned())
+                .collect(),
+            proxies: match figures.field("familyInfo").field("proxyCount").count() {
                 0 => MOST_PROXIES,
                 told => told,
             },
@@ -121,15 +126,16 @@
             });
         }
         let known = f
-            .value("known")
+            .object("known")
+            .map_err(String::from)
             .and_then(|v| list::answer(v, &names).map_err(|e| format!("config: field 'known': {e}")));
         let known = faults.none_in(known);
         for entry in known.iter().flat_map(|known| &known.spoilt) {
             faults.unless(false, || format!("config: field 'known': {}", entry.why));
         }
-        let limit = |name: &str, absent: u64| match f.value("limits") {
+        let limit = |name: &str, absent: u64| match f.object("limits") {
             Ok(limits) if limits.get(name).is_some() => {
-                Fields::named(limits, "config: 'limits'")?.whole(name)
+                JsonFields::of_object(limits, "config: 'limits'")?.u64(name)
             }
             _ => Ok(absent),
         };
@@ -208,7 +214,7 @@
     }
 }
 
-fn address(field: &str, text: Result<&str, String>) -> Result<SocketAddr, String> {
+fn address(field: &str, text: Result<&str, JsonFieldError>) -> Result<SocketAddr, String> {
     let text = text?;
     text.parse().map_err(|_| format!("config: field '{field}' is no address with a port: '{text}'"))
 }
@@ -218,8 +224,8 @@
 struct Faults(Vec<String>);
 
 impl Faults {
-    fn none_in<T>(&mut self, read: Result<T, String>) -> Option<T> {
-        read.map_err(|fault| self.0.push(fault)).ok()
+    fn none_in<T>(&mut self, read: Result<T, impl std::fmt::Display>) -> Option<T> {
+        read.map_err(|fault| self.0.push(fault.to_string())).ok()
     }
 
     fn unless(&mut self, sound: bool, fault: impl FnOnce() -> String) {
--- a/control-plane/src/desk.rs
+++ b/control-plane/src/desk.rs
@@ -6,7 +6,7 @@
     EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer,
 };
 use otterwinch::time::{Moment, Span};
-use otterwinch_adapter_support::Checks;
+use otterwinch_adapter_support::{CommandValidator, InvalidCommand};
 use serde_json::{json, Value};
 use slog::{warn, Logger};
 use std::cmp::Reverse;
@@ -29,7 +29,7 @@
 }
 
 pub struct Desk {
-    checks: Checks,
+    checks: CommandValidator,
     names: Rc<Names>,
     log: Logger,
     pub follow: Rc<Notify>,
@@ -49,7 +49,7 @@
 }
 
 impl Desk {
-    pub fn new(checks: Checks, names: Rc<Names>, now: Moment, log: Logger) -> Self {
+    pub fn new(checks: CommandValidator, names: Rc<Names>, now: Moment, log: Logger) -> Self {
         Desk {
             checks,
             names,
@@ -68,7 +68,7 @@
     }
 
     pub fn learn(&mut self, listings: &[EndpointUpdate], whole: bool) {
-        self.checks.learn(listings.iter().map(|l| &l.id));
+        self.checks.add_endpoints(listings.iter().map(|l| &l.id));
         if whole {
             self.listed.values_mut().for_each(|listing| listing.state = EndpointState::Removed);
         }
@@ -102,12 +102,12 @@
     }
 
     pub fn joined(&mut self, proxy: u32, zone: u32, rate: f64) {
-        self.checks.joined(proxy, true);
+        self.checks.set_joined(proxy, true);
         self.joined.insert(proxy, (zone, rate));
     }
 
     pub fn left(&mut self, proxy: u32) {
-        self.checks.joined(proxy, false);
+        self.checks.set_joined(proxy, false);
         self.joined.remove(&proxy);
     }
 
@@ -128,9 +128,9 @@
         self.wakes.pop().map(|wake| wake.0 .2)
     }
 
-    fn say(&mut self, checked: Result<(), String>, command: Value, about: About) {
+    fn say(&mut self, checked: Result<(), InvalidCommand>, command: Value, about: About) {
         if let Err(fault) = checked {
-            return warn!(self.log, "command against the relay's rules"; "why" => fault);
+            return warn!(self.log, "command against the relay's rules"; "why" => %fault);
         }
         self.ordered += 1;
         self.commands.push_back(Command { text: command.to_string(), about });
@@ -145,28 +145,28 @@
 impl Host for Desk {
     fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let command = json!({"op": "put", "table": tbl, "endpoint": &**server, "w": weight});
-        self.say(self.checks.line(tbl, server, weight), command, About::Line(tbl, server.clone()));
+        self.say(self.checks.check_weight(tbl, server, weight), command, About::Line(tbl, server.clone()));
     }
 
     fn assign_table(&mut self, proxy: u32, tbl: u32) {
         let command = json!({"op": "attach", "node": proxy, "table": tbl});
-        self.say(self.checks.bind(proxy, tbl), command, About::Bind(proxy));
+        self.say(self.checks.check_assignment(proxy, tbl), command, About::Bind(proxy));
     }
 
     fn eject_endpoint(&mut self, server: &EndpointId) {
         self.withdrawn.insert(server.clone());
         let command = json!({"op": "eject", "endpoint": &**server});
-        self.say(self.checks.withdrawal(server), command, About::Withdrawal);
+        self.say(self.checks.check_ejection(server), command, About::Withdrawal);
     }
 
     fn restore_endpoint(&mut self, server: &EndpointId) {
         self.withdrawn.remove(server);
         let command = json!({"op": "uneject", "endpoint": &**server});
-        self.say(self.checks.withdrawal(server), command, About::Withdrawal);
+        self.say(self.checks.check_ejection(server), command, About::Withdrawal);
     }
 
     fn forget_endpoint(&mut self, server: &EndpointId) {
-        self.checks.forget(server);
+        self.checks.forget_endpoint(server);
         self.listed.remove(server);
         self.withdrawn.remove(server);
     }
@@ -175,7 +175,7 @@
         let (routes, policy) = (self.routes(products), retry as u8);
         let command =
             json!({"op": "gate", "table": tbl, "routes": routes, "admit": admitted, "policy": policy});
-        self.say(self.checks.level(tbl, admitted), command, About::Level(tbl));
+        self.say(self.checks.check_admission(tbl, admitted), command, About::Level(tbl));
     }
 
     fn request_acknowledgement(&mut self, number: u32) {
--- a/control-plane/src/events.rs
+++ b/control-plane/src/events.rs
@@ -14,7 +14,7 @@
 use hyper::Method;
 use otterwinch::controller::Controller;
 use otterwinch::time::Moment;
-use otterwinch_adapter_support::Fields;
+use otterwinch_adapter_support::JsonFields;
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::collections::BTreeSet;
@@ -199,13 +199,13 @@
     ear: &Ear,
     named: &mut Option<BTreeSet<u32>>,
 ) -> Result<(), String> {
-    let kind = Fields::of(value, "type")?;
-    let f = Fields::named(kind.value("object")?, kind.kind)?;
-    let proxy = names.proxy(f.small("node")?)?;
+    let kind = JsonFields::of_message(value, "type")?;
+    let f = JsonFields::of_object(kind.object("object")?, kind.kind)?;
+    let proxy = names.proxy(f.u32("node")?)?;
     match kind.kind {
         "hello" => {
             let (zone, rate, fresh) =
-                (names.zone(f.text("locality")?)?, f.figure("w", 0.0..=MOST_RATE)?, f.mark("cold"));
+                (names.zone(f.text("locality")?)?, f.number_within("w", 0.0..=MOST_RATE)?, f.flag("cold"));
             named.iter_mut().for_each(|named| _ = named.insert(proxy));
             ear.tell(move |controller, now| {
                 // One that is joined already may have gone and come while the event stream was away.
@@ -219,7 +219,7 @@
             ear.tell(move |controller, now| left(controller, now, proxy)).await;
         }
         "ack" => {
-            let number = f.small("nonce")?;
+            let number = f.u32("nonce")?;
             ear.tell(move |controller, now| {
                 if controller.host().joined.contains_key(&proxy) {
                     controller.acknowledged(now, number, proxy);
--- a/control-plane/src/front.rs
+++ b/control-plane/src/front.rs
@@ -15,7 +15,7 @@
 use hyper::server::conn::http1;
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
-use otterwinch_adapter_support::caught;
+use otterwinch_adapter_support::catch_panic;
 use slog::{error, info, o, warn, Logger};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -129,8 +129,8 @@
             yield_now().await;
         }
         // Nobody else hears our address: a slip at one connection must not cost all that follow.
-        if let Err(cause) = caught(|| acceptor.take(stream, from)) {
-            error!(log, "a connection could not be taken"; "why" => cause);
+        if let Err(cause) = catch_panic(|| acceptor.take(stream, from)) {
+            error!(log, "a connection could not be taken"; "why" => %cause);
         }
     }
     while let Some(Ok((stream, from))) = listener.accept().now_or_never() {
--- a/control-plane/src/list.rs
+++ b/control-plane/src/list.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, StatusCode};
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
 use otterwinch::time::Moment;
-use otterwinch_adapter_support::Fields;
+use otterwinch_adapter_support::JsonFields;
 use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
@@ -36,8 +36,8 @@
 }
 
 pub fn answer(value: &Value, names: &Names) -> Result<Answer, String> {
-    let f = Fields::named(value, "list")?;
-    let (version, whole) = (f.whole("seq")?, f.mark("whole"));
+    let f = JsonFields::of_object(value, "list")?;
+    let (version, whole) = (f.u64("seq")?, f.flag("whole"));
     let (mut listings, mut spoilt) = (Vec::new(), Vec::new());
     for (place, entry) in f.list("hosts")?.iter().enumerate() {
         match listing(entry, names) {
@@ -52,7 +52,7 @@
 }
 
 fn listing(entry: &Value, names: &Names) -> Result<EndpointUpdate, String> {
-    let f = Fields::named(entry, "list entry")?;
+    let f = JsonFields::of_object(entry, "list entry")?;
     let id = f.text("host")?.into();
     let standing = match f.text("health")? {
         "active" => EndpointState::Ready,
@@ -63,8 +63,8 @@
     // A zone that the settings do not name is far from all that they do.
     let zone = |text| names.zone(text).unwrap_or(u32::MAX);
     let zone = if f.has("site") { f.text("site").map(zone) } else { Ok(0) };
-    let weight = if f.has("share") { f.count("share") } else { Ok(1.0) };
-    let born = f.int_or("born_ms", 0);
+    let weight = if f.has("share") { f.non_negative("share") } else { Ok(1.0) };
+    let born = f.i64_or("born_ms", 0);
     let (zone, weight, born) = match standing {
         EndpointState::Ready => (zone?, weight?, born?),
         // Whatever else is amiss: it is to be left, and the grace runs.
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/planner.rs
@@ -7,7 +7,7 @@
 use crate::errors::Came;
 use otterwinch::controller::Controller;
 use otterwinch::time::{Moment, Span};
-use otterwinch_adapter_support::{caught, Checks};
+use otterwinch_adapter_support::{catch_panic, CommandValidator};
 use serde_json::json;
 use slog::{error, info, warn, Logger};
 use std::cell::Cell;
@@ -96,7 +96,8 @@
     pub fn open(config: Rc<Config>, commands: Commands, log: Logger) -> (Self, Ear, watch::Receiver<String>) {
         let clock = Clock::start();
         let now = clock.now();
-        let desk = Desk::new(Checks::new(&config.controller), config.names.clone(), now, log.clone());
+        let desk =
+            Desk::new(CommandValidator::new(&config.controller), config.names.clone(), now, log.clone());
         let mut controller = Controller::start(desk, config.controller.clone(), config.seed, now);
         controller.host().learn(&config.known, true);
         controller.endpoint_list_replaced(now, &config.known);
@@ -236,8 +237,8 @@
 
     /// Controller that break are opened anew from what stands outside, as after a start.
     fn guarded(&mut self, now: Moment, told: Told) {
-        if let Err(cause) = caught(|| told(&mut self.controller, now)) {
-            error!(self.log, "the rules broke"; "cause" => cause);
+        if let Err(cause) = catch_panic(|| told(&mut self.controller, now)) {
+            error!(self.log, "the rules broke"; "cause" => %cause);
             self.open_anew(now);
         }
     }
@@ -247,7 +248,7 @@
     /// and one that was barred would never be let back in.
     fn open_anew(&mut self, now: Moment) {
         error!(self.log, "the rules are opened anew");
-        let new = Desk::new(Checks::default(), self.config.names.clone(), now, self.log.clone());
+        let new = Desk::new(CommandValidator::default(), self.config.names.clone(), now, self.log.clone());
         let mut desk = std::mem::replace(self.controller.host(), new);
         desk.cleared();
         self.commands.in_hand.clear();
@@ -261,7 +262,7 @@
             controller.endpoint_list_replaced(now, &listed);
             joined.iter().for_each(|(p, (zone, rate))| controller.proxy_joined(now, *p, *zone, *rate, false));
         };
-        if caught(|| tell(&mut self.controller)).is_err() {
+        if catch_panic(|| tell(&mut self.controller)).is_err() {
             error!(self.log, "the rules broke again on what stands");
         }
     }
--- a/simulator-adapter/src/desk.rs
+++ b/simulator-adapter/src/desk.rs
@@ -4,21 +4,21 @@
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::Span;
-use otterwinch_adapter_support::Checks;
+use otterwinch_adapter_support::{CommandValidator, InvalidCommand};
 use serde_json::{json, Value};
 
 pub struct Desk {
     who: u64,
-    pub checks: Checks,
+    pub checks: CommandValidator,
     pub said: Vec<u8>,
 }
 
 impl Desk {
     pub fn new(who: u64, config: &ControllerConfig) -> Self {
-        Desk { who, checks: Checks::new(config), said: vec![] }
+        Desk { who, checks: CommandValidator::new(config), said: vec![] }
     }
 
-    fn say(&mut self, checked: Result<(), String>, kind: &str, mut fields: Value) {
+    fn say(&mut self, checked: Result<(), InvalidCommand>, kind: &str, mut fields: Value) {
         if let Err(fault) = checked {
             return eprintln!("otterwinch-simulator-adapter: instance {}: {fault}", self.who);
         }
@@ -32,33 +32,33 @@
 impl Host for Desk {
     fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let fields = json!({"mapId": tbl, "server": &**server, "weight": weight});
-        self.say(self.checks.line(tbl, server, weight), "ENDPOINT", fields);
+        self.say(self.checks.check_weight(tbl, server, weight), "ENDPOINT", fields);
     }
 
     fn assign_table(&mut self, proxy: u32, tbl: u32) {
         self.say(
-            self.checks.bind(proxy, tbl),
+            self.checks.check_assignment(proxy, tbl),
             "INSTALL",
             json!({"px": proxy, "mapId": tbl, "forClasses": 0}),
         );
     }
 
     fn eject_endpoint(&mut self, server: &EndpointId) {
-        self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": true}));
+        self.say(self.checks.check_ejection(server), "WITHDRAW", json!({"server": &**server, "set": true}));
     }
 
     fn restore_endpoint(&mut self, server: &EndpointId) {
-        self.say(self.checks.withdrawal(server), "WITHDRAW", json!({"server": &**server, "set": false}));
+        self.say(self.checks.check_ejection(server), "WITHDRAW", json!({"server": &**server, "set": false}));
     }
 
     fn forget_endpoint(&mut self, server: &EndpointId) {
-        self.checks.forget(server);
+        self.checks.forget_endpoint(server);
     }
 
     fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
         let how = retry as u8;
         let fields = json!({"mapId": tbl, "forClasses": products, "allowance": admitted, "how": how});
-        self.say(self.checks.level(tbl, admitted), "SET_LEVEL", fields);
+        self.say(self.checks.check_admission(tbl, admitted), "SET_LEVEL", fields);
     }
 
     fn request_acknowledgement(&mut self, number: u32) {
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointUpdate, Timer};
 use otterwinch::time::{Moment, Span};
-use otterwinch_adapter_support::{caught, controller_config, Fields};
+use otterwinch_adapter_support::{catch_panic, controller_config, JsonFields};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 
@@ -51,47 +51,47 @@
     fn take(&mut self, line: &[u8]) -> Result<bool, String> {
         let value: serde_json::Value =
             serde_json::from_slice(line).map_err(|e| format!("not a JSON value: {e}"))?;
-        let f = Fields::of(&value, "kind")?;
+        let f = JsonFields::of_message(&value, "kind")?;
         match f.kind {
             "TICK" => {
-                (self.now, self.serial) = (Moment::from_us(f.int("timeUs")?), f.whole("serial")?);
+                (self.now, self.serial) = (Moment::from_us(f.i64("timeUs")?), f.u64("serial")?);
             }
             "OVER_TO_YOU" => return Ok(true),
             "PAGE" => {
-                self.pages.insert(f.whole("page")?, decode::listings(&f)?);
+                self.pages.insert(f.u64("page")?, decode::listings(&f)?);
             }
             "UP" => {
-                let (who, config) = (f.whole("who")?, controller_config(&f.object("env")?));
+                let (who, config) = (f.u64("who")?, controller_config(&f.settings("env")?));
                 let desk = Desk::new(who, &config);
-                let seed = f.whole("entropy")?;
+                let seed = f.u64("entropy")?;
                 let now = self.now;
                 self.guarded(who, |hosted| {
                     hosted.instances.insert(who, Controller::start(desk, config, seed, now));
                 });
             }
             "DESTROY" => {
-                self.instances.remove(&f.whole("who")?);
+                self.instances.remove(&f.u64("who")?);
             }
             _ => self.event(&f)?,
         }
         Ok(false)
     }
 
-    fn event(&mut self, f: &Fields) -> Result<(), String> {
-        let who = f.whole("who")?;
+    fn event(&mut self, f: &JsonFields) -> Result<(), String> {
+        let who = f.u64("who")?;
         if !self.instances.contains_key(&who) {
             return Err(format!("{}: no instance {who} is up", f.kind));
         }
         let now = self.now;
         let call: Call = match f.kind {
-            "TOPOLOGY" => match f.whole("form")? {
+            "TOPOLOGY" => match f.u64("form")? {
                 3 => Box::new(|controller| controller.endpoint_watch_failed(now)),
                 form @ 0..=2 => {
-                    let page = f.whole("page")?;
+                    let page = f.u64("page")?;
                     let listings =
                         self.pages.get(&page).ok_or(format!("TOPOLOGY: page {page} never came"))?.clone();
                     Box::new(move |controller| {
-                        controller.host().checks.learn(listings.iter().map(|l| &l.id));
+                        controller.host().checks.add_endpoints(listings.iter().map(|l| &l.id));
                         if form == 0 {
                             controller.endpoints_updated(now, &listings)
                         } else {
@@ -102,41 +102,41 @@
                 form => return Err(format!("TOPOLOGY: form {form} is unknown")),
             },
             "STREAM_UP" => {
-                let (px, zone, fresh) = (f.small("px")?, f.small("campus")?, f.mark("set"));
-                let rate = f.count("weight")?;
+                let (px, zone, fresh) = (f.u32("px")?, f.u32("campus")?, f.flag("set"));
+                let rate = f.non_negative("weight")?;
                 Box::new(move |controller| {
-                    controller.host().checks.joined(px, true);
+                    controller.host().checks.set_joined(px, true);
                     controller.proxy_joined(now, px, zone, rate, fresh);
                 })
             }
             "STREAM_DOWN" => {
-                let px = f.small("px")?;
+                let px = f.u32("px")?;
                 Box::new(move |controller| {
-                    controller.host().checks.joined(px, false);
+                    controller.host().checks.set_joined(px, false);
                     controller.proxy_left(now, px);
                 })
             }
             "HEARD" => {
                 let id = f.text("server")?;
-                let (tries, bad) = (f.count("triesN")?, f.count("bad")?);
-                let took = Span::from_us(f.int_or("delaySeenUs", 0)?);
-                let over = Span::from_us(f.int_or("periodLenUs", 0)?);
+                let (tries, bad) = (f.non_negative("triesN")?, f.non_negative("bad")?);
+                let took = Span::from_us(f.i64_or("delaySeenUs", 0)?);
+                let over = Span::from_us(f.i64_or("periodLenUs", 0)?);
                 Box::new(move |controller| controller.endpoint_outcomes(now, id, tries, bad, took, over))
             }
             "INGRESS" => {
-                let (product, txns) = (f.small("class")?, f.count("triesN")?);
+                let (product, txns) = (f.u32("class")?, f.non_negative("triesN")?);
                 Box::new(move |controller| controller.demand(product, txns))
             }
             "BELL" => {
-                let label = f.whole("label")?;
+                let label = f.u64("label")?;
                 let timer =
                     Timer::from_label(label).ok_or_else(|| format!("BELL: timer {label} is unknown"))?;
                 Box::new(move |controller| controller.timer_fired(now, timer))
             }
             "ASSIGNED_TO_ME" => {
-                let (slice, given) = (f.small("mapId")?, f.mark("set"));
+                let (slice, given) = (f.u32("mapId")?, f.flag("set"));
                 Box::new(move |controller| {
-                    controller.host().checks.charged(slice, given);
+                    controller.host().checks.set_owned(slice, given);
                     if given {
                         controller.shard_assigned(slice)
                     } else {
@@ -145,15 +145,15 @@
                 })
             }
             "STORED_LINE" => {
-                let (slice, id, weight) = (f.small("mapId")?, f.text("server")?, f.count("weight")?);
+                let (slice, id, weight) = (f.u32("mapId")?, f.text("server")?, f.non_negative("weight")?);
                 Box::new(move |controller| {
                     let id = id.into();
-                    controller.host().checks.learn([&id].into_iter());
+                    controller.host().checks.add_endpoints([&id].into_iter());
                     controller.shard_weight_restored(slice, &id, weight)
                 })
             }
             "IN_FORCE" => {
-                let (number, px) = (f.small("epoch")?, f.small("px")?);
+                let (number, px) = (f.u32("epoch")?, f.u32("px")?);
                 Box::new(move |controller| controller.acknowledged(now, number, px))
             }
             // Nothing is decided by these: probes, demand by slice and peers' words.
@@ -170,9 +170,9 @@
 
     /// A panic ends that instance alone, and says so on the wire.
     fn guarded(&mut self, who: u64, call: impl FnOnce(&mut Self)) {
-        if let Err(text) = caught(|| call(self)) {
+        if let Err(panic) = catch_panic(|| call(self)) {
             self.instances.remove(&who);
-            let die = serde_json::json!({"kind": "DIE", "who": who, "msg": text});
+            let die = serde_json::json!({"kind": "DIE", "who": who, "msg": panic.message});
             self.failed.extend_from_slice(format!("{die}\n").as_bytes());
         }
     }
