--- a/adapter-support/src/lib.rs
+++ b/adapter-support/src/lib.rs
@@ -2,8 +2,6 @@
 //! reads the settings into a `ControllerConfig`, validates commands before they go out, and catches a panic of the
 //! controller.
 
-#![deny(missing_docs)]
-
 mod command_validator;
 mod json_fields;
 mod panic_guard;
