--- a/control-plane/src/errors.rs
+++ b/control-plane/src/call_error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum CallProgress {
     /// Nothing was sent: whatever was asked has not happened.
     NotConnected,
     /// All or part went out and no answer came: it may have happened.
@@ -17,36 +17,36 @@
 }
 
 #[derive(Debug)]
-pub struct Failed {
-    pub came: Came,
+pub struct CallError {
+    pub came: CallProgress,
     pub why: String,
 }
 
-impl Failed {
-    pub fn new(came: Came, why: impl fmt::Display) -> Self {
-        Failed { came, why: why.to_string() }
+impl CallError {
+    pub fn new(came: CallProgress, why: impl fmt::Display) -> Self {
+        CallError { came, why: why.to_string() }
     }
 
     /// Whether what was asked may have been carried out.
     pub fn unsure(&self) -> bool {
-        matches!(self.came, Came::Sent | Came::Answered)
+        matches!(self.came, CallProgress::Sent | CallProgress::Answered)
     }
 }
 
-impl fmt::Display for Failed {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let how_far = match self.came {
-            Came::NotConnected => "not connected",
-            Came::Sent => "sent, no answer",
-            Came::Answered => "answer not usable",
-            Came::TurnedAway => "turned away",
-            Came::Unfit => "unfit",
+            CallProgress::NotConnected => "not connected",
+            CallProgress::Sent => "sent, no answer",
+            CallProgress::Answered => "answer not usable",
+            CallProgress::TurnedAway => "turned away",
+            CallProgress::Unfit => "unfit",
         };
         write!(f, "{how_far}: {}", self.why)
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for CallError {}
 
 /// The causes behind an error of a library, outermost first.
 pub fn chain(error: &dyn std::error::Error) -> String {
--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -1,9 +1,9 @@
 //! HTTP towards one peer: hyper-util's client with a limit on each connect, answer and body. It never sends
 //! anything twice by itself: only who asked can know whether twice is once too often.
 
-use crate::dials::Dials;
-use crate::errors::{chain, Came, Failed};
-use crate::limits::within;
+use crate::call_error::{chain, CallError, CallProgress};
+use crate::connector::Connector;
+use crate::timeout::within;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 struct Dialer {
     address: SocketAddr,
-    dials: Arc<Mutex<Dials<TcpStream>>>,
+    dials: Arc<Mutex<Connector<TcpStream>>>,
 }
 
 impl Service<Uri> for Dialer {
@@ -72,7 +72,7 @@
 
 impl Peer {
     pub fn at(address: SocketAddr) -> Self {
-        let dialer = Dialer { address, dials: Arc::new(Mutex::new(Dials::new())) };
+        let dialer = Dialer { address, dials: Arc::new(Mutex::new(Connector::new())) };
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(IDLE_KEPT)
             .pool_max_idle_per_host(1)
@@ -89,19 +89,19 @@
         path: &str,
         body: Bytes,
         limit: Duration,
-    ) -> Result<Response<Incoming>, Failed> {
+    ) -> Result<Response<Incoming>, CallError> {
         let message = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|e| Failed::new(Came::NotConnected, e))?;
+            .map_err(|e| CallError::new(CallProgress::NotConnected, e))?;
         match within(limit, self.client.request(message)).await {
-            None => Err(Failed::new(Came::Sent, format!("silent for {} ms", limit.as_millis()))),
+            None => Err(CallError::new(CallProgress::Sent, format!("silent for {} ms", limit.as_millis()))),
             Some(Err(e)) if e.is_connect() || never_begun(&e) => {
-                Err(Failed::new(Came::NotConnected, chain(&e)))
+                Err(CallError::new(CallProgress::NotConnected, chain(&e)))
             }
-            Some(Err(e)) => Err(Failed::new(Came::Sent, chain(&e))),
+            Some(Err(e)) => Err(CallError::new(CallProgress::Sent, chain(&e))),
             Some(Ok(answer)) => Ok(answer),
         }
     }
@@ -114,14 +114,15 @@
         body: Bytes,
         limit: Duration,
         most: usize,
-    ) -> Result<(StatusCode, Bytes), Failed> {
+    ) -> Result<(StatusCode, Bytes), CallError> {
         let whole = async {
             let answer = self.send(method, path, body, limit).await?;
             let status = answer.status();
             let body = Limited::new(answer.into_body(), most).collect().await;
-            Ok((status, body.map_err(|e| Failed::new(Came::Answered, chain(&*e)))?.to_bytes()))
+            Ok((status, body.map_err(|e| CallError::new(CallProgress::Answered, chain(&*e)))?.to_bytes()))
         };
-        let slow = || Failed::new(Came::Answered, format!("not whole after {} ms", limit.as_millis()));
+        let slow =
+            || CallError::new(CallProgress::Answered, format!("not whole after {} ms", limit.as_millis()));
         within(limit, whole).await.unwrap_or_else(|| Err(slow()))
     }
 }
--- a/control-plane/src/commands.rs
+++ b/control-plane/src/command_delivery.rs
@@ -1,9 +1,9 @@
 //! The relay's commands: one call at a time, in the order they were given. What became of a call is told to
 //! the rules, and they say whether and when it goes again.
 
+use crate::call_error::{CallError, CallProgress};
 use crate::client::Peer;
-use crate::desk::{About, Command};
-use crate::errors::{Came, Failed};
+use crate::relay_host::{Command, CommandKind};
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
 use serde_json::Value;
@@ -18,37 +18,37 @@
 const ANSWER_WITHIN: Duration = Duration::from_millis(250);
 const MOST_ANSWER: usize = 64 << 10;
 
-pub enum Fate {
+pub enum DeliveryOutcome {
     Taken,
     /// All before this one were taken, it can't be used, and the rest is still in hand.
     Declined(Command),
-    Lost(Failed),
+    Lost(CallError),
 }
 
-pub struct Commands {
+pub struct CommandDelivery {
     relay: watch::Receiver<SocketAddr>,
     peer: Peer,
     pub in_hand: VecDeque<Command>,
     pub calls: u64,
 }
 
-impl Commands {
+impl CommandDelivery {
     pub fn to(mut relay: watch::Receiver<SocketAddr>) -> Self {
         let peer = Peer::at(*relay.borrow_and_update());
-        Commands { relay, peer, in_hand: VecDeque::new(), calls: 0 }
+        CommandDelivery { relay, peer, in_hand: VecDeque::new(), calls: 0 }
     }
 
     /// Puts commands behind those in hand. A mark among them stands for the marks of the call that was lost, so
     /// that its answer tells which of the two came.
     pub fn take(&mut self, fresh: VecDeque<Command>) {
-        if fresh.iter().any(|command| matches!(command.about, About::Mark)) {
-            self.in_hand.retain(|command| !matches!(command.about, About::Mark));
+        if fresh.iter().any(|command| matches!(command.about, CommandKind::Mark)) {
+            self.in_hand.retain(|command| !matches!(command.about, CommandKind::Mark));
         }
         self.in_hand.extend(fresh);
     }
 
     /// Sends what is in hand, in calls that are not too long, until all is taken or something stops it.
-    pub async fn deliver(&mut self) -> Fate {
+    pub async fn deliver(&mut self) -> DeliveryOutcome {
         while !self.in_hand.is_empty() {
             let (body, count, marks) = body(&self.in_hand);
             self.calls += 1;
@@ -57,17 +57,17 @@
                     self.in_hand.drain(..taken.min(count));
                     if taken < count {
                         if let Some(declined) = self.in_hand.pop_front() {
-                            return Fate::Declined(declined);
+                            return DeliveryOutcome::Declined(declined);
                         }
                     }
                 }
-                Err(failed) => return Fate::Lost(failed),
+                Err(failed) => return DeliveryOutcome::Lost(failed),
             }
         }
-        Fate::Taken
+        DeliveryOutcome::Taken
     }
 
-    async fn call(&mut self, body: String, count: usize) -> Result<usize, Failed> {
+    async fn call(&mut self, body: String, count: usize) -> Result<usize, CallError> {
         // A relay that has moved takes the next call at its new place, be it one that was lost at the old:
         // that it goes again as it was and nothing overtakes it holds there too.
         if self.relay.has_changed().unwrap_or(false) {
@@ -84,13 +84,13 @@
                 let text: String = String::from_utf8_lossy(&answer).chars().take(120).collect();
                 // Only a plain no tells that nothing was carried out; an inner error of the relay's does not.
                 let came = if text.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
-                    Came::TurnedAway
+                    CallProgress::TurnedAway
                 } else if status.is_client_error() && text.contains("invalid") {
-                    Came::Unfit
+                    CallProgress::Unfit
                 } else {
-                    Came::Answered
+                    CallProgress::Answered
                 };
-                Err(Failed::new(came, format!("status {status}: {text}")))
+                Err(CallError::new(came, format!("status {status}: {text}")))
             }
         }
     }
@@ -103,7 +103,7 @@
 /// fit, and the mark that ends a moment's commands ends each of their calls: else what it counts as one message
 /// is two, and of all calls but the last nobody ever tells that they came.
 fn body(commands: &VecDeque<Command>) -> (String, usize, usize) {
-    let mark = commands.back().filter(|command| matches!(command.about, About::Mark));
+    let mark = commands.back().filter(|command| matches!(command.about, CommandKind::Mark));
     let most = MOST_BYTES - mark.map_or(0, |mark| mark.text.len() + 1);
     let mut text = String::from(r#"{"changes":["#);
     // Where the last group of commands that reach the same proxies began.
@@ -135,10 +135,13 @@
 }
 
 /// Whether two commands, one right after the other, reach the same proxies.
-fn together(one: &About, next: &About) -> bool {
+fn together(one: &CommandKind, next: &CommandKind) -> bool {
     match (one, next) {
-        (About::Line(a, _) | About::Level(a), About::Line(b, _) | About::Level(b)) => a == b,
-        (About::Withdrawal, About::Withdrawal) | (_, About::Mark) => true,
+        (
+            CommandKind::Line(a, _) | CommandKind::Level(a),
+            CommandKind::Line(b, _) | CommandKind::Level(b),
+        ) => a == b,
+        (CommandKind::Withdrawal, CommandKind::Withdrawal) | (_, CommandKind::Mark) => true,
         _ => false,
     }
 }
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -1,8 +1,8 @@
 //! The config of a supervisor: one file, checked against the environment and itself, read at the start and again
 //! at each SIGHUP. A new file may move our peers; what it can't change while we run is refused.
 
-use crate::list;
-use crate::planner::Seen;
+use crate::control_loop::Metrics;
+use crate::endpoint_watch;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
 use otterwinch_adapter_support::{controller_config, JsonFieldError, JsonFields, SettingsReader};
@@ -125,10 +125,9 @@
                 "config: field 'settings.familyInfo.slices' is above 0: the relay has no slices".into()
             });
         }
-        let known = f
-            .object("known")
-            .map_err(String::from)
-            .and_then(|v| list::answer(v, &names).map_err(|e| format!("config: field 'known': {e}")));
+        let known = f.object("known").map_err(String::from).and_then(|v| {
+            endpoint_watch::answer(v, &names).map_err(|e| format!("config: field 'known': {e}"))
+        });
         let known = faults.none_in(known);
         for entry in known.iter().flat_map(|known| &known.spoilt) {
             faults.unless(false, || format!("config: field 'known': {}", entry.why));
@@ -191,7 +190,7 @@
     config: Rc<Config>,
     list: watch::Sender<SocketAddr>,
     relay: watch::Sender<SocketAddr>,
-    seen: Rc<Seen>,
+    seen: Rc<Metrics>,
     log: Logger,
 ) {
     while hangups.recv().await.is_some() {
--- a/control-plane/src/dials.rs
+++ b/control-plane/src/connector.rs
@@ -13,14 +13,14 @@
 /// The oldest go on, for they come up first; the youngest makes room for one that finds a network just mended.
 const AT_ONCE: usize = 4;
 
-pub struct Dials<S> {
+pub struct Connector<S> {
     running: JoinSet<io::Result<S>>,
     handles: VecDeque<AbortHandle>,
 }
 
-impl<S: Send + 'static> Dials<S> {
+impl<S: Send + 'static> Connector<S> {
     pub fn new() -> Self {
-        Dials { running: JoinSet::new(), handles: VecDeque::new() }
+        Connector { running: JoinSet::new(), handles: VecDeque::new() }
     }
 
     /// Begins one more connect and waits for whichever comes up first and is `sound`. Dropped before, it leaves
@@ -47,7 +47,7 @@
             match came {
                 Ok(stream) if sound(&stream) => {
                     // Nobody needs the others any more; each would hold a descriptor.
-                    *self = Dials::new();
+                    *self = Connector::new();
                     return Ok(stream);
                 }
                 Err(why) if ended == number => return Err(why),
--- a/control-plane/src/planner.rs
+++ b/control-plane/src/control_loop.rs
@@ -1,10 +1,10 @@
 //! The task that owns the rules and the clock. One round, top to bottom: wait for something, drain all that
 //! is ready, tell it to the rules with one moment, send what they ordered as one call, tell them its fate.
 
-use crate::commands::{Commands, Fate};
+use crate::call_error::CallProgress;
+use crate::command_delivery::{CommandDelivery, DeliveryOutcome};
 use crate::config::Config;
-use crate::desk::{About, Desk};
-use crate::errors::Came;
+use crate::relay_host::{CommandKind, RelayHost};
 use otterwinch::controller::Controller;
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{catch_panic, CommandValidator};
@@ -21,36 +21,36 @@
 const SUMMARY_EVERY: Span = Span::from_us(10_000_000);
 const PAGE_EVERY: Span = Span::from_us(1_000_000);
 
-pub type Told = Box<dyn FnOnce(&mut Controller<Desk>, Moment)>;
+pub type Call = Box<dyn FnOnce(&mut Controller<RelayHost>, Moment)>;
 
 /// What the tasks of the peers speak to. Where the planner is behind, they wait.
 #[derive(Clone)]
-pub struct Ear {
-    pub told: mpsc::Sender<Told>,
-    pub seen: Rc<Seen>,
+pub struct EventSender {
+    pub told: mpsc::Sender<Call>,
+    pub seen: Rc<Metrics>,
 }
 
 /// What went amiss at our address and with the config, counted for the page.
 #[derive(Default)]
-pub struct Seen {
-    pub dropped: Count,
-    pub ended: Count,
-    pub turned_away: Count,
-    pub config_read: Count,
-    pub config_refused: Count,
+pub struct Metrics {
+    pub dropped: Counter,
+    pub ended: Counter,
+    pub turned_away: Counter,
+    pub config_read: Counter,
+    pub config_refused: Counter,
 }
 
 #[derive(Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
     pub fn more(&self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
-impl Ear {
-    pub async fn tell(&self, told: impl FnOnce(&mut Controller<Desk>, Moment) + 'static) {
+impl EventSender {
+    pub async fn tell(&self, told: impl FnOnce(&mut Controller<RelayHost>, Moment) + 'static) {
         // Only at the end of the process is nobody there to listen.
         let _ = self.told.send(Box::new(told)).await;
     }
@@ -73,17 +73,17 @@
     }
 }
 
-pub struct Planner {
-    controller: Controller<Desk>,
+pub struct ControlLoop {
+    controller: Controller<RelayHost>,
     config: Rc<Config>,
     clock: Clock,
-    commands: Commands,
+    commands: CommandDelivery,
     /// A call came to nothing: what is in hand goes again when the rules say so, and nothing before it.
     lost: bool,
     /// The relay said of the last call that it is none.
     unfit: bool,
-    told: mpsc::Receiver<Told>,
-    seen: Rc<Seen>,
+    told: mpsc::Receiver<Call>,
+    seen: Rc<Metrics>,
     page: watch::Sender<String>,
     log: Logger,
     opened: u64,
@@ -92,21 +92,25 @@
     summed: Moment,
 }
 
-impl Planner {
-    pub fn open(config: Rc<Config>, commands: Commands, log: Logger) -> (Self, Ear, watch::Receiver<String>) {
+impl ControlLoop {
+    pub fn open(
+        config: Rc<Config>,
+        commands: CommandDelivery,
+        log: Logger,
+    ) -> (Self, EventSender, watch::Receiver<String>) {
         let clock = Clock::start();
         let now = clock.now();
         let desk =
-            Desk::new(CommandValidator::new(&config.controller), config.names.clone(), now, log.clone());
+            RelayHost::new(CommandValidator::new(&config.controller), config.names.clone(), now, log.clone());
         let mut controller = Controller::start(desk, config.controller.clone(), config.seed, now);
         controller.host().learn(&config.known, true);
         controller.endpoint_list_replaced(now, &config.known);
         let (ear, told) = mpsc::channel(QUEUE);
-        let seen = Rc::<Seen>::default();
+        let seen = Rc::<Metrics>::default();
         let (page, shown) = watch::channel(String::from("{}"));
         let (lost, opened, lost_calls) = (false, 1, 0);
         let (paged, summed) = (now, now);
-        let planner = Planner {
+        let planner = ControlLoop {
             controller,
             config,
             clock,
@@ -122,7 +126,7 @@
             paged,
             summed,
         };
-        (planner, Ear { told: ear, seen }, shown)
+        (planner, EventSender { told: ear, seen }, shown)
     }
 
     pub fn follow(&mut self) -> Rc<tokio::sync::Notify> {
@@ -140,7 +144,7 @@
         self.round(None).await;
     }
 
-    async fn round(&mut self, first: Option<Told>) {
+    async fn round(&mut self, first: Option<Call>) {
         let now = self.clock.now();
         self.controller.host().now = now;
         let mut next = first;
@@ -159,7 +163,7 @@
     }
 
     /// The first that comes: something told, or nothing where a wake-up is due or the end has come.
-    async fn wait(&mut self, end: &CancellationToken) -> Option<Told> {
+    async fn wait(&mut self, end: &CancellationToken) -> Option<Call> {
         let now = self.clock.now();
         let at = self.controller.host().next_wake().unwrap_or(now + PAGE_EVERY);
         let left = Duration::from_micros((at - now).as_us().max(0) as u64);
@@ -186,42 +190,42 @@
             let fate = self.commands.deliver().await;
             let now = self.clock.now();
             self.controller.host().now = now;
-            let unfit = matches!(&fate, Fate::Lost(failed) if failed.came == Came::Unfit);
+            let unfit = matches!(&fate, DeliveryOutcome::Lost(failed) if failed.came == CallProgress::Unfit);
             let unfit_again = std::mem::replace(&mut self.unfit, unfit) && unfit;
             match fate {
-                Fate::Taken => {
+                DeliveryOutcome::Taken => {
                     if std::mem::take(&mut self.lost) {
                         info!(self.log, "relay takes commands again");
                     }
                     self.guarded(now, Box::new(|controller, now| controller.commands_accepted(now)));
                 }
-                Fate::Declined(command) => {
+                DeliveryOutcome::Declined(command) => {
                     warn!(self.log, "command declined by the relay"; "command" => &command.text);
                     match command.about {
-                        About::Bind(proxy) => {
+                        CommandKind::Bind(proxy) => {
                             self.guarded(
                                 now,
                                 Box::new(move |controller, now| controller.assignment_rejected(now, proxy)),
                             );
                         }
-                        About::Line(tbl, id) => {
+                        CommandKind::Line(tbl, id) => {
                             self.guarded(
                                 now,
                                 Box::new(move |controller, _| controller.weight_rejected(tbl, &id)),
                             );
                         }
-                        About::Level(_) | About::Withdrawal | About::Mark => {}
+                        CommandKind::Level(_) | CommandKind::Withdrawal | CommandKind::Mark => {}
                     }
                     self.controller.host().again = self.lost;
                 }
                 // A call that the relay can't read would stop all that follows, for ever. Said once it may be
                 // the answer that is spoilt, and the call goes again as it was.
-                Fate::Lost(failed) if unfit_again => {
+                DeliveryOutcome::Lost(failed) if unfit_again => {
                     error!(self.log, "the relay can't use our commands"; "why" => %failed);
                     self.open_anew(now);
                     return;
                 }
-                Fate::Lost(failed) => {
+                DeliveryOutcome::Lost(failed) => {
                     self.lost_calls += 1;
                     if !std::mem::replace(&mut self.lost, true) {
                         let commands = self.commands.in_hand.len();
@@ -236,7 +240,7 @@
     }
 
     /// Controller that break are opened anew from what stands outside, as after a start.
-    fn guarded(&mut self, now: Moment, told: Told) {
+    fn guarded(&mut self, now: Moment, told: Call) {
         if let Err(cause) = catch_panic(|| told(&mut self.controller, now)) {
             error!(self.log, "the rules broke"; "cause" => %cause);
             self.open_anew(now);
@@ -248,7 +252,8 @@
     /// and one that was barred would never be let back in.
     fn open_anew(&mut self, now: Moment) {
         error!(self.log, "the rules are opened anew");
-        let new = Desk::new(CommandValidator::default(), self.config.names.clone(), now, self.log.clone());
+        let new =
+            RelayHost::new(CommandValidator::default(), self.config.names.clone(), now, self.log.clone());
         let mut desk = std::mem::replace(self.controller.host(), new);
         desk.cleared();
         self.commands.in_hand.clear();
@@ -257,7 +262,7 @@
         let joined = desk.joined.clone();
         let seed = self.config.seed.wrapping_add(self.opened);
         self.controller = Controller::start(desk, self.config.controller.clone(), seed, now);
-        let tell = |controller: &mut Controller<Desk>| {
+        let tell = |controller: &mut Controller<RelayHost>| {
             controller.endpoints_updated(now, &gone);
             controller.endpoint_list_replaced(now, &listed);
             joined.iter().for_each(|(p, (zone, rate))| controller.proxy_joined(now, *p, *zone, *rate, false));
--- a/control-plane/src/planner/tests.rs
+++ b/control-plane/src/control_loop/tests.rs
@@ -2,14 +2,14 @@
 use otterwinch::host::{EndpointState, EndpointUpdate, Timer};
 use slog::{o, Discard};
 
-fn planner() -> Planner {
+fn planner() -> ControlLoop {
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
         "relay": {"address": "127.0.0.1:2"},
         "known": {"seq": 4, "whole": true, "hosts": [{"host": "a", "site": "north", "health": "active"}]},
         "settings": {"zones": ["north"], "classes": [{"name": "quote", "promiseUs": 1_000_000}]}});
     let config = Config::read(&config, |_| None).unwrap();
-    let commands = Commands::to(watch::channel(config.relay).1);
-    Planner::open(Rc::new(config), commands, Logger::root(Discard, o!())).0
+    let commands = CommandDelivery::to(watch::channel(config.relay).1);
+    ControlLoop::open(Rc::new(config), commands, Logger::root(Discard, o!())).0
 }
 
 #[test]
--- a/control-plane/src/list.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,11 +1,11 @@
 //! The list of servers: read whole once, then watched. A call that fails is reported to the rules, which say
 //! when to ask again. What can't be read of an answer is left out alone: the last good state of it stands.
 
+use crate::call_error::{CallError, CallProgress};
 use crate::client::Peer;
 use crate::config::Names;
-use crate::errors::{Came, Failed};
-use crate::log::Sparing;
-use crate::planner::Ear;
+use crate::control_loop::EventSender;
+use crate::log::LogRateLimit;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -26,11 +26,11 @@
     pub version: u64,
     pub whole: bool,
     pub listings: Vec<EndpointUpdate>,
-    pub spoilt: Vec<Spoilt>,
+    pub spoilt: Vec<InvalidEntry>,
 }
 
 /// An entry that can't be used: why, and of which server it tells where that much can be read.
-pub struct Spoilt {
+pub struct InvalidEntry {
     pub id: Option<EndpointId>,
     pub why: String,
 }
@@ -44,7 +44,7 @@
             Ok(listing) => listings.push(listing),
             Err(why) => {
                 let id = entry.get("host").and_then(Value::as_str).map(EndpointId::from);
-                spoilt.push(Spoilt { id, why: format!("entry {place}: {why}") });
+                spoilt.push(InvalidEntry { id, why: format!("entry {place}: {why}") });
             }
         }
     }
@@ -82,11 +82,11 @@
     (mut place, most_bytes): (watch::Receiver<SocketAddr>, usize),
     names: Rc<Names>,
     follow: Rc<Notify>,
-    ear: Ear,
+    ear: EventSender,
     log: Logger,
 ) {
     let mut peer = Peer::at(*place.borrow_and_update());
-    let (mut version, mut lost, mut asking, mut odd) = (None, false, false, Sparing::default());
+    let (mut version, mut lost, mut asking, mut odd) = (None, false, false, LogRateLimit::default());
     loop {
         let told = tokio::select! {
             () = follow.notified(), if !asking => {
@@ -108,7 +108,8 @@
                 }
                 // What can't be read may have been a change, and no later one tells of it again; a list that has
                 // lost its state may refuse to tell what is newer than it knows.
-                version = version.filter(|_| matches!(failed.came, Came::NotConnected | Came::Sent));
+                version = version
+                    .filter(|_| matches!(failed.came, CallProgress::NotConnected | CallProgress::Sent));
                 asking = false;
                 ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
                 continue;
@@ -119,7 +120,7 @@
         }
         version = Some(told.version);
         let Answer { whole, mut listings, spoilt, .. } = told;
-        for Spoilt { why, .. } in &spoilt {
+        for InvalidEntry { why, .. } in &spoilt {
             ear.seen.dropped.more();
             if let Some(times) = odd.due() {
                 warn!(log, "list entry left out"; "why" => why, "times" => times);
@@ -153,14 +154,16 @@
 
 /// A change older than what is known was held up on its way, or comes from a list that counts anew: only the
 /// whole list tells which.
-fn newer(told: Answer, version: Option<u64>) -> Result<Answer, Failed> {
+fn newer(told: Answer, version: Option<u64>) -> Result<Answer, CallError> {
     match version.filter(|known| !told.whole && told.version < *known) {
-        Some(_) => Err(Failed::new(Came::Answered, format!("a change of version {}", told.version))),
+        Some(_) => {
+            Err(CallError::new(CallProgress::Answered, format!("a change of version {}", told.version)))
+        }
         None => Ok(told),
     }
 }
 
-async fn ask(peer: &Peer, names: &Names, version: Option<u64>, most: usize) -> Result<Answer, Failed> {
+async fn ask(peer: &Peer, names: &Names, version: Option<u64>, most: usize) -> Result<Answer, CallError> {
     let (path, within) = match version {
         None => ("/v1/servers".into(), ANSWER_WITHIN),
         Some(seen) => {
@@ -170,9 +173,9 @@
     };
     let (status, body) = peer.ask(Method::GET, &path, Bytes::new(), within, most).await?;
     if status != StatusCode::OK {
-        return Err(Failed::new(Came::TurnedAway, format!("status {status}")));
+        return Err(CallError::new(CallProgress::TurnedAway, format!("status {status}")));
     }
-    let unreadable = |why: String| Failed::new(Came::Answered, why);
+    let unreadable = |why: String| CallError::new(CallProgress::Answered, why);
     let value = serde_json::from_slice(&body).map_err(|e| unreadable(e.to_string()))?;
     let told = answer(&value, names).map_err(unreadable)?;
     // Asked for the whole list, a part would pass for all of it.
--- a/control-plane/src/front.rs
+++ b/control-plane/src/listener.rs
@@ -1,12 +1,12 @@
 //! The supervisor's own address. A frame's first byte is always 0 and that of HTTP never: frames go to the
 //! collectors' side, HTTP to a small read-only page on axum.
 
-use crate::collectors;
+use crate::call_error::{chain, CallError, CallProgress};
 use crate::config::Names;
-use crate::errors::{chain, Came, Failed};
-use crate::limits::within;
-use crate::log::Sparing;
-use crate::planner::Ear;
+use crate::control_loop::EventSender;
+use crate::load_reports;
+use crate::log::LogRateLimit;
+use crate::timeout::within;
 use axum::extract::State;
 use axum::http::header::CONTENT_TYPE;
 use axum::routing::get;
@@ -39,7 +39,7 @@
 #[derive(Clone)]
 pub struct Front {
     pub names: Rc<Names>,
-    pub ear: Ear,
+    pub ear: EventSender,
     pub page: watch::Receiver<String>,
     pub log: Logger,
 }
@@ -105,7 +105,7 @@
         ended: Rc::default(),
         end,
     };
-    let mut failed = Sparing::default();
+    let mut failed = LogRateLimit::default();
     loop {
         let taken = tokio::select! {
             biased;
@@ -148,8 +148,8 @@
     each_zone: usize,
     connections: Rc<RefCell<Connections>>,
     tasks: TaskTracker,
-    full: Rc<RefCell<Sparing>>,
-    ended: Rc<RefCell<Sparing>>,
+    full: Rc<RefCell<LogRateLimit>>,
+    ended: Rc<RefCell<LogRateLimit>>,
     end: CancellationToken,
 }
 
@@ -210,21 +210,21 @@
     router: Router,
     (slot, each_zone, let_go): (&Slot, usize, &CancellationToken),
     log: &Logger,
-) -> Result<(), Failed> {
+) -> Result<(), CallError> {
     let mut greeting = pin!(within(JOINED_WITHIN, greet(stream, front, router)));
     let greeted = tokio::select! {
         greeted = &mut greeting => greeted,
-        () = let_go.cancelled() => match within(collectors::AT_HAND, greeting).await {
+        () = let_go.cancelled() => match within(load_reports::AT_HAND, greeting).await {
             Some(greeted) => greeted,
             None => return Ok(()),
         },
     };
-    let greeted = greeted.ok_or_else(|| Failed::new(Came::Sent, "not joined in time"))?;
+    let greeted = greeted.ok_or_else(|| CallError::new(CallProgress::Sent, "not joined in time"))?;
     let Some((frames, zone)) = greeted? else { return Ok(()) };
     slot.connections.borrow_mut().join(slot.number, zone, each_zone);
     info!(log, "collector found"; "zone" => zone);
     let heard = || slot.connections.borrow_mut().heard(slot.number);
-    collectors::listen(frames, &front.names, &front.ear, heard, let_go, log).await?;
+    load_reports::listen(frames, &front.names, &front.ear, heard, let_go, log).await?;
     info!(log, "collector left");
     Ok(())
 }
@@ -234,15 +234,15 @@
     stream: TcpStream,
     front: &Front,
     router: Router,
-) -> Result<Option<(collectors::Frames, u32)>, Failed> {
-    let lost = |e| Failed::new(Came::NotConnected, e);
+) -> Result<Option<(load_reports::Frames, u32)>, CallError> {
+    let lost = |e| CallError::new(CallProgress::NotConnected, e);
     let mut first = [0];
     if stream.peek(&mut first).await.map_err(lost)? == 0 {
         return Ok(None);
     }
     stream.set_nodelay(true).map_err(lost)?;
     if first[0] == 0 {
-        return collectors::join(stream, &front.names).await;
+        return load_reports::join(stream, &front.names).await;
     }
     // One page a connection: who keeps it open for more would hold it unjoined.
     let page = http1::Builder::new()
@@ -251,7 +251,7 @@
         .max_buf_size(8 << 10)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(router));
-    page.await.map(|()| None).map_err(|e| Failed::new(Came::Answered, chain(&e)))
+    page.await.map(|()| None).map_err(|e| CallError::new(CallProgress::Answered, chain(&e)))
 }
 
 #[cfg(test)]
--- a/control-plane/src/collectors.rs
+++ b/control-plane/src/load_reports.rs
@@ -1,11 +1,11 @@
 //! Collectors: who has joined at our address, in frames of a four-byte length and one JSON object, and what it
 //! reports. Every field that is used is checked before the rules hear any.
 
+use crate::call_error::{chain, CallError, CallProgress};
 use crate::config::Names;
-use crate::errors::{chain, Came, Failed};
-use crate::limits::within;
-use crate::log::Sparing;
-use crate::planner::Ear;
+use crate::control_loop::EventSender;
+use crate::log::LogRateLimit;
+use crate::timeout::within;
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
 use otterwinch::time::Span;
@@ -37,13 +37,13 @@
 
 pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn unusable(why: impl std::fmt::Display) -> Failed {
-    Failed::new(Came::Answered, why)
+fn unusable(why: impl std::fmt::Display) -> CallError {
+    CallError::new(CallProgress::Answered, why)
 }
 
 /// Hears a stranger out until it states its zone, which is what makes it a collector; nothing where it leaves.
 /// Probes are answered; anything else is told to be an error and ends the connection.
-pub async fn join(stream: TcpStream, names: &Names) -> Result<Option<(Frames, u32)>, Failed> {
+pub async fn join(stream: TcpStream, names: &Names) -> Result<Option<(Frames, u32)>, CallError> {
     let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST_UNJOINED).new_codec();
     let mut frames = Framed::with_capacity(stream, codec, LONGEST_UNJOINED);
     loop {
@@ -81,11 +81,11 @@
     serde_json::from_slice(frame).map_err(|e| format!("not a JSON value: {e}"))
 }
 
-async fn alive(frames: &mut Frames) -> Result<(), Failed> {
+async fn alive(frames: &mut Frames) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(br#"{"msg":"alive"}"#));
     let answer = within(ANSWER_WITHIN, answer).await;
-    let answer = answer.ok_or_else(|| Failed::new(Came::Sent, "the answer is left unread"))?;
-    answer.map_err(|e| Failed::new(Came::Sent, chain(&e)))
+    let answer = answer.ok_or_else(|| CallError::new(CallProgress::Sent, "the answer is left unread"))?;
+    answer.map_err(|e| CallError::new(CallProgress::Sent, chain(&e)))
 }
 
 /// Takes reports until the collector leaves. A report that is spoilt is dropped alone; where frames can't be
@@ -94,12 +94,12 @@
 pub async fn listen(
     mut frames: Frames,
     names: &Names,
-    ear: &Ear,
+    ear: &EventSender,
     heard: impl Fn(),
     let_go: &CancellationToken,
     log: &Logger,
-) -> Result<(), Failed> {
-    let mut odd = Sparing::default();
+) -> Result<(), CallError> {
+    let mut odd = LogRateLimit::default();
     loop {
         let Some(frame) = next(&mut frames, let_go).await? else { return Ok(()) };
         heard();
@@ -122,7 +122,7 @@
 async fn next(
     frames: &mut Frames,
     let_go: &CancellationToken,
-) -> Result<Option<impl std::ops::Deref<Target = [u8]>>, Failed> {
+) -> Result<Option<impl std::ops::Deref<Target = [u8]>>, CallError> {
     let since = Instant::now();
     loop {
         if frames.read_buffer().is_empty() {
@@ -134,20 +134,20 @@
                     None => return Ok(None),
                 },
             };
-            came.ok_or_else(|| Failed::new(Came::Sent, "silent"))?.map_err(unusable)?;
+            came.ok_or_else(|| CallError::new(CallProgress::Sent, "silent"))?.map_err(unusable)?;
         }
         let limit = if let_go.is_cancelled() { AT_HAND } else { FRAME_WITHIN };
         match within(limit, frames.next()).await {
             Some(frame) => return frame.transpose().map_err(|e| unusable(chain(&e))),
             // Readable, and nothing to be read after all.
             None if frames.read_buffer().is_empty() => {}
-            None => return Err(Failed::new(Came::Sent, "half a frame")),
+            None => return Err(CallError::new(CallProgress::Sent, "half a frame")),
         }
     }
 }
 
 /// Takes one frame; true where it asks for a sign of life.
-async fn one(value: &Value, names: &Names, ear: &Ear) -> Result<bool, String> {
+async fn one(value: &Value, names: &Names, ear: &EventSender) -> Result<bool, String> {
     let f = JsonFields::of_message(value, "msg")?;
     match f.kind {
         "probe" => return Ok(true),
--- a/control-plane/src/collectors/tests.rs
+++ b/control-plane/src/load_reports/tests.rs
@@ -17,7 +17,7 @@
         None => _ = report.as_object_mut().unwrap().remove(field),
     }
     let (ear, mut told) = mpsc::channel(1);
-    let read = one(&report, &names, &Ear { told: ear, seen: Default::default() }).await;
+    let read = one(&report, &names, &EventSender { told: ear, seen: Default::default() }).await;
     assert_eq!(read.is_ok(), told.try_recv().is_ok());
     read.is_ok()
 }
--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -29,12 +29,12 @@
 
 /// For what may come once a message: tells when to log it, and how many there were since the last time.
 #[derive(Default)]
-pub struct Sparing {
+pub struct LogRateLimit {
     unsaid: u64,
     said: Option<Instant>,
 }
 
-impl Sparing {
+impl LogRateLimit {
     pub fn due(&mut self) -> Option<u64> {
         self.unsaid += 1;
         let due = self.said.is_none_or(|at| at.elapsed() >= AT_MOST_EVERY);
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,29 +1,29 @@
 //! The supervisor: the rules of `otterwinch` on sockets.
 
+mod call_error;
 mod cli;
 mod client;
-mod collectors;
-mod commands;
+mod command_delivery;
 mod config;
-mod desk;
-mod dials;
-mod errors;
-mod events;
-mod front;
-mod limits;
-mod list;
+mod connector;
+mod control_loop;
+mod endpoint_watch;
+mod listener;
+mod load_reports;
 mod log;
-mod planner;
-mod tasks;
+mod proxy_streams;
+mod relay_host;
+mod task_restart;
+mod timeout;
 
 use config::Config;
-use limits::within;
-use planner::Planner;
+use control_loop::ControlLoop;
 use slog::{error, info, warn, Logger};
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use tasks::kept_up;
+use task_restart::restart_on_panic;
+use timeout::within;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
@@ -85,30 +85,30 @@
     let config = Rc::new(config);
     let (list_moves, list) = watch::channel(config.list);
     let (relay_moves, relay) = watch::channel(config.relay);
-    let commands = commands::Commands::to(relay.clone());
-    let (mut planner, ear, page) = Planner::open(config.clone(), commands, log.clone());
+    let commands = command_delivery::CommandDelivery::to(relay.clone());
+    let (mut planner, ear, page) = ControlLoop::open(config.clone(), commands, log.clone());
     let follow = planner.follow();
     let listener = TcpListener::bind(config.listen).await?;
     info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %listener.local_addr()?);
     let (names, seen, list_bytes) = (config.names.clone(), ear.seen.clone(), config.list_bytes);
-    let front = front::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
+    let front = listener::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
     {
         let (names, ear, log) = (names.clone(), ear.clone(), log.clone());
-        kept_up("list", log.clone(), move || {
+        restart_on_panic("list", log.clone(), move || {
             // A task started anew asks at once: the rules do not know that the old one broke.
             follow.notify_one();
             let place = (list.clone(), list_bytes);
-            list::follow(place, names.clone(), follow.clone(), ear.clone(), log.clone())
+            endpoint_watch::follow(place, names.clone(), follow.clone(), ear.clone(), log.clone())
         });
     }
     {
         let log = log.clone();
-        kept_up("event stream", log.clone(), move || {
-            events::follow(relay.clone(), names.clone(), ear.clone(), log.clone())
+        restart_on_panic("event stream", log.clone(), move || {
+            proxy_streams::follow(relay.clone(), names.clone(), ear.clone(), log.clone())
         });
     }
     let end = CancellationToken::new();
-    let mut front = spawn_local(front::serve(listener, front, config.connections, end.clone()));
+    let mut front = spawn_local(listener::serve(listener, front, config.connections, end.clone()));
     let mut planner = spawn_local(planner.run(end.clone()));
     let why = tokio::select! {
         ended = &mut planner => return Err(unasked("the planner", ended)),
--- a/control-plane/src/events.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,13 +1,13 @@
 //! The relay's event stream: which proxies are joined and what has come to them. One connection, and another beside it
 //! while it is silent; a new one tells anew who is joined, and whoever it does not name has left.
 
+use crate::call_error::{chain, CallError, CallProgress};
 use crate::client::Peer;
 use crate::config::Names;
-use crate::desk::Desk;
-use crate::errors::{chain, Came, Failed};
-use crate::limits::within;
-use crate::log::Sparing;
-use crate::planner::Ear;
+use crate::control_loop::EventSender;
+use crate::log::LogRateLimit;
+use crate::relay_host::RelayHost;
+use crate::timeout::within;
 use futures_util::{Stream, StreamExt, TryStreamExt};
 use http_body_util::BodyDataStream;
 use hyper::body::Bytes;
@@ -59,11 +59,11 @@
 /// missed nothing, and no proxy need be bound anew. One that broke may have missed any coming or going: the next
 /// names all, and whoever it does not name has left. A relay that has moved is heard at its new place as soon
 /// as it speaks there.
-pub async fn follow(mut place: watch::Receiver<SocketAddr>, names: Rc<Names>, ear: Ear, log: Logger) {
+pub async fn follow(mut place: watch::Receiver<SocketAddr>, names: Rc<Names>, ear: EventSender, log: Logger) {
     let mut at = *place.borrow_and_update();
     // One for all attempts at a place: a connect that is slow comes up for a later one.
     let mut peer = Rc::new(Peer::at(at));
-    let (mut failures, mut odd) = (0, Sparing::default());
+    let (mut failures, mut odd) = (0, LogRateLimit::default());
     let mut standing: Option<Open> = None;
     let mut opening = Some(Box::pin(open(peer.clone(), Duration::ZERO)));
     loop {
@@ -119,21 +119,21 @@
 }
 
 /// Opens a connection after a pause, and waits for its first line.
-async fn open(peer: Rc<Peer>, after: Duration) -> Result<Open, Failed> {
+async fn open(peer: Rc<Peer>, after: Duration) -> Result<Open, CallError> {
     sleep(after).await;
     let answer = peer.send(Method::GET, "/v3/kv/stream", Bytes::new(), HEAD_WITHIN).await?;
     if !answer.status().is_success() {
-        return Err(Failed::new(Came::TurnedAway, format!("status {}", answer.status())));
+        return Err(CallError::new(CallProgress::TurnedAway, format!("status {}", answer.status())));
     }
     let bytes: Pieces = Box::pin(BodyDataStream::new(answer.into_body()).map_err(io::Error::other));
     let codec = LinesCodec::new_with_max_length(LONGEST_LINE);
     let mut lines = FramedRead::new(StreamReader::new(bytes), codec);
-    let first = line(&mut lines).await?.ok_or_else(|| Failed::new(Came::Sent, "no first line"))?;
+    let first = line(&mut lines).await?.ok_or_else(|| CallError::new(CallProgress::Sent, "no first line"))?;
     Ok(Open { at: peer.address, lines, first: Some(first), named: Some(BTreeSet::new()) })
 }
 
 /// The next line of the connection that stands, and never one where none does; nothing where it is silent.
-async fn hear(standing: &mut Option<Open>) -> Result<Option<(String, &mut Open)>, Failed> {
+async fn hear(standing: &mut Option<Open>) -> Result<Option<(String, &mut Open)>, CallError> {
     let Some(open) = standing else { return pending().await };
     let heard = match open.first.take() {
         Some(first) => Some(first),
@@ -144,11 +144,11 @@
 
 async fn line(
     lines: &mut FramedRead<StreamReader<Pieces, Bytes>, LinesCodec>,
-) -> Result<Option<String>, Failed> {
+) -> Result<Option<String>, CallError> {
     match within(SILENT_FOR, lines.next()).await {
         None => Ok(None),
-        Some(None) => Err(Failed::new(Came::Answered, "ended")),
-        Some(Some(line)) => line.map(Some).map_err(|e| Failed::new(Came::Answered, chain(&e))),
+        Some(None) => Err(CallError::new(CallProgress::Answered, "ended")),
+        Some(Some(line)) => line.map(Some).map_err(|e| CallError::new(CallProgress::Answered, chain(&e))),
     }
 }
 
@@ -157,14 +157,14 @@
     line: &str,
     named: &mut Option<BTreeSet<u32>>,
     names: &Names,
-    ear: &Ear,
+    ear: &EventSender,
     log: &Logger,
-    odd: &mut Sparing,
-) -> Result<(), Failed> {
+    odd: &mut LogRateLimit,
+) -> Result<(), CallError> {
     let value: Value = match serde_json::from_str(line) {
         Ok(value) => value,
         Err(_) if line.trim().is_empty() => return Ok(()),
-        Err(e) => return Err(Failed::new(Came::Answered, format!("a line is not JSON: {e}"))),
+        Err(e) => return Err(CallError::new(CallProgress::Answered, format!("a line is not JSON: {e}"))),
     };
     if value.as_object().is_some_and(|fields| fields.is_empty()) {
         if let Some(named) = named.take() {
@@ -188,7 +188,7 @@
     Ok(())
 }
 
-fn left(controller: &mut Controller<Desk>, now: Moment, proxy: u32) {
+fn left(controller: &mut Controller<RelayHost>, now: Moment, proxy: u32) {
     controller.host().left(proxy);
     controller.proxy_left(now, proxy);
 }
@@ -196,7 +196,7 @@
 async fn one(
     value: &Value,
     names: &Names,
-    ear: &Ear,
+    ear: &EventSender,
     named: &mut Option<BTreeSet<u32>>,
 ) -> Result<(), String> {
     let kind = JsonFields::of_message(value, "type")?;
--- a/control-plane/src/desk.rs
+++ b/control-plane/src/relay_host.rs
@@ -17,10 +17,10 @@
 /// One command in the relay's form, and what the rules have to know if it can't be used.
 pub struct Command {
     pub text: String,
-    pub about: About,
+    pub about: CommandKind,
 }
 
-pub enum About {
+pub enum CommandKind {
     Bind(u32),
     Line(u32, EndpointId),
     Level(u32),
@@ -28,7 +28,7 @@
     Mark,
 }
 
-pub struct Desk {
+pub struct RelayHost {
     checks: CommandValidator,
     names: Rc<Names>,
     log: Logger,
@@ -48,9 +48,9 @@
     pub joined: BTreeMap<u32, (u32, f64)>,
 }
 
-impl Desk {
+impl RelayHost {
     pub fn new(checks: CommandValidator, names: Rc<Names>, now: Moment, log: Logger) -> Self {
-        Desk {
+        RelayHost {
             checks,
             names,
             log,
@@ -128,7 +128,7 @@
         self.wakes.pop().map(|wake| wake.0 .2)
     }
 
-    fn say(&mut self, checked: Result<(), InvalidCommand>, command: Value, about: About) {
+    fn say(&mut self, checked: Result<(), InvalidCommand>, command: Value, about: CommandKind) {
         if let Err(fault) = checked {
             return warn!(self.log, "command against the relay's rules"; "why" => %fault);
         }
@@ -142,27 +142,31 @@
     }
 }
 
-impl Host for Desk {
+impl Host for RelayHost {
     fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
         let command = json!({"op": "put", "table": tbl, "endpoint": &**server, "w": weight});
-        self.say(self.checks.check_weight(tbl, server, weight), command, About::Line(tbl, server.clone()));
+        self.say(
+            self.checks.check_weight(tbl, server, weight),
+            command,
+            CommandKind::Line(tbl, server.clone()),
+        );
     }
 
     fn assign_table(&mut self, proxy: u32, tbl: u32) {
         let command = json!({"op": "attach", "node": proxy, "table": tbl});
-        self.say(self.checks.check_assignment(proxy, tbl), command, About::Bind(proxy));
+        self.say(self.checks.check_assignment(proxy, tbl), command, CommandKind::Bind(proxy));
     }
 
     fn eject_endpoint(&mut self, server: &EndpointId) {
         self.withdrawn.insert(server.clone());
         let command = json!({"op": "eject", "endpoint": &**server});
-        self.say(self.checks.check_ejection(server), command, About::Withdrawal);
+        self.say(self.checks.check_ejection(server), command, CommandKind::Withdrawal);
     }
 
     fn restore_endpoint(&mut self, server: &EndpointId) {
         self.withdrawn.remove(server);
         let command = json!({"op": "uneject", "endpoint": &**server});
-        self.say(self.checks.check_ejection(server), command, About::Withdrawal);
+        self.say(self.checks.check_ejection(server), command, CommandKind::Withdrawal);
     }
 
     fn forget_endpoint(&mut self, server: &EndpointId) {
@@ -175,11 +179,11 @@
         let (routes, policy) = (self.routes(products), retry as u8);
         let command =
             json!({"op": "gate", "table": tbl, "routes": routes, "admit": admitted, "policy": policy});
-        self.say(self.checks.check_admission(tbl, admitted), command, About::Level(tbl));
+        self.say(self.checks.check_admission(tbl, admitted), command, CommandKind::Level(tbl));
     }
 
     fn request_acknowledgement(&mut self, number: u32) {
-        self.say(Ok(()), json!({"op": "fence", "nonce_out": number}), About::Mark);
+        self.say(Ok(()), json!({"op": "fence", "nonce_out": number}), CommandKind::Mark);
     }
 
     fn resend_commands(&mut self) {
--- a/control-plane/src/tasks.rs
+++ b/control-plane/src/task_restart.rs
@@ -9,7 +9,7 @@
 const REST: Duration = Duration::from_millis(100);
 
 /// Starts a peer's task, and starts it again should it break: a slip there must not cost the supervisor.
-pub fn kept_up<F: Future<Output = ()> + 'static>(
+pub fn restart_on_panic<F: Future<Output = ()> + 'static>(
     peer: &'static str,
     log: Logger,
     task: impl Fn() -> F + 'static,
--- a/control-plane/src/tasks/tests.rs
+++ b/control-plane/src/task_restart/tests.rs
@@ -19,7 +19,7 @@
         }
     };
     let run = async {
-        kept_up("list", Logger::root(Discard, o!()), task);
+        restart_on_panic("list", Logger::root(Discard, o!()), task);
         told.notified().await;
     };
     LocalSet::new().run_until(run).await;
