--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP towards one peer: hyper-util's client with a limit on each connect, answer and body. It never sends
 //! anything twice by itself: only who asked can know whether twice is once too often.
 
-use crate::call_error::{chain, CallError, CallProgress};
+use crate::call_error::CallError;
 use crate::connector::Connector;
 use crate::timeout::within;
 use http_body_util::{BodyExt, Full, Limited};
@@ -95,13 +95,11 @@
             .uri(format!("http://{}{path}", self.address))
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|e| CallError::new(CallProgress::NotConnected, e))?;
+            .map_err(|e| CallError::NotConnected(e.into()))?;
         match within(limit, self.client.request(message)).await {
-            None => Err(CallError::new(CallProgress::Sent, format!("silent for {} ms", limit.as_millis()))),
-            Some(Err(e)) if e.is_connect() || never_begun(&e) => {
-                Err(CallError::new(CallProgress::NotConnected, chain(&e)))
-            }
-            Some(Err(e)) => Err(CallError::new(CallProgress::Sent, chain(&e))),
+            None => Err(CallError::NoAnswer(format!("silent for {} ms", limit.as_millis()).into())),
+            Some(Err(e)) if e.is_connect() || never_begun(&e) => Err(CallError::NotConnected(e.into())),
+            Some(Err(e)) => Err(CallError::NoAnswer(e.into())),
             Some(Ok(answer)) => Ok(answer),
         }
     }
@@ -119,10 +117,9 @@
             let answer = self.send(method, path, body, limit).await?;
             let status = answer.status();
             let body = Limited::new(answer.into_body(), most).collect().await;
-            Ok((status, body.map_err(|e| CallError::new(CallProgress::Answered, chain(&*e)))?.to_bytes()))
+            Ok((status, body.map_err(CallError::UnusableAnswer)?.to_bytes()))
         };
-        let slow =
-            || CallError::new(CallProgress::Answered, format!("not whole after {} ms", limit.as_millis()));
+        let slow = || CallError::UnusableAnswer(format!("not whole after {} ms", limit.as_millis()).into());
         within(limit, whole).await.unwrap_or_else(|| Err(slow()))
     }
 }
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -1,7 +1,7 @@
 //! The relay's commands: one call at a time, in the order they were given. What became of a call is told to
 //! the rules, and they say whether and when it goes again.
 
-use crate::call_error::{CallError, CallProgress};
+use crate::call_error::CallError;
 use crate::client::Peer;
 use crate::relay_host::{Command, CommandKind};
 use hyper::body::Bytes;
@@ -83,14 +83,14 @@
             _ => {
                 let text: String = String::from_utf8_lossy(&answer).chars().take(120).collect();
                 // Only a plain no tells that nothing was carried out; an inner error of the relay's does not.
-                let came = if text.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
-                    CallProgress::TurnedAway
+                let kind = if text.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
+                    CallError::Rejected
                 } else if status.is_client_error() && text.contains("invalid") {
-                    CallProgress::Unfit
+                    CallError::Invalid
                 } else {
-                    CallProgress::Answered
+                    CallError::UnusableAnswer
                 };
-                Err(CallError::new(came, format!("status {status}: {text}")))
+                Err(kind(format!("status {status}: {text}").into()))
             }
         }
     }
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -2,6 +2,7 @@
 //! at each SIGHUP. A new file may move our peers; what it can't change while we run is refused.
 
 use crate::control_loop::Metrics;
+use crate::deployment_names::DeploymentNames;
 use crate::endpoint_watch;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
@@ -13,34 +14,6 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// The settings' names in their order: what comes by name is told to the rules by its place.
-#[derive(PartialEq)]
-pub struct Names {
-    pub zones: Vec<String>,
-    pub products: Vec<String>,
-    /// Proxies are numbered below this.
-    pub proxies: u32,
-}
-
-impl Names {
-    pub fn zone(&self, name: &str) -> Result<u32, String> {
-        place(&self.zones, name).ok_or_else(|| format!("zone '{name}' is not in the settings"))
-    }
-
-    pub fn product(&self, name: &str) -> Result<u32, String> {
-        place(&self.products, name).ok_or_else(|| format!("product '{name}' is not in the settings"))
-    }
-
-    pub fn proxy(&self, number: u32) -> Result<u32, String> {
-        let fits = number < self.proxies;
-        fits.then_some(number).ok_or_else(|| format!("proxy {number} is beyond the number in the settings"))
-    }
-}
-
-fn place(names: &[String], name: &str) -> Option<u32> {
-    names.iter().position(|known| known == name).map(|k| k as u32)
-}
-
 /// Connections at our address, whatever the config allows.
 const MOST_CONNECTIONS: u64 = 512;
 const MOST_LIST_BYTES: u64 = 4 << 20;
@@ -55,7 +28,7 @@
     pub list: SocketAddr,
     pub relay: SocketAddr,
     pub seed: u64,
-    pub names: Rc<Names>,
+    pub names: Rc<DeploymentNames>,
     pub controller: ControllerConfig,
     pub known: Vec<EndpointUpdate>,
     /// How many connections our address may hold: half of all sockets, so that our own ways out have theirs.
@@ -100,14 +73,14 @@
         }));
         let settings = faults.none_in(f.settings("settings"));
         let figures = settings.unwrap_or(SettingsReader::new(&Value::Null));
-        let names = Names {
+        let names = DeploymentNames {
             zones: figures.field("zones").elements().map(|zone| zone.text().to_owned()).collect(),
-            products: figures
+            request_classes: figures
                 .field("classes")
                 .elements()
                 .map(|row| row.field("name").text().to_owned())
                 .collect(),
-            proxies: match figures.field("familyInfo").field("proxyCount").count() {
+            proxy_count: match figures.field("familyInfo").field("proxyCount").count() {
                 0 => MOST_PROXIES,
                 told => told,
             },
@@ -117,8 +90,8 @@
         if settings.is_some() {
             let holds_nothing = |list| move || format!("config: field 'settings.{list}' holds nothing");
             faults.unless(!names.zones.is_empty(), holds_nothing("zones"));
-            faults.unless(!names.products.is_empty(), holds_nothing("classes"));
-            faults.unless(names.products.len() <= MOST_PRODUCTS, || {
+            faults.unless(!names.request_classes.is_empty(), holds_nothing("classes"));
+            faults.unless(names.request_classes.len() <= MOST_PRODUCTS, || {
                 format!("config: field 'settings.classes' holds more than {MOST_PRODUCTS}")
             });
             faults.unless(controller.shards == 0, || {
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -1,7 +1,7 @@
 //! The task that owns the rules and the clock. One round, top to bottom: wait for something, drain all that
 //! is ready, tell it to the rules with one moment, send what they ordered as one call, tell them its fate.
 
-use crate::call_error::CallProgress;
+use crate::call_error::CallError;
 use crate::command_delivery::{CommandDelivery, DeliveryOutcome};
 use crate::config::Config;
 use crate::relay_host::{CommandKind, RelayHost};
@@ -190,7 +190,7 @@
             let fate = self.commands.deliver().await;
             let now = self.clock.now();
             self.controller.host().now = now;
-            let unfit = matches!(&fate, DeliveryOutcome::Lost(failed) if failed.came == CallProgress::Unfit);
+            let unfit = matches!(&fate, DeliveryOutcome::Lost(CallError::Invalid(_)));
             let unfit_again = std::mem::replace(&mut self.unfit, unfit) && unfit;
             match fate {
                 DeliveryOutcome::Taken => {
@@ -221,7 +221,7 @@
                 // A call that the relay can't read would stop all that follows, for ever. Said once it may be
                 // the answer that is spoilt, and the call goes again as it was.
                 DeliveryOutcome::Lost(failed) if unfit_again => {
-                    error!(self.log, "the relay can't use our commands"; "why" => %failed);
+                    error!(self.log, "the relay can't use our commands"; "why" => #failed);
                     self.open_anew(now);
                     return;
                 }
@@ -229,9 +229,9 @@
                     self.lost_calls += 1;
                     if !std::mem::replace(&mut self.lost, true) {
                         let commands = self.commands.in_hand.len();
-                        warn!(self.log, "commands lost"; "why" => %failed, "commands" => commands);
+                        warn!(self.log, "commands lost"; "why" => #&failed, "commands" => commands);
                     }
-                    let unsure = failed.unsure();
+                    let unsure = failed.may_have_been_executed();
                     self.guarded(now, Box::new(move |controller, now| controller.commands_lost(now, unsure)));
                     return;
                 }
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,10 +1,10 @@
 //! The list of servers: read whole once, then watched. A call that fails is reported to the rules, which say
 //! when to ask again. What can't be read of an answer is left out alone: the last good state of it stands.
 
-use crate::call_error::{CallError, CallProgress};
+use crate::call_error::CallError;
 use crate::client::Peer;
-use crate::config::Names;
 use crate::control_loop::EventSender;
+use crate::deployment_names::DeploymentNames;
 use crate::log::LogRateLimit;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
@@ -35,7 +35,7 @@
     pub why: String,
 }
 
-pub fn answer(value: &Value, names: &Names) -> Result<Answer, String> {
+pub fn answer(value: &Value, names: &DeploymentNames) -> Result<Answer, String> {
     let f = JsonFields::of_object(value, "list")?;
     let (version, whole) = (f.u64("seq")?, f.flag("whole"));
     let (mut listings, mut spoilt) = (Vec::new(), Vec::new());
@@ -51,7 +51,7 @@
     Ok(Answer { version, whole, listings, spoilt })
 }
 
-fn listing(entry: &Value, names: &Names) -> Result<EndpointUpdate, String> {
+fn listing(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, String> {
     let f = JsonFields::of_object(entry, "list entry")?;
     let id = f.text("host")?.into();
     let standing = match f.text("health")? {
@@ -80,7 +80,7 @@
 /// has moved is asked for whole at its new place at once, whatever call is open at the old.
 pub async fn follow(
     (mut place, most_bytes): (watch::Receiver<SocketAddr>, usize),
-    names: Rc<Names>,
+    names: Rc<DeploymentNames>,
     follow: Rc<Notify>,
     ear: EventSender,
     log: Logger,
@@ -104,12 +104,12 @@
             Ok(told) => told,
             Err(failed) => {
                 if !std::mem::replace(&mut lost, true) {
-                    warn!(log, "list lost"; "why" => %failed, "version" => version);
+                    warn!(log, "list lost"; "why" => #&failed, "version" => version);
                 }
                 // What can't be read may have been a change, and no later one tells of it again; a list that has
                 // lost its state may refuse to tell what is newer than it knows.
-                version = version
-                    .filter(|_| matches!(failed.came, CallProgress::NotConnected | CallProgress::Sent));
+                version =
+                    version.filter(|_| matches!(failed, CallError::NotConnected(_) | CallError::NoAnswer(_)));
                 asking = false;
                 ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
                 continue;
@@ -156,14 +156,17 @@
 /// whole list tells which.
 fn newer(told: Answer, version: Option<u64>) -> Result<Answer, CallError> {
     match version.filter(|known| !told.whole && told.version < *known) {
-        Some(_) => {
-            Err(CallError::new(CallProgress::Answered, format!("a change of version {}", told.version)))
-        }
+        Some(_) => Err(CallError::UnusableAnswer(format!("a change of version {}", told.version).into())),
         None => Ok(told),
     }
 }
 
-async fn ask(peer: &Peer, names: &Names, version: Option<u64>, most: usize) -> Result<Answer, CallError> {
+async fn ask(
+    peer: &Peer,
+    names: &DeploymentNames,
+    version: Option<u64>,
+    most: usize,
+) -> Result<Answer, CallError> {
     let (path, within) = match version {
         None => ("/v1/servers".into(), ANSWER_WITHIN),
         Some(seen) => {
@@ -173,9 +176,9 @@
     };
     let (status, body) = peer.ask(Method::GET, &path, Bytes::new(), within, most).await?;
     if status != StatusCode::OK {
-        return Err(CallError::new(CallProgress::TurnedAway, format!("status {status}")));
+        return Err(CallError::Rejected(format!("status {status}").into()));
     }
-    let unreadable = |why: String| CallError::new(CallProgress::Answered, why);
+    let unreadable = |why: String| CallError::UnusableAnswer(why.into());
     let value = serde_json::from_slice(&body).map_err(|e| unreadable(e.to_string()))?;
     let told = answer(&value, names).map_err(unreadable)?;
     // Asked for the whole list, a part would pass for all of it.
--- a/control-plane/src/listener.rs
+++ b/control-plane/src/listener.rs
@@ -1,9 +1,9 @@
 //! The supervisor's own address. A frame's first byte is always 0 and that of HTTP never: frames go to the
 //! collectors' side, HTTP to a small read-only page on axum.
 
-use crate::call_error::{chain, CallError, CallProgress};
-use crate::config::Names;
+use crate::call_error::CallError;
 use crate::control_loop::EventSender;
+use crate::deployment_names::DeploymentNames;
 use crate::load_reports;
 use crate::log::LogRateLimit;
 use crate::timeout::within;
@@ -38,7 +38,7 @@
 
 #[derive(Clone)]
 pub struct Front {
-    pub names: Rc<Names>,
+    pub names: Rc<DeploymentNames>,
     pub ear: EventSender,
     pub page: watch::Receiver<String>,
     pub log: Logger,
@@ -182,7 +182,7 @@
             if let Err(failed) = one(stream, &front, router, (&slot, each_zone, &gone), &log).await {
                 front.ear.seen.ended.more();
                 if let Some(times) = ended.borrow_mut().due() {
-                    info!(log, "connection ended"; "why" => %failed, "times" => times);
+                    info!(log, "connection ended"; "why" => #failed, "times" => times);
                 }
             }
         });
@@ -219,7 +219,7 @@
             None => return Ok(()),
         },
     };
-    let greeted = greeted.ok_or_else(|| CallError::new(CallProgress::Sent, "not joined in time"))?;
+    let greeted = greeted.ok_or_else(|| CallError::NoAnswer("not joined in time".into()))?;
     let Some((frames, zone)) = greeted? else { return Ok(()) };
     slot.connections.borrow_mut().join(slot.number, zone, each_zone);
     info!(log, "collector found"; "zone" => zone);
@@ -235,7 +235,7 @@
     front: &Front,
     router: Router,
 ) -> Result<Option<(load_reports::Frames, u32)>, CallError> {
-    let lost = |e| CallError::new(CallProgress::NotConnected, e);
+    let lost = |e: std::io::Error| CallError::NotConnected(e.into());
     let mut first = [0];
     if stream.peek(&mut first).await.map_err(lost)? == 0 {
         return Ok(None);
@@ -251,7 +251,7 @@
         .max_buf_size(8 << 10)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(router));
-    page.await.map(|()| None).map_err(|e| CallError::new(CallProgress::Answered, chain(&e)))
+    page.await.map(|()| None).map_err(|e| CallError::UnusableAnswer(e.into()))
 }
 
 #[cfg(test)]
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -1,9 +1,9 @@
 //! Collectors: who has joined at our address, in frames of a four-byte length and one JSON object, and what it
 //! reports. Every field that is used is checked before the rules hear any.
 
-use crate::call_error::{chain, CallError, CallProgress};
-use crate::config::Names;
+use crate::call_error::{CallError, Cause};
 use crate::control_loop::EventSender;
+use crate::deployment_names::DeploymentNames;
 use crate::log::LogRateLimit;
 use crate::timeout::within;
 use futures_util::{SinkExt, StreamExt};
@@ -37,19 +37,19 @@
 
 pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn unusable(why: impl std::fmt::Display) -> CallError {
-    CallError::new(CallProgress::Answered, why)
+fn unusable(why: impl Into<Cause>) -> CallError {
+    CallError::UnusableAnswer(why.into())
 }
 
 /// Hears a stranger out until it states its zone, which is what makes it a collector; nothing where it leaves.
 /// Probes are answered; anything else is told to be an error and ends the connection.
-pub async fn join(stream: TcpStream, names: &Names) -> Result<Option<(Frames, u32)>, CallError> {
+pub async fn join(stream: TcpStream, names: &DeploymentNames) -> Result<Option<(Frames, u32)>, CallError> {
     let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST_UNJOINED).new_codec();
     let mut frames = Framed::with_capacity(stream, codec, LONGEST_UNJOINED);
     loop {
         let zone = match frames.next().await {
             None => return Ok(None),
-            Some(frame) => frame.map_err(|e| chain(&e)).and_then(|frame| greeting(&frame, names)),
+            Some(frame) => frame.map_err(Cause::from).and_then(|frame| Ok(greeting(&frame, names)?)),
         };
         match zone {
             Ok(None) => alive(&mut frames).await?,
@@ -67,12 +67,12 @@
 }
 
 /// The zone that a stranger's frame joins for; nothing where it is a probe.
-fn greeting(frame: &[u8], names: &Names) -> Result<Option<u32>, String> {
+fn greeting(frame: &[u8], names: &DeploymentNames) -> Result<Option<u32>, String> {
     let value = json(frame)?;
     let f = JsonFields::of_message(&value, "msg")?;
     match f.kind {
         "probe" => Ok(None),
-        "agent" => names.zone(f.text("locality")?).map(Some),
+        "agent" => Ok(Some(names.zone(f.text("locality")?)?)),
         kind => Err(format!("'{kind}' before joining")),
     }
 }
@@ -84,8 +84,8 @@
 async fn alive(frames: &mut Frames) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(br#"{"msg":"alive"}"#));
     let answer = within(ANSWER_WITHIN, answer).await;
-    let answer = answer.ok_or_else(|| CallError::new(CallProgress::Sent, "the answer is left unread"))?;
-    answer.map_err(|e| CallError::new(CallProgress::Sent, chain(&e)))
+    let answer = answer.ok_or_else(|| CallError::NoAnswer("the answer is left unread".into()))?;
+    answer.map_err(|e| CallError::NoAnswer(e.into()))
 }
 
 /// Takes reports until the collector leaves. A report that is spoilt is dropped alone; where frames can't be
@@ -93,7 +93,7 @@
 /// let go, since its zone has newer connections or the process ends, has what it sent before heard to the end.
 pub async fn listen(
     mut frames: Frames,
-    names: &Names,
+    names: &DeploymentNames,
     ear: &EventSender,
     heard: impl Fn(),
     let_go: &CancellationToken,
@@ -134,20 +134,20 @@
                     None => return Ok(None),
                 },
             };
-            came.ok_or_else(|| CallError::new(CallProgress::Sent, "silent"))?.map_err(unusable)?;
+            came.ok_or_else(|| CallError::NoAnswer("silent".into()))?.map_err(unusable)?;
         }
         let limit = if let_go.is_cancelled() { AT_HAND } else { FRAME_WITHIN };
         match within(limit, frames.next()).await {
-            Some(frame) => return frame.transpose().map_err(|e| unusable(chain(&e))),
+            Some(frame) => return frame.transpose().map_err(unusable),
             // Readable, and nothing to be read after all.
             None if frames.read_buffer().is_empty() => {}
-            None => return Err(CallError::new(CallProgress::Sent, "half a frame")),
+            None => return Err(CallError::NoAnswer("half a frame".into())),
         }
     }
 }
 
 /// Takes one frame; true where it asks for a sign of life.
-async fn one(value: &Value, names: &Names, ear: &EventSender) -> Result<bool, String> {
+async fn one(value: &Value, names: &DeploymentNames, ear: &EventSender) -> Result<bool, String> {
     let f = JsonFields::of_message(value, "msg")?;
     match f.kind {
         "probe" => return Ok(true),
@@ -168,7 +168,7 @@
         }
         "demand" => {
             names.proxy(f.u32("node")?)?;
-            let (product, (txns, _)) = (names.product(f.text("route")?)?, counted(&f)?);
+            let (product, (txns, _)) = (names.request_class(f.text("route")?)?, counted(&f)?);
             // What came in an earlier interval may fail in this one: they are not bounded by the total.
             f.number_within("errors", 0.0..=MOST_COUNTED)?;
             ear.tell(move |controller, _| controller.demand(product, txns)).await;
--- a/control-plane/src/load_reports/tests.rs
+++ b/control-plane/src/load_reports/tests.rs
@@ -4,7 +4,8 @@
 
 /// A sound report with one field replaced, or taken out.
 async fn taken(kind: &str, field: &str, by: Option<Value>) -> bool {
-    let names = Names { zones: vec!["a".into()], products: vec!["quote".into()], proxies: 8 };
+    let names =
+        DeploymentNames { zones: vec!["a".into()], request_classes: vec!["quote".into()], proxy_count: 8 };
     let mut report = match kind {
         "demand" => json!({"node": 3, "route": "quote", "total": 9, "errors": 1, "interval": 1e3}),
         _ => {
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -7,6 +7,7 @@
 mod config;
 mod connector;
 mod control_loop;
+mod deployment_names;
 mod endpoint_watch;
 mod listener;
 mod load_reports;
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,10 +1,10 @@
 //! The relay's event stream: which proxies are joined and what has come to them. One connection, and another beside it
 //! while it is silent; a new one tells anew who is joined, and whoever it does not name has left.
 
-use crate::call_error::{chain, CallError, CallProgress};
+use crate::call_error::CallError;
 use crate::client::Peer;
-use crate::config::Names;
 use crate::control_loop::EventSender;
+use crate::deployment_names::DeploymentNames;
 use crate::log::LogRateLimit;
 use crate::relay_host::RelayHost;
 use crate::timeout::within;
@@ -59,7 +59,12 @@
 /// missed nothing, and no proxy need be bound anew. One that broke may have missed any coming or going: the next
 /// names all, and whoever it does not name has left. A relay that has moved is heard at its new place as soon
 /// as it speaks there.
-pub async fn follow(mut place: watch::Receiver<SocketAddr>, names: Rc<Names>, ear: EventSender, log: Logger) {
+pub async fn follow(
+    mut place: watch::Receiver<SocketAddr>,
+    names: Rc<DeploymentNames>,
+    ear: EventSender,
+    log: Logger,
+) {
     let mut at = *place.borrow_and_update();
     // One for all attempts at a place: a connect that is slow comes up for a later one.
     let mut peer = Rc::new(Peer::at(at));
@@ -94,7 +99,7 @@
                     }
                     Err(failed) => {
                         if failures == 0 {
-                            warn!(log, "event stream not found"; "why" => %failed);
+                            warn!(log, "event stream not found"; "why" => #failed);
                         }
                         failures += 1;
                         opening = Some(Box::pin(open(peer.clone(), AGAIN[failures.min(AGAIN.len() - 1)])));
@@ -110,7 +115,7 @@
             }
         };
         if let Some(failed) = lost {
-            warn!(log, "event stream lost"; "why" => %failed);
+            warn!(log, "event stream lost"; "why" => #failed);
             standing = None;
             // Anew, whatever attempt hangs: a connection that is reset tells that its relay is back.
             (opening, failures) = (Some(Box::pin(open(peer.clone(), AGAIN[0]))), 0);
@@ -123,12 +128,12 @@
     sleep(after).await;
     let answer = peer.send(Method::GET, "/v3/kv/stream", Bytes::new(), HEAD_WITHIN).await?;
     if !answer.status().is_success() {
-        return Err(CallError::new(CallProgress::TurnedAway, format!("status {}", answer.status())));
+        return Err(CallError::Rejected(format!("status {}", answer.status()).into()));
     }
     let bytes: Pieces = Box::pin(BodyDataStream::new(answer.into_body()).map_err(io::Error::other));
     let codec = LinesCodec::new_with_max_length(LONGEST_LINE);
     let mut lines = FramedRead::new(StreamReader::new(bytes), codec);
-    let first = line(&mut lines).await?.ok_or_else(|| CallError::new(CallProgress::Sent, "no first line"))?;
+    let first = line(&mut lines).await?.ok_or_else(|| CallError::NoAnswer("no first line".into()))?;
     Ok(Open { at: peer.address, lines, first: Some(first), named: Some(BTreeSet::new()) })
 }
 
@@ -147,8 +152,8 @@
 ) -> Result<Option<String>, CallError> {
     match within(SILENT_FOR, lines.next()).await {
         None => Ok(None),
-        Some(None) => Err(CallError::new(CallProgress::Answered, "ended")),
-        Some(Some(line)) => line.map(Some).map_err(|e| CallError::new(CallProgress::Answered, chain(&e))),
+        Some(None) => Err(CallError::UnusableAnswer("ended".into())),
+        Some(Some(line)) => line.map(Some).map_err(|e| CallError::UnusableAnswer(e.into())),
     }
 }
 
@@ -156,7 +161,7 @@
 async fn take(
     line: &str,
     named: &mut Option<BTreeSet<u32>>,
-    names: &Names,
+    names: &DeploymentNames,
     ear: &EventSender,
     log: &Logger,
     odd: &mut LogRateLimit,
@@ -164,7 +169,7 @@
     let value: Value = match serde_json::from_str(line) {
         Ok(value) => value,
         Err(_) if line.trim().is_empty() => return Ok(()),
-        Err(e) => return Err(CallError::new(CallProgress::Answered, format!("a line is not JSON: {e}"))),
+        Err(e) => return Err(CallError::UnusableAnswer(format!("a line is not JSON: {e}").into())),
     };
     if value.as_object().is_some_and(|fields| fields.is_empty()) {
         if let Some(named) = named.take() {
@@ -195,7 +200,7 @@
 
 async fn one(
     value: &Value,
-    names: &Names,
+    names: &DeploymentNames,
     ear: &EventSender,
     named: &mut Option<BTreeSet<u32>>,
 ) -> Result<(), String> {
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -1,7 +1,7 @@
 //! The rules' way out: writes what they order down as the relay reads it, keeps their wake-ups, and remembers
 //! what stands outside so that rules that broke can be opened anew.
 
-use crate::config::Names;
+use crate::deployment_names::DeploymentNames;
 use otterwinch::host::{
     EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer,
 };
@@ -30,7 +30,7 @@
 
 pub struct RelayHost {
     checks: CommandValidator,
-    names: Rc<Names>,
+    names: Rc<DeploymentNames>,
     log: Logger,
     pub follow: Rc<Notify>,
     pub commands: VecDeque<Command>,
@@ -49,7 +49,7 @@
 }
 
 impl RelayHost {
-    pub fn new(checks: CommandValidator, names: Rc<Names>, now: Moment, log: Logger) -> Self {
+    pub fn new(checks: CommandValidator, names: Rc<DeploymentNames>, now: Moment, log: Logger) -> Self {
         RelayHost {
             checks,
             names,
@@ -137,7 +137,7 @@
     }
 
     fn routes(&self, products: RequestClassSet) -> Vec<&str> {
-        let all = self.names.products.iter().enumerate();
+        let all = self.names.request_classes.iter().enumerate();
         all.filter(|(k, _)| products >> k & 1 == 1).map(|(_, name)| name.as_str()).collect()
     }
 }
