--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -1,208 +1,245 @@
-//! The config of a supervisor: one file, checked against the environment and itself, read at the start and again
-//! at each SIGHUP. A new file may move our peers; what it can't change while we run is refused.
+//! The configuration of a control plane: one file, checked against the environment and itself.
 
-use crate::control_loop::Metrics;
+use crate::config_fault::ConfigFault;
 use crate::deployment_names::DeploymentNames;
 use crate::endpoint_watch;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
 use otterwinch_adapter_support::{controller_config, JsonFieldError, JsonFields, SettingsReader};
 use serde_json::Value;
-use slog::{info, warn, Logger};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::signal::unix::Signal;
-use tokio::sync::watch;
 
-/// Connections at our address, whatever the config allows.
-const MOST_CONNECTIONS: u64 = 512;
-const MOST_LIST_BYTES: u64 = 4 << 20;
-/// Commands name products by the bits of a word.
-const MOST_PRODUCTS: usize = RequestClassSet::BITS as usize;
-/// Proxy numbers of a config that does not say how many there are.
-const MOST_PROXIES: u32 = 65_536;
+/// Connections to the listener, whatever the configuration allows.
+const MAX_CONNECTIONS: u64 = 512;
+const DEFAULT_SOCKETS: u64 = 2 * MAX_CONNECTIONS;
+const DEFAULT_MEMORY_MB: u64 = 1024;
+const MAX_LIST_BYTES: u64 = 4 << 20;
+/// The part of the memory that one answer of the endpoint list may take: decoded, it is ten times as large.
+const LIST_MEMORY_DIVISOR: u64 = 32;
+/// Commands name request classes by the bits of a word.
+const MAX_REQUEST_CLASSES: usize = RequestClassSet::BITS as usize;
+/// Bound of the proxy numbers where the settings don't say how many proxies there are.
+const DEFAULT_PROXY_COUNT: u32 = 65_536;
+/// Fields that must agree with the environment. The endpoint list's address is not among them: a new file may move it,
+/// while the environment of a process never changes.
+const ENVIRONMENT_VARIABLES: [(&str, &str); 2] = [("name", "GW_NAME"), ("listen", "GW_LISTEN")];
 
+/// The configuration of one control plane.
 pub struct Config {
+    /// Names this control plane in its log.
     pub name: String,
+    /// Where the listener accepts load reports and status requests.
     pub listen: SocketAddr,
-    pub list: SocketAddr,
+    /// Address of the endpoint list.
+    pub endpoint_list: SocketAddr,
+    /// Address of the relay.
     pub relay: SocketAddr,
+    /// Seed of the controller's random numbers.
     pub seed: u64,
+    /// The names of the settings.
     pub names: Rc<DeploymentNames>,
+    /// What the controller decides by.
     pub controller: ControllerConfig,
+    /// The endpoints to start with, until the endpoint list answers.
     pub known: Vec<EndpointUpdate>,
-    /// How many connections our address may hold: half of all sockets, so that our own ways out have theirs.
-    pub connections: usize,
-    /// The longest answer of the list, by the memory that we have: read into values it takes ten times as much.
-    pub list_bytes: usize,
+    /// Connections that the listener may hold: half of all sockets, so that outgoing connections have theirs.
+    pub max_connections: usize,
+    /// The longest answer of the endpoint list, in bytes.
+    pub max_list_bytes: usize,
 }
 
 impl Config {
-    /// Reads the file that the environment names; every fault found, a line each.
-    pub fn from_file(path: Option<&str>, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<String>> {
-        let path = match path.map(str::to_owned).or_else(|| env("GW_CONFIG")) {
-            Some(path) => path,
-            None => return Err(vec!["GW_CONFIG names no file".into()]),
-        };
-        let text = std::fs::read(&path).map_err(|e| vec![format!("{path} can't be read: {e}")])?;
-        let value: Value =
-            serde_json::from_slice(&text).map_err(|e| vec![format!("{path} is not JSON: {e}")])?;
+    /// Reads the file at `path`, or the one that GW_CONFIG names.
+    ///
+    /// # Errors
+    /// All faults of the file, in the order of their fields.
+    pub fn from_file(
+        path: Option<&str>,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, Vec<ConfigFault>> {
+        let value = read_json(path, &env).map_err(|fault| vec![fault])?;
         Config::read(&value, env)
     }
 
-    pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<String>> {
-        let f = JsonFields::of_object(value, "config").map_err(|e| vec![e.to_string()])?;
-        let mut faults = Faults::default();
-        // Not so the list's address: a file that was replaced moves it, and the environment never changes.
-        for (field, var) in [("name", "GW_NAME"), ("listen", "GW_LISTEN")] {
-            if let (Ok(told), Some(other)) = (f.text(field), env(var)) {
-                faults.unless(told == other, || {
-                    format!("config: field '{field}' is '{told}' but {var} says '{other}'")
-                });
-            }
-        }
-        let name = faults.none_in(f.text("name")).unwrap_or_default().to_owned();
-        let listen = faults.none_in(address("listen", f.text("listen")));
-        let list = faults.none_in(address("discovery", f.text("discovery")));
-        let relay =
-            f.object("relay").and_then(|v| JsonFields::of_object(v, "config: 'relay'")?.text("address"));
-        let relay = faults.none_in(address("relay.address", relay));
-        let seed = faults.none_in(f.text("seed").map_err(String::from).and_then(|text| {
-            u64::from_str_radix(text, 16)
-                .map_err(|_| format!("config: field 'seed' is not hexadecimal: '{text}'"))
-        }));
-        let settings = faults.none_in(f.settings("settings"));
-        let figures = settings.unwrap_or(SettingsReader::new(&Value::Null));
-        let names = DeploymentNames {
-            zones: figures.field("zones").elements().map(|zone| zone.text().to_owned()).collect(),
-            request_classes: figures
-                .field("classes")
-                .elements()
-                .map(|row| row.field("name").text().to_owned())
-                .collect(),
-            proxy_count: match figures.field("familyInfo").field("proxyCount").count() {
-                0 => MOST_PROXIES,
-                told => told,
-            },
-        };
-        // On sockets the list answers only when it is asked, whatever the settings say of it.
-        let controller = ControllerConfig { polls_endpoint_list: true, ..controller_config(&figures) };
-        if settings.is_some() {
-            let holds_nothing = |list| move || format!("config: field 'settings.{list}' holds nothing");
-            faults.unless(!names.zones.is_empty(), holds_nothing("zones"));
-            faults.unless(!names.request_classes.is_empty(), holds_nothing("classes"));
-            faults.unless(names.request_classes.len() <= MOST_PRODUCTS, || {
-                format!("config: field 'settings.classes' holds more than {MOST_PRODUCTS}")
-            });
-            faults.unless(controller.shards == 0, || {
-                "config: field 'settings.familyInfo.slices' is above 0: the relay has no slices".into()
-            });
-        }
-        let known = f.object("known").map_err(String::from).and_then(|v| {
-            endpoint_watch::answer(v, &names).map_err(|e| format!("config: field 'known': {e}"))
-        });
-        let known = faults.none_in(known);
-        for entry in known.iter().flat_map(|known| &known.spoilt) {
-            faults.unless(false, || format!("config: field 'known': {}", entry.why));
-        }
-        let limit = |name: &str, absent: u64| match f.object("limits") {
-            Ok(limits) if limits.get(name).is_some() => {
-                JsonFields::of_object(limits, "config: 'limits'")?.u64(name)
-            }
-            _ => Ok(absent),
-        };
-        let sockets = limit("sockets", 2 * MOST_CONNECTIONS);
-        let memory = faults.none_in(limit("memory_mb", 1 << 10)).unwrap_or(0);
-        let list_bytes = ((memory << 20) / 32).min(MOST_LIST_BYTES) as usize;
-        let connections = faults.none_in(sockets).map(|n| (n / 2).clamp(1, MOST_CONNECTIONS) as usize);
-        match (listen, list, relay, seed, known, connections) {
-            (Some(listen), Some(list), Some(relay), Some(seed), Some(known), Some(connections))
-                if faults.0.is_empty() =>
-            {
-                let (names, known) = (Rc::new(names), known.listings);
-                Ok(Config {
-                    name,
-                    listen,
-                    list,
-                    relay,
-                    seed,
-                    names,
-                    controller,
-                    known,
-                    connections,
-                    list_bytes,
-                })
-            }
-            _ => Err(faults.0),
+    /// Reads a configuration from JSON.
+    ///
+    /// # Errors
+    /// All faults, in the order of their fields.
+    pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<ConfigFault>> {
+        let fields = JsonFields::of_object(value, "config").map_err(|error| vec![error.into()])?;
+        let mut reader = ConfigReader { fields, faults: Vec::new() };
+        match reader.config(env) {
+            Some(config) if reader.faults.is_empty() => Ok(config),
+            _ => Err(reader.faults),
         }
     }
 
-    /// A newer config for a supervisor that runs on this one; a fault for each thing that only a start can change.
-    fn followed_by(&self, newer: Config) -> Result<Config, Vec<String>> {
-        let mut faults = Faults::default();
-        for (what, stands) in [
+    /// Checks that a running control plane can go on with `newer`.
+    ///
+    /// # Errors
+    /// A fault for each field that only a restart can change.
+    pub fn check_reload(&self, newer: &Config) -> Result<(), Vec<ConfigFault>> {
+        let same_settings = self.names == newer.names && self.controller == newer.controller;
+        let mut faults = Vec::new();
+        for (field, unchanged) in [
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
-            ("settings", self.names == newer.names && self.controller == newer.controller),
+            ("settings", same_settings),
         ] {
-            faults
-                .unless(stands, || format!("config: field '{what}' can't change while the supervisor runs"));
+            if !unchanged {
+                faults.push(ConfigFault::NeedsRestart { field });
+            }
         }
-        if faults.0.is_empty() {
-            Ok(newer)
+        if faults.is_empty() {
+            Ok(())
         } else {
-            Err(faults.0)
+            Err(faults)
         }
     }
 }
 
-/// Reads the file again at each SIGHUP, for ever. Several that come close together are one; whatever stands in
-/// the file after the last is what holds. A faulty file leaves the old config in force.
-pub async fn follow(
-    mut hangups: Signal,
-    config: Rc<Config>,
-    list: watch::Sender<SocketAddr>,
-    relay: watch::Sender<SocketAddr>,
-    seen: Rc<Metrics>,
-    log: Logger,
-) {
-    while hangups.recv().await.is_some() {
-        let newer = Config::from_file(None, |name| std::env::var(name).ok());
-        let newer = newer.and_then(|newer| config.followed_by(newer));
-        if newer.is_ok() { &seen.config_read } else { &seen.config_refused }.more();
-        match newer {
-            Ok(newer) => {
-                let moved = [(&list, newer.list), (&relay, newer.relay)]
-                    .map(|(peer, to)| peer.send_if_modified(|at| std::mem::replace(at, to) != to));
-                info!(log, "config read again"; "list" => %newer.list, "list_moved" => moved[0],
-                    "relay" => %newer.relay, "relay_moved" => moved[1]);
+fn read_json(path: Option<&str>, env: impl Fn(&str) -> Option<String>) -> Result<Value, ConfigFault> {
+    let path = path.map(str::to_owned).or_else(|| env("GW_CONFIG")).ok_or(ConfigFault::NoFile)?;
+    let bytes = match std::fs::read(&path) {
+        Ok(bytes) => bytes,
+        Err(source) => return Err(ConfigFault::Unreadable { path, source }),
+    };
+    serde_json::from_slice(&bytes).map_err(|source| ConfigFault::NotJson { path, source })
+}
+
+/// Reads the fields of one configuration and collects their faults, so that all of them are reported at once.
+struct ConfigReader<'a> {
+    fields: JsonFields<'a>,
+    faults: Vec<ConfigFault>,
+}
+
+impl<'a> ConfigReader<'a> {
+    /// Reads all fields, also after a fault; nothing where a value is missing.
+    fn config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
+        self.check_environment(env);
+        let name = self.collect(self.fields.text("name"));
+        let listen = self.address("listen", self.fields.text("listen"));
+        let endpoint_list = self.address("discovery", self.fields.text("discovery"));
+        let relay = self.address("relay.address", self.relay_address());
+        let seed = self.seed();
+        let (names, controller) = self.settings();
+        let known = self.known_endpoints(&names);
+        let memory_mb = self.limit("memory_mb", DEFAULT_MEMORY_MB);
+        let sockets = self.limit("sockets", DEFAULT_SOCKETS);
+        Some(Config {
+            name: name?.to_owned(),
+            listen: listen?,
+            endpoint_list: endpoint_list?,
+            relay: relay?,
+            seed: seed?,
+            names: Rc::new(names),
+            controller,
+            known: known?,
+            max_connections: (sockets? / 2).clamp(1, MAX_CONNECTIONS) as usize,
+            max_list_bytes: ((memory_mb? << 20) / LIST_MEMORY_DIVISOR).min(MAX_LIST_BYTES) as usize,
+        })
+    }
+
+    /// The value, or nothing once its fault is recorded.
+    fn collect<T>(&mut self, read: Result<T, impl Into<ConfigFault>>) -> Option<T> {
+        match read {
+            Ok(value) => Some(value),
+            Err(fault) => {
+                self.faults.push(fault.into());
+                None
             }
-            Err(faults) => {
-                faults
-                    .iter()
-                    .for_each(|fault| warn!(log, "config refused, the old one holds"; "why" => fault));
+        }
+    }
+
+    fn check_environment(&mut self, env: impl Fn(&str) -> Option<String>) {
+        for (field, variable) in ENVIRONMENT_VARIABLES {
+            let (Ok(value), Some(expected)) = (self.fields.text(field), env(variable)) else { continue };
+            if value != expected {
+                let value = value.to_owned();
+                self.faults.push(ConfigFault::ContradictsEnvironment { field, value, variable, expected });
             }
         }
     }
-}
 
-fn address(field: &str, text: Result<&str, JsonFieldError>) -> Result<SocketAddr, String> {
-    let text = text?;
-    text.parse().map_err(|_| format!("config: field '{field}' is no address with a port: '{text}'"))
-}
+    fn address(&mut self, field: &'static str, text: Result<&str, JsonFieldError>) -> Option<SocketAddr> {
+        let text = self.collect(text)?;
+        let parsed = text.parse().map_err(|_| ConfigFault::NotAnAddress { field, value: text.to_owned() });
+        self.collect(parsed)
+    }
+
+    fn relay_address(&self) -> Result<&'a str, JsonFieldError> {
+        let relay = self.fields.object("relay")?;
+        JsonFields::of_object(relay, "config: 'relay'")?.text("address")
+    }
+
+    fn seed(&mut self) -> Option<u64> {
+        let text = self.collect(self.fields.text("seed"))?;
+        let parsed = u64::from_str_radix(text, 16)
+            .map_err(|_| ConfigFault::SeedNotHexadecimal { value: text.to_owned() });
+        self.collect(parsed)
+    }
 
-/// All that is wrong, not only the first: who mends the config should need to look once.
-#[derive(Default)]
-struct Faults(Vec<String>);
+    /// What the settings hold; without settings it is empty.
+    fn settings(&mut self) -> (DeploymentNames, ControllerConfig) {
+        let settings = self.collect(self.fields.settings("settings"));
+        let reader = settings.unwrap_or(SettingsReader::new(&Value::Null));
+        let names = deployment_names(reader);
+        // On sockets the endpoint list answers only when it is polled, whatever the settings say.
+        let controller = ControllerConfig { polls_endpoint_list: true, ..controller_config(&reader) };
+        if settings.is_some() {
+            self.check_settings(&names, &controller);
+        }
+        (names, controller)
+    }
+
+    fn check_settings(&mut self, names: &DeploymentNames, controller: &ControllerConfig) {
+        if names.zones.is_empty() {
+            self.faults.push(ConfigFault::EmptySetting { list: "zones" });
+        }
+        if names.request_classes.is_empty() {
+            self.faults.push(ConfigFault::EmptySetting { list: "classes" });
+        }
+        if names.request_classes.len() > MAX_REQUEST_CLASSES {
+            self.faults.push(ConfigFault::TooManyRequestClasses { limit: MAX_REQUEST_CLASSES });
+        }
+        if controller.shards != 0 {
+            self.faults.push(ConfigFault::ShardsNotSupported);
+        }
+    }
 
-impl Faults {
-    fn none_in<T>(&mut self, read: Result<T, impl std::fmt::Display>) -> Option<T> {
-        read.map_err(|fault| self.0.push(fault.to_string())).ok()
+    fn known_endpoints(&mut self, names: &DeploymentNames) -> Option<Vec<EndpointUpdate>> {
+        let value = self.collect(self.fields.object("known"))?;
+        let answer = endpoint_watch::answer(value, names)
+            .map_err(|error| ConfigFault::KnownEndpoints { reason: error.to_string() });
+        let answer = self.collect(answer)?;
+        for entry in answer.spoilt {
+            self.faults.push(ConfigFault::KnownEndpoints { reason: entry.why.to_string() });
+        }
+        Some(answer.listings)
     }
 
-    fn unless(&mut self, sound: bool, fault: impl FnOnce() -> String) {
-        if !sound {
-            self.0.push(fault());
+    fn limit(&mut self, name: &str, default: u64) -> Option<u64> {
+        match self.fields.object("limits") {
+            Ok(limits) if limits.get(name).is_some() => {
+                let limit = JsonFields::of_object(limits, "config: 'limits'");
+                self.collect(limit.and_then(|limits| limits.u64(name)))
+            }
+            _ => Some(default),
         }
     }
 }
+
+fn deployment_names(settings: SettingsReader) -> DeploymentNames {
+    let zones = settings.field("zones").elements();
+    let classes = settings.field("classes").elements();
+    let proxy_count = match settings.field("familyInfo").field("proxyCount").count() {
+        0 => DEFAULT_PROXY_COUNT,
+        count => count,
+    };
+    DeploymentNames {
+        zones: zones.map(|zone| zone.text().to_owned()).collect(),
+        request_classes: classes.map(|class| class.field("name").text().to_owned()).collect(),
+        proxy_count,
+    }
+}
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -5,6 +5,8 @@
 mod client;
 mod command_delivery;
 mod config;
+mod config_fault;
+mod config_reload;
 mod connector;
 mod control_loop;
 mod deployment_names;
@@ -18,6 +20,8 @@
 mod timeout;
 
 use config::Config;
+use config_fault::ConfigFault;
+use config_reload::ConfigReload;
 use control_loop::ControlLoop;
 use slog::{error, info, warn, Logger};
 use std::process::ExitCode;
@@ -55,7 +59,7 @@
     }
 }
 
-fn faulty(faults: &[String]) -> ExitCode {
+fn faulty(faults: &[ConfigFault]) -> ExitCode {
     faults.iter().for_each(|fault| eprintln!("otterwinch: {fault}"));
     ExitCode::from(2)
 }
@@ -84,14 +88,14 @@
     // Before we answer anybody: without a handler a SIGHUP ends the process.
     let hangups = signal(SignalKind::hangup())?;
     let config = Rc::new(config);
-    let (list_moves, list) = watch::channel(config.list);
+    let (list_moves, list) = watch::channel(config.endpoint_list);
     let (relay_moves, relay) = watch::channel(config.relay);
     let commands = command_delivery::CommandDelivery::to(relay.clone());
     let (mut planner, ear, page) = ControlLoop::open(config.clone(), commands, log.clone());
     let follow = planner.follow();
     let listener = TcpListener::bind(config.listen).await?;
     info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %listener.local_addr()?);
-    let (names, seen, list_bytes) = (config.names.clone(), ear.seen.clone(), config.list_bytes);
+    let (names, seen, list_bytes) = (config.names.clone(), ear.seen.clone(), config.max_list_bytes);
     let front = listener::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
     {
         let (names, ear, log) = (names.clone(), ear.clone(), log.clone());
@@ -109,12 +113,20 @@
         });
     }
     let end = CancellationToken::new();
-    let mut front = spawn_local(listener::serve(listener, front, config.connections, end.clone()));
+    let reload = ConfigReload {
+        hangups,
+        config: config.clone(),
+        endpoint_list: list_moves,
+        relay: relay_moves,
+        metrics: seen,
+        log: log.clone(),
+    };
+    let mut front = spawn_local(listener::serve(listener, front, config.max_connections, end.clone()));
     let mut planner = spawn_local(planner.run(end.clone()));
     let why = tokio::select! {
         ended = &mut planner => return Err(unasked("the planner", ended)),
         ended = &mut front => return Err(unasked("our address", ended)),
-        () = config::follow(hangups, config, list_moves, relay_moves, seen, log.clone()) => {
+        () = reload.run() => {
             return Err(std::io::Error::other("signals are heard no more"));
         }
         _ = told_to_end.recv() => "told to end",
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -284,7 +284,7 @@
     let (list, relay) = (List::start(ids), Relay::start());
     relay.joins(proxy);
     supervisor.reads_again(&config(list.address, relay.address).to_string());
-    supervisor.logged("config read again");
+    supervisor.logged("config reloaded");
     (list, relay)
 }
 
@@ -320,13 +320,13 @@
 fn a_faulty_config_changes_nothing_and_every_fault_is_logged() {
     let (list, relay, supervisor) = serving();
     supervisor.reads_again("{\"name\":");
-    supervisor.logged("config refused, the old one holds");
+    supervisor.logged("config rejected, keeping the current one");
     let mut other = config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
     other["settings"]["zones"] = json!(["elsewhere"]);
     other["name"] = "n2".into();
     supervisor.reads_again(&other.to_string());
     for field in ["'name'", "'settings'"] {
-        let why = supervisor.logged("config refused, the old one holds")["why"].to_string();
+        let why = supervisor.logged("config rejected, keeping the current one")["why"].to_string();
         assert!(why.contains(field), "{why}");
     }
     let counted = || supervisor.page("/state").contains(r#""config_refused":2"#).then_some(());
--- a/control-plane/tests/sockets/relay.rs
+++ b/control-plane/tests/sockets/relay.rs
@@ -75,7 +75,7 @@
     let (other, new) = (List::start(&["b"]), Relay::start());
     new.joins(7);
     supervisor.reads_again(&config(other.address, new.address).to_string());
-    supervisor.logged("config read again");
+    supervisor.logged("config reloaded");
     let mut first = new.call();
     first.retain(|command| command["op"] != "fence");
     assert_eq!(first, lost);
