--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -1,8 +1,8 @@
 //! The config of a supervisor: one file, checked against the environment and itself, read at the start and again
 //! at each SIGHUP. A new file may move our peers; what it can't change while we run is refused.
 
-use crate::control_loop::Metrics;
 use crate::endpoint_watch;
+use crate::metrics::Metrics;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
 use otterwinch_adapter_support::{controller_config, JsonFieldError, JsonFields, SettingsReader};
@@ -196,7 +196,7 @@
     while hangups.recv().await.is_some() {
         let newer = Config::from_file(None, |name| std::env::var(name).ok());
         let newer = newer.and_then(|newer| config.followed_by(newer));
-        if newer.is_ok() { &seen.config_read } else { &seen.config_refused }.more();
+        if newer.is_ok() { &seen.config_reloads } else { &seen.config_rejections }.increment();
         match newer {
             Ok(newer) => {
                 let moved = [(&list, newer.list), (&relay, newer.relay)]
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -4,58 +4,23 @@
 use crate::call_error::CallProgress;
 use crate::command_delivery::{CommandDelivery, DeliveryOutcome};
 use crate::config::Config;
+use crate::event::{Event, EventSender, EVENT_QUEUE_CAPACITY};
+use crate::metrics::{Counter, Metrics};
 use crate::relay_host::{CommandKind, RelayHost};
 use otterwinch::controller::Controller;
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{catch_panic, CommandValidator};
 use serde_json::json;
 use slog::{error, info, warn, Logger};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-const QUEUE: usize = 4096;
 const SUMMARY_EVERY: Span = Span::from_us(10_000_000);
 const PAGE_EVERY: Span = Span::from_us(1_000_000);
 
-pub type Call = Box<dyn FnOnce(&mut Controller<RelayHost>, Moment)>;
-
-/// What the tasks of the peers speak to. Where the planner is behind, they wait.
-#[derive(Clone)]
-pub struct EventSender {
-    pub told: mpsc::Sender<Call>,
-    pub seen: Rc<Metrics>,
-}
-
-/// What went amiss at our address and with the config, counted for the page.
-#[derive(Default)]
-pub struct Metrics {
-    pub dropped: Counter,
-    pub ended: Counter,
-    pub turned_away: Counter,
-    pub config_read: Counter,
-    pub config_refused: Counter,
-}
-
-#[derive(Default)]
-pub struct Counter(Cell<u64>);
-
-impl Counter {
-    pub fn more(&self) {
-        self.0.set(self.0.get() + 1);
-    }
-}
-
-impl EventSender {
-    pub async fn tell(&self, told: impl FnOnce(&mut Controller<RelayHost>, Moment) + 'static) {
-        // Only at the end of the process is nobody there to listen.
-        let _ = self.told.send(Box::new(told)).await;
-    }
-}
-
 /// Unix time that never steps: the system's clock once, then the steady one.
 pub struct Clock {
     began: Instant,
@@ -82,8 +47,8 @@
     lost: bool,
     /// The relay said of the last call that it is none.
     unfit: bool,
-    told: mpsc::Receiver<Call>,
-    seen: Rc<Metrics>,
+    events: mpsc::Receiver<Event>,
+    metrics: Rc<Metrics>,
     page: watch::Sender<String>,
     log: Logger,
     opened: u64,
@@ -105,8 +70,8 @@
         let mut controller = Controller::start(desk, config.controller.clone(), config.seed, now);
         controller.host().learn(&config.known, true);
         controller.endpoint_list_replaced(now, &config.known);
-        let (ear, told) = mpsc::channel(QUEUE);
-        let seen = Rc::<Metrics>::default();
+        let metrics = Rc::<Metrics>::default();
+        let (sender, events) = EventSender::channel(EVENT_QUEUE_CAPACITY, metrics.clone());
         let (page, shown) = watch::channel(String::from("{}"));
         let (lost, opened, lost_calls) = (false, 1, 0);
         let (paged, summed) = (now, now);
@@ -117,8 +82,8 @@
             commands,
             lost,
             unfit: false,
-            told,
-            seen: seen.clone(),
+            events,
+            metrics,
             page,
             log,
             opened,
@@ -126,7 +91,7 @@
             paged,
             summed,
         };
-        (planner, EventSender { told: ear, seen }, shown)
+        (planner, sender, shown)
     }
 
     pub fn follow(&mut self) -> Rc<tokio::sync::Notify> {
@@ -144,32 +109,32 @@
         self.round(None).await;
     }
 
-    async fn round(&mut self, first: Option<Call>) {
+    async fn round(&mut self, first: Option<Event>) {
         let now = self.clock.now();
         self.controller.host().now = now;
         let mut next = first;
-        for _ in 0..QUEUE {
-            match next.or_else(|| self.told.try_recv().ok()) {
-                Some(told) => self.guarded(now, told),
+        for _ in 0..EVENT_QUEUE_CAPACITY {
+            match next.or_else(|| self.events.try_recv().ok()) {
+                Some(event) => self.guarded(now, |controller, now| dispatch(controller, now, event)),
                 None => break,
             }
             next = None;
         }
         while let Some(timer) = self.controller.host().due(now) {
-            self.guarded(now, Box::new(move |controller, now| controller.timer_fired(now, timer)));
+            self.guarded(now, |controller, now| controller.timer_fired(now, timer));
         }
         self.send().await;
         self.report();
     }
 
     /// The first that comes: something told, or nothing where a wake-up is due or the end has come.
-    async fn wait(&mut self, end: &CancellationToken) -> Option<Call> {
+    async fn wait(&mut self, end: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
         let at = self.controller.host().next_wake().unwrap_or(now + PAGE_EVERY);
         let left = Duration::from_micros((at - now).as_us().max(0) as u64);
         tokio::select! {
             biased;
-            told = self.told.recv() => told,
+            event = self.events.recv() => event,
             () = sleep(left) => None,
             () = end.cancelled() => None,
         }
@@ -197,22 +162,16 @@
                     if std::mem::take(&mut self.lost) {
                         info!(self.log, "relay takes commands again");
                     }
-                    self.guarded(now, Box::new(|controller, now| controller.commands_accepted(now)));
+                    self.guarded(now, |controller, now| controller.commands_accepted(now));
                 }
                 DeliveryOutcome::Declined(command) => {
                     warn!(self.log, "command declined by the relay"; "command" => &command.text);
                     match command.about {
                         CommandKind::Bind(proxy) => {
-                            self.guarded(
-                                now,
-                                Box::new(move |controller, now| controller.assignment_rejected(now, proxy)),
-                            );
+                            self.guarded(now, |controller, now| controller.assignment_rejected(now, proxy));
                         }
                         CommandKind::Line(tbl, id) => {
-                            self.guarded(
-                                now,
-                                Box::new(move |controller, _| controller.weight_rejected(tbl, &id)),
-                            );
+                            self.guarded(now, |controller, _| controller.weight_rejected(tbl, &id));
                         }
                         CommandKind::Level(_) | CommandKind::Withdrawal | CommandKind::Mark => {}
                     }
@@ -232,7 +191,7 @@
                         warn!(self.log, "commands lost"; "why" => %failed, "commands" => commands);
                     }
                     let unsure = failed.unsure();
-                    self.guarded(now, Box::new(move |controller, now| controller.commands_lost(now, unsure)));
+                    self.guarded(now, |controller, now| controller.commands_lost(now, unsure));
                     return;
                 }
             }
@@ -240,8 +199,8 @@
     }
 
     /// Controller that break are opened anew from what stands outside, as after a start.
-    fn guarded(&mut self, now: Moment, told: Call) {
-        if let Err(cause) = catch_panic(|| told(&mut self.controller, now)) {
+    fn guarded(&mut self, now: Moment, step: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
+        if let Err(cause) = catch_panic(|| step(&mut self.controller, now)) {
             error!(self.log, "the rules broke"; "cause" => %cause);
             self.open_anew(now);
         }
@@ -283,13 +242,13 @@
         let desk = self.controller.host();
         let (servers, proxies, ordered) = (desk.servers(), desk.joined.len(), desk.ordered);
         let [dropped, ended, turned_away, config_read, config_refused] = [
-            &self.seen.dropped,
-            &self.seen.ended,
-            &self.seen.turned_away,
-            &self.seen.config_read,
-            &self.seen.config_refused,
+            &self.metrics.invalid_inputs,
+            &self.metrics.connection_errors,
+            &self.metrics.rejected_connections,
+            &self.metrics.config_reloads,
+            &self.metrics.config_rejections,
         ]
-        .map(|count| count.0.get());
+        .map(Counter::get);
         let page = json!({"servers": servers, "proxies": proxies, "commands": ordered, "calls": calls,
             "calls_lost": lost_calls, "opened": opened, "relay_away": lost, "dropped": dropped,
             "ended": ended, "turned_away": turned_away, "config_read": config_read,
@@ -304,5 +263,48 @@
     }
 }
 
+/// Hands one event to the controller, and keeps what the host knows of the fleet in step with it.
+fn dispatch(controller: &mut Controller<RelayHost>, now: Moment, event: Event) {
+    match event {
+        Event::EndpointListReplaced { mut updates, invalid } => {
+            updates.extend(controller.host().last_listed(invalid.into_iter()));
+            controller.host().learn(&updates, true);
+            controller.endpoint_list_replaced(now, &updates);
+        }
+        Event::EndpointsUpdated { updates } => {
+            controller.host().learn(&updates, false);
+            controller.endpoints_updated(now, &updates);
+        }
+        Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
+        Event::ProxyJoined { proxy, zone, rate, fresh } => {
+            controller.host().joined(proxy, zone, rate);
+            controller.proxy_joined(now, proxy, zone, rate, fresh);
+        }
+        Event::ProxyLeft { proxy } => proxy_left(controller, now, proxy),
+        Event::ProxySnapshot { joined } => {
+            let known: Vec<u32> = controller.host().joined.keys().copied().collect();
+            for proxy in known.into_iter().filter(|proxy| !joined.contains(proxy)) {
+                proxy_left(controller, now, proxy);
+            }
+        }
+        Event::Acknowledged { proxy, number } => {
+            if controller.host().joined.contains_key(&proxy) {
+                controller.acknowledged(now, number, proxy);
+            }
+        }
+        Event::EndpointOutcomes { endpoint, attempts, failures, mean_latency, interval } => {
+            if controller.host().lists(&endpoint) {
+                controller.endpoint_outcomes(now, &endpoint, attempts, failures, mean_latency, interval);
+            }
+        }
+        Event::Demand { class, requests } => controller.demand(class, requests),
+    }
+}
+
+fn proxy_left(controller: &mut Controller<RelayHost>, now: Moment, proxy: u32) {
+    controller.host().left(proxy);
+    controller.proxy_left(now, proxy);
+}
+
 #[cfg(test)]
 mod tests;
--- a/control-plane/src/control_loop/tests.rs
+++ b/control-plane/src/control_loop/tests.rs
@@ -17,7 +17,7 @@
     let mut planner = planner();
     let now = planner.clock.now();
     planner.controller.host().joined(3, 0, 5.0);
-    planner.guarded(now, Box::new(|_, _| panic!("index out of range")));
+    planner.guarded(now, |_, _| panic!("index out of range"));
     let later = now + Span::secs(1.0);
     planner.controller.timer_fired(later, Timer::Recheck);
     let commands = &planner.controller.host().commands;
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -4,7 +4,7 @@
 use crate::call_error::{CallError, CallProgress};
 use crate::client::Peer;
 use crate::config::Names;
-use crate::control_loop::EventSender;
+use crate::event::{Event, EventSender};
 use crate::log::LogRateLimit;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
@@ -111,7 +111,7 @@
                 version = version
                     .filter(|_| matches!(failed.came, CallProgress::NotConnected | CallProgress::Sent));
                 asking = false;
-                ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
+                ear.send(Event::EndpointWatchFailed).await;
                 continue;
             }
         };
@@ -119,9 +119,9 @@
             info!(log, "list found"; "version" => told.version, "servers" => told.listings.len());
         }
         version = Some(told.version);
-        let Answer { whole, mut listings, spoilt, .. } = told;
+        let Answer { whole, listings, spoilt, .. } = told;
         for InvalidEntry { why, .. } in &spoilt {
-            ear.seen.dropped.more();
+            ear.metrics.invalid_inputs.increment();
             if let Some(times) = odd.due() {
                 warn!(log, "list entry left out"; "why" => why, "times" => times);
             }
@@ -131,23 +131,17 @@
         let nameless = spoilt.iter().any(|entry| entry.id.is_none());
         let missed = nameless || !whole && !spoilt.is_empty();
         if whole || !listings.is_empty() {
-            ear.tell(move |controller, now| {
-                if whole && !nameless {
-                    listings.extend(
-                        controller.host().last_listed(spoilt.into_iter().filter_map(|entry| entry.id)),
-                    );
-                    controller.host().learn(&listings, true);
-                    controller.endpoint_list_replaced(now, &listings);
-                } else {
-                    controller.host().learn(&listings, false);
-                    controller.endpoints_updated(now, &listings);
-                }
-            })
-            .await;
+            let event = if whole && !nameless {
+                let invalid = spoilt.into_iter().filter_map(|entry| entry.id).collect();
+                Event::EndpointListReplaced { updates: listings, invalid }
+            } else {
+                Event::EndpointsUpdated { updates: listings }
+            };
+            ear.send(event).await;
         }
         if missed {
             (version, asking) = (None, false);
-            ear.tell(|controller, now| controller.endpoint_watch_failed(now)).await;
+            ear.send(Event::EndpointWatchFailed).await;
         }
     }
 }
--- a/control-plane/src/listener.rs
+++ b/control-plane/src/listener.rs
@@ -3,7 +3,7 @@
 
 use crate::call_error::{chain, CallError, CallProgress};
 use crate::config::Names;
-use crate::control_loop::EventSender;
+use crate::event::EventSender;
 use crate::load_reports;
 use crate::log::LogRateLimit;
 use crate::timeout::within;
@@ -159,7 +159,7 @@
         if self.connections.borrow().here() < self.most {
             return false;
         }
-        self.front.ear.seen.turned_away.more();
+        self.front.ear.metrics.rejected_connections.increment();
         if let Some(times) = self.full.borrow_mut().due() {
             warn!(self.front.log, "stranger turned away: too many"; "times" => times);
         }
@@ -180,7 +180,7 @@
         let task = self.tasks.spawn_local(async move {
             let log = front.log.new(o!("from" => from.to_string()));
             if let Err(failed) = one(stream, &front, router, (&slot, each_zone, &gone), &log).await {
-                front.ear.seen.ended.more();
+                front.ear.metrics.connection_errors.increment();
                 if let Some(times) = ended.borrow_mut().due() {
                     info!(log, "connection ended"; "why" => %failed, "times" => times);
                 }
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -3,7 +3,7 @@
 
 use crate::call_error::{chain, CallError, CallProgress};
 use crate::config::Names;
-use crate::control_loop::EventSender;
+use crate::event::{Event, EventSender};
 use crate::log::LogRateLimit;
 use crate::timeout::within;
 use futures_util::{SinkExt, StreamExt};
@@ -108,7 +108,7 @@
             Ok(false) => {}
             Ok(true) => alive(&mut frames).await?,
             Err(fault) => {
-                ear.seen.dropped.more();
+                ear.metrics.invalid_inputs.increment();
                 if let Some(times) = odd.due() {
                     warn!(log, "report dropped"; "why" => fault, "times" => times);
                 }
@@ -159,10 +159,12 @@
             let voided = f.number_within("errors", 0.0..=tries)?;
             // The mean of those that were answered: none of them, no mean.
             let took = if voided < tries { f.number_within("rtt", 0.0..=LONGEST_MS)? } else { 0.0 };
-            ear.tell(move |controller, now| {
-                if controller.host().lists(&id) {
-                    controller.endpoint_outcomes(now, &id, tries, voided, millis(took), over);
-                }
+            ear.send(Event::EndpointOutcomes {
+                endpoint: id,
+                attempts: tries,
+                failures: voided,
+                mean_latency: millis(took),
+                interval: over,
             })
             .await;
         }
@@ -171,7 +173,7 @@
             let (product, (txns, _)) = (names.product(f.text("route")?)?, counted(&f)?);
             // What came in an earlier interval may fail in this one: they are not bounded by the total.
             f.number_within("errors", 0.0..=MOST_COUNTED)?;
-            ear.tell(move |controller, _| controller.demand(product, txns)).await;
+            ear.send(Event::Demand { class: product, requests: txns }).await;
         }
         kind => return Err(format!("kind '{kind}' is unknown")),
     }
--- a/control-plane/src/load_reports/tests.rs
+++ b/control-plane/src/load_reports/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
 use serde_json::json;
-use tokio::sync::mpsc;
 
 /// A sound report with one field replaced, or taken out.
 async fn taken(kind: &str, field: &str, by: Option<Value>) -> bool {
@@ -16,9 +15,9 @@
         Some(value) => report[field] = value,
         None => _ = report.as_object_mut().unwrap().remove(field),
     }
-    let (ear, mut told) = mpsc::channel(1);
-    let read = one(&report, &names, &EventSender { told: ear, seen: Default::default() }).await;
-    assert_eq!(read.is_ok(), told.try_recv().is_ok());
+    let (events, mut sent) = EventSender::channel(1, Default::default());
+    let read = one(&report, &names, &events).await;
+    assert_eq!(read.is_ok(), sent.try_recv().is_ok());
     read.is_ok()
 }
 
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -8,9 +8,11 @@
 mod connector;
 mod control_loop;
 mod endpoint_watch;
+mod event;
 mod listener;
 mod load_reports;
 mod log;
+mod metrics;
 mod proxy_streams;
 mod relay_host;
 mod task_restart;
@@ -90,7 +92,7 @@
     let follow = planner.follow();
     let listener = TcpListener::bind(config.listen).await?;
     info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %listener.local_addr()?);
-    let (names, seen, list_bytes) = (config.names.clone(), ear.seen.clone(), config.list_bytes);
+    let (names, seen, list_bytes) = (config.names.clone(), ear.metrics.clone(), config.list_bytes);
     let front = listener::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
     {
         let (names, ear, log) = (names.clone(), ear.clone(), log.clone());
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -4,16 +4,13 @@
 use crate::call_error::{chain, CallError, CallProgress};
 use crate::client::Peer;
 use crate::config::Names;
-use crate::control_loop::EventSender;
+use crate::event::{Event, EventSender};
 use crate::log::LogRateLimit;
-use crate::relay_host::RelayHost;
 use crate::timeout::within;
 use futures_util::{Stream, StreamExt, TryStreamExt};
 use http_body_util::BodyDataStream;
 use hyper::body::Bytes;
 use hyper::Method;
-use otterwinch::controller::Controller;
-use otterwinch::time::Moment;
 use otterwinch_adapter_support::JsonFields;
 use serde_json::Value;
 use slog::{info, warn, Logger};
@@ -168,12 +165,7 @@
     };
     if value.as_object().is_some_and(|fields| fields.is_empty()) {
         if let Some(named) = named.take() {
-            ear.tell(move |controller, now| {
-                let joined: Vec<u32> = controller.host().joined.keys().copied().collect();
-                let missing = joined.into_iter().filter(|proxy| !named.contains(proxy));
-                missing.for_each(|proxy| left(controller, now, proxy));
-            })
-            .await;
+            ear.send(Event::ProxySnapshot { joined: named }).await;
         }
     } else if let Err(fault) = one(&value, names, ear, named).await {
         // Who is there and can't be read is not one who is missing; without a name it may be anybody.
@@ -188,11 +180,6 @@
     Ok(())
 }
 
-fn left(controller: &mut Controller<RelayHost>, now: Moment, proxy: u32) {
-    controller.host().left(proxy);
-    controller.proxy_left(now, proxy);
-}
-
 async fn one(
     value: &Value,
     names: &Names,
@@ -207,25 +194,15 @@
             let (zone, rate, fresh) =
                 (names.zone(f.text("locality")?)?, f.number_within("w", 0.0..=MOST_RATE)?, f.flag("cold"));
             named.iter_mut().for_each(|named| _ = named.insert(proxy));
-            ear.tell(move |controller, now| {
-                // One that is joined already may have gone and come while the event stream was away.
-                controller.host().joined(proxy, zone, rate);
-                controller.proxy_joined(now, proxy, zone, rate, fresh);
-            })
-            .await;
+            ear.send(Event::ProxyJoined { proxy, zone, rate, fresh }).await;
         }
         "bye" => {
             named.iter_mut().for_each(|named| _ = named.remove(&proxy));
-            ear.tell(move |controller, now| left(controller, now, proxy)).await;
+            ear.send(Event::ProxyLeft { proxy }).await;
         }
         "ack" => {
             let number = f.u32("nonce")?;
-            ear.tell(move |controller, now| {
-                if controller.host().joined.contains_key(&proxy) {
-                    controller.acknowledged(now, number, proxy);
-                }
-            })
-            .await;
+            ear.send(Event::Acknowledged { proxy, number }).await;
         }
         kind => return Err(format!("kind '{kind}' is unknown")),
     }
