--- a/control-plane/src/config_reload.rs
+++ b/control-plane/src/config_reload.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::config_fault::ConfigFault;
-use crate::control_loop::Metrics;
+use crate::metrics::Metrics;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     }
 
     fn apply(&self, newer: &Config) {
-        self.metrics.config_read.more();
+        self.metrics.config_reloads.increment();
         let list_moved = publish_address(&self.endpoint_list, newer.endpoint_list);
         let relay_moved = publish_address(&self.relay, newer.relay);
         info!(self.log, "config reloaded";
@@ -53,7 +53,7 @@
     }
 
     fn reject(&self, faults: &[ConfigFault]) {
-        self.metrics.config_refused.more();
+        self.metrics.config_rejections.increment();
         for fault in faults {
             warn!(self.log, "config rejected, keeping the current one"; "why" => %fault);
         }
--- a/control-plane/tests/sockets/endings.rs
+++ b/control-plane/tests/sockets/endings.rs
@@ -22,7 +22,7 @@
     let (list, relay, mut supervisor) = serving();
     in_a_call(&relay, &list);
     supervisor.signal(signal);
-    supervisor.logged(if signal == "TERM" { "told to end" } else { "interrupted" });
+    assert_eq!(supervisor.logged("shutting down")["signal"], format!("SIG{signal}"));
     relay.releases();
     ejects(&relay, "b");
     assert_eq!(supervisor.ends(), Some(0));
@@ -87,7 +87,7 @@
     let (list, relay, mut supervisor) = serving();
     in_a_call(&relay, &list);
     supervisor.signal("TERM");
-    supervisor.logged("told to end");
+    assert_eq!(supervisor.logged("shutting down")["signal"], "SIGTERM");
     let refused = || TcpStream::connect(supervisor.address).err();
     assert_eq!(until("a closed address", refused).kind(), ErrorKind::ConnectionRefused);
     relay.releases();
@@ -142,7 +142,7 @@
         ninth.write_all(&frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
         longest.write_all(&sent).unwrap();
     });
-    supervisor.logged("collector found");
+    supervisor.logged("collector connected");
     let line = until("a line of a's", || relay.call_with("put").into_iter().find(|o| o["endpoint"] == "a"));
     assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
     let mut rest = Vec::new();
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -274,7 +274,7 @@
 fn a_peer_that_goes_half_way_through_a_frame_disturbs_nothing_else() {
     let (_list, _relay, supervisor) = started(&["a"]);
     supervisor.connect().write_all(&frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
-    supervisor.logged("connection ended");
+    supervisor.logged("connection failed");
     let mut good = supervisor.connect();
     assert_answers_a_probe(&mut good);
 }
