--- a/control-plane/src/cli.rs
+++ b/control-plane/src/cli.rs
@@ -2,10 +2,11 @@
 
 use bpaf::Bpaf;
 
+/// The sub-commands.
 #[derive(Clone, Debug, Bpaf)]
-#[bpaf(options, descr("otterwinch: a central planner for a layer of plain proxies"))]
+#[bpaf(options, descr("otterwinch: a central control plane for a layer of plain proxies"))]
 pub enum Command {
-    /// Run one supervisor on the config that GW_CONFIG names, until it is told to end
+    /// Run the control plane on the config that GW_CONFIG names, until SIGTERM or SIGINT
     #[bpaf(command)]
     Serve,
     /// Check the config and name every fault in it, without starting anything
@@ -15,7 +16,7 @@
         #[bpaf(positional("FILE"), optional)]
         file: Option<String>,
     },
-    /// Tell the version
+    /// Print the version
     #[bpaf(command)]
     Version,
 }
--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -1,5 +1,5 @@
-//! HTTP towards one peer: hyper-util's client with a limit on each connect, answer and body. It never sends
-//! anything twice by itself: only who asked can know whether twice is once too often.
+//! The HTTP client of one peer: hyper-util's client with a time limit on each connect, answer and body. It never repeats
+//! a request: whether that is safe is for the caller to know.
 
 use crate::call_error::CallError;
 use crate::connector::Connector;
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use hyper_util::client::legacy::Client;
+use hyper_util::client::legacy::{self, Client};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use std::error::Error;
 use std::future::Future;
@@ -21,20 +21,20 @@
 use tokio::sync::Mutex;
 use tower_service::Service;
 
-/// Shorter than any wait for an answer, so that what was never sent is known not to have been. The connect goes on
-/// beyond it, for the next call.
-const CONNECT_WITHIN: Duration = Duration::from_millis(150);
-/// Peers close what stands idle; one kept for less can hardly be dead when it is used.
-const IDLE_KEPT: Duration = Duration::from_secs(3);
+/// Shorter than the limit of any call, so that a request that could not be sent is known not to have been. The attempt
+/// goes on for the next call.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Peers close idle connections; one that was idle for less is hardly closed yet.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Hands the client a connection, from whichever connect to the peer comes up first.
+/// Connects hyper's client to the peer.
 #[derive(Clone)]
-struct Dialer {
+struct PeerConnector {
     address: SocketAddr,
-    dials: Arc<Mutex<Connector<TcpStream>>>,
+    connector: Arc<Mutex<Connector<TcpStream>>>,
 }
 
-impl Service<Uri> for Dialer {
+impl Service<Uri> for PeerConnector {
     type Response = TokioIo<TcpStream>;
     type Error = io::Error;
     type Future = Pin<Box<dyn Future<Output = io::Result<TokioIo<TcpStream>>> + Send>>;
@@ -44,45 +44,51 @@
     }
 
     fn call(&mut self, _: Uri) -> Self::Future {
-        let Dialer { address, dials } = self.clone();
-        Box::pin(async move {
-            let mut dials = dials.lock().await;
-            let up = dials.up(TcpStream::connect(address), unspoilt);
-            let stream = within(CONNECT_WITHIN, up).await.ok_or_else(|| {
-                io::Error::new(
-                    io::ErrorKind::TimedOut,
-                    format!("not up after {} ms", CONNECT_WITHIN.as_millis()),
-                )
-            })??;
-            stream.set_nodelay(true)?;
-            Ok(TokioIo::new(stream))
-        })
+        Box::pin(self.clone().connect())
     }
 }
 
-/// Whether a connection that came up a while ago is still open, and silent as one that was never asked is.
-fn unspoilt(stream: &TcpStream) -> bool {
-    matches!(stream.try_read(&mut [0]), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+impl PeerConnector {
+    async fn connect(self) -> io::Result<TokioIo<TcpStream>> {
+        let mut connector = self.connector.lock().await;
+        let connected = connector.connect(TcpStream::connect(self.address), is_usable);
+        let stream = within(CONNECT_TIMEOUT, connected).await.ok_or_else(connect_timed_out)??;
+        stream.set_nodelay(true)?;
+        Ok(TokioIo::new(stream))
+    }
+}
+
+fn connect_timed_out() -> io::Error {
+    let text = format!("not connected after {} ms", CONNECT_TIMEOUT.as_millis());
+    io::Error::new(io::ErrorKind::TimedOut, text)
+}
+
+/// Whether a connection that came up a while ago is still open, and silent as one without a request must be.
+fn is_usable(stream: &TcpStream) -> bool {
+    matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
+/// One peer, reached over HTTP.
 pub struct Peer {
-    client: Client<Dialer, Full<Bytes>>,
+    client: Client<PeerConnector, Full<Bytes>>,
+    /// Where it is reached.
     pub address: SocketAddr,
 }
 
 impl Peer {
+    /// A client of the peer at `address`. It connects with its first request.
     pub fn at(address: SocketAddr) -> Self {
-        let dialer = Dialer { address, dials: Arc::new(Mutex::new(Connector::new())) };
+        let connector = PeerConnector { address, connector: Arc::new(Mutex::new(Connector::new())) };
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(IDLE_KEPT)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
-            .build(dialer);
+            .build(connector);
         Peer { client, address }
     }
 
-    /// Sends one message and waits for the head of its answer.
+    /// Sends a request and waits up to `limit` for the head of its answer.
     pub async fn send(
         &self,
         method: Method,
@@ -90,42 +96,50 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<Response<Incoming>, CallError> {
-        let message = Request::builder()
+        let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.address))
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|e| CallError::NotConnected(e.into()))?;
-        match within(limit, self.client.request(message)).await {
-            None => Err(CallError::NoAnswer(format!("silent for {} ms", limit.as_millis()).into())),
-            Some(Err(e)) if e.is_connect() || never_begun(&e) => Err(CallError::NotConnected(e.into())),
-            Some(Err(e)) => Err(CallError::NoAnswer(e.into())),
+            .map_err(|error| CallError::NotConnected(error.into()))?;
+        match within(limit, self.client.request(request)).await {
             Some(Ok(answer)) => Ok(answer),
+            Some(Err(error)) if error.is_connect() || was_never_sent(&error) => {
+                Err(CallError::NotConnected(error.into()))
+            }
+            Some(Err(error)) => Err(CallError::NoAnswer(error.into())),
+            None => Err(CallError::NoAnswer(format!("silent for {} ms", limit.as_millis()).into())),
         }
     }
 
-    /// Sends one message and reads its whole answer, of `most` bytes.
+    /// Sends a request and reads its whole answer, of up to `max_bytes` bytes and within `limit`.
     pub async fn ask(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
         limit: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let whole = async {
+        let exchange = async {
             let answer = self.send(method, path, body, limit).await?;
             let status = answer.status();
-            let body = Limited::new(answer.into_body(), most).collect().await;
-            Ok((status, body.map_err(CallError::UnusableAnswer)?.to_bytes()))
+            let body = Limited::new(answer.into_body(), max_bytes).collect().await;
+            let body = body.map_err(CallError::UnusableAnswer)?;
+            Ok((status, body.to_bytes()))
         };
-        let slow = || CallError::UnusableAnswer(format!("not whole after {} ms", limit.as_millis()).into());
-        within(limit, whole).await.unwrap_or_else(|| Err(slow()))
+        match within(limit, exchange).await {
+            Some(result) => result,
+            None => {
+                let text = format!("incomplete after {} ms", limit.as_millis());
+                Err(CallError::UnusableAnswer(text.into()))
+            }
+        }
     }
 }
 
-/// A pooled connection that its peer had closed: hyper hands the message back before a byte of it went out.
-fn never_begun(error: &(dyn Error + 'static)) -> bool {
+/// Whether the peer had closed a pooled connection: hyper returns the request then before a byte of it is sent.
+fn was_never_sent(error: &legacy::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<hyper::Error>());
     cause.is_some_and(hyper::Error::is_canceled)
 }
--- a/control-plane/src/connector.rs
+++ b/control-plane/src/connector.rs
@@ -1,5 +1,5 @@
-//! Connects towards one peer that outlive the call they were begun for. A connect may be slow and still come
-//! up: cut off with each call and begun anew by the next, it never would.
+//! Connection attempts to one peer that outlive the call that began them. An attempt may be slow and still succeed: if
+//! each call gave up its own and the next began anew, none ever would.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -8,56 +8,79 @@
 use tokio::task::{AbortHandle, Id, JoinSet};
 use tokio::time::timeout;
 
-/// A connect that takes longer is not coming: its first packet was lost long ago, and a younger one is quicker.
-const LONGEST: Duration = Duration::from_secs(3);
-/// The oldest go on, for they come up first; the youngest makes room for one that finds a network just mended.
-const AT_ONCE: usize = 4;
+/// An attempt that takes longer lost its first packet long ago: a younger one is quicker.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_ATTEMPTS: usize = 4;
 
+/// The attempts that are under way.
 pub struct Connector<S> {
-    running: JoinSet<io::Result<S>>,
+    attempts: JoinSet<io::Result<S>>,
+    /// Handles of the attempts, the oldest first.
     handles: VecDeque<AbortHandle>,
 }
 
+/// An attempt that is over.
+struct Finished<S> {
+    attempt: Id,
+    result: io::Result<S>,
+}
+
 impl<S: Send + 'static> Connector<S> {
+    /// A connector without attempts.
     pub fn new() -> Self {
-        Connector { running: JoinSet::new(), handles: VecDeque::new() }
+        Connector { attempts: JoinSet::new(), handles: VecDeque::new() }
     }
 
-    /// Begins one more connect and waits for whichever comes up first and is `sound`. Dropped before, it leaves
-    /// them all under way for the next. An old one that fails tells nothing of now; the new one's failure does.
-    pub async fn up(
+    /// Begins one more attempt and waits for the first that yields a usable connection. If this is dropped before, all
+    /// attempts go on for the next call.
+    ///
+    /// # Errors
+    /// The failure of the new attempt. That of an older one says nothing about the peer's present state.
+    pub async fn connect(
         &mut self,
-        dial: impl Future<Output = io::Result<S>> + Send + 'static,
-        sound: impl Fn(&S) -> bool,
+        attempt: impl Future<Output = io::Result<S>> + Send + 'static,
+        is_usable: impl Fn(&S) -> bool,
     ) -> io::Result<S> {
-        if self.handles.len() >= AT_ONCE {
-            self.handles.pop_back().into_iter().for_each(|youngest| youngest.abort());
-        }
-        let bounded = async { timeout(LONGEST, dial).await.unwrap_or_else(|e| Err(e.into())) };
-        let newest = self.running.spawn(bounded);
-        let number = newest.id();
-        self.handles.push_back(newest);
+        let newest = self.begin(attempt);
         loop {
-            let (ended, came) = match self.running.join_next_with_id().await {
-                Some(Ok((ended, came))) => (ended, came),
-                Some(Err(broken)) => (broken.id(), Err(io::Error::other(broken))),
-                None => return Err(io::Error::other("no connect is under way")),
-            };
-            self.forget(ended);
-            match came {
-                Ok(stream) if sound(&stream) => {
-                    // Nobody needs the others any more; each would hold a descriptor.
+            let finished = self.next_finished().await?;
+            match finished.result {
+                Ok(connection) if is_usable(&connection) => {
+                    // Ends the other attempts: each holds a descriptor.
                     *self = Connector::new();
-                    return Ok(stream);
+                    return Ok(connection);
                 }
-                Err(why) if ended == number => return Err(why),
+                Err(error) if finished.attempt == newest => return Err(error),
                 _ => {}
             }
         }
     }
 
-    fn forget(&mut self, ended: Id) {
-        self.handles.retain(|dial| dial.id() != ended);
+    /// Where there are too many attempts the youngest gives way: the older ones are nearer to success, and a new one is
+    /// needed for a network that has just recovered.
+    fn begin(&mut self, attempt: impl Future<Output = io::Result<S>> + Send + 'static) -> Id {
+        if self.handles.len() >= MAX_ATTEMPTS {
+            if let Some(youngest) = self.handles.pop_back() {
+                youngest.abort();
+            }
+        }
+        let bounded = async { timeout(ATTEMPT_TIMEOUT, attempt).await.unwrap_or_else(|e| Err(e.into())) };
+        let handle = self.attempts.spawn(bounded);
+        let newest = handle.id();
+        self.handles.push_back(handle);
+        newest
+    }
+
+    async fn next_finished(&mut self) -> io::Result<Finished<S>> {
+        let finished = match self.attempts.join_next_with_id().await {
+            Some(Ok((attempt, result))) => Finished { attempt, result },
+            Some(Err(panicked)) => {
+                Finished { attempt: panicked.id(), result: Err(io::Error::other(panicked)) }
+            }
+            None => return Err(io::Error::other("no connection attempt is under way")),
+        };
+        self.handles.retain(|handle| handle.id() != finished.attempt);
+        Ok(finished)
     }
 }
 
--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -1,46 +1,51 @@
-//! The log: structured, to standard error, written by a thread of its own. What does not fit its queue is
-//! dropped and counted, so that a reader who stands still never holds up the decisions.
+//! The log: JSON lines on standard error, written by a thread of their own. Lines that do not fit its queue are dropped
+//! and counted, so that a blocked reader never delays the control loop.
 
 use slog::{o, Drain, Logger};
+use slog_async::{Async, AsyncGuard, OverflowStrategy};
+use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-const QUEUE: usize = 512;
-const FLUSHED_WITHIN: Duration = Duration::from_millis(200);
-const AT_MOST_EVERY: Duration = Duration::from_secs(5);
+const QUEUE_CAPACITY: usize = 512;
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-pub fn to_stderr(name: &str) -> (Logger, slog_async::AsyncGuard) {
+/// A logger to standard error for the control plane of that name, and the guard that [`flush`] takes.
+pub fn to_stderr(name: &str) -> (Logger, AsyncGuard) {
     let lines = slog_json::Json::default(std::io::stderr()).ignore_res();
-    let (drain, guard) = slog_async::Async::new(lines)
-        .chan_size(QUEUE)
-        .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
+    let (drain, guard) = Async::new(lines)
+        .chan_size(QUEUE_CAPACITY)
+        .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
     (Logger::root(drain.ignore_res(), o!("supervisor" => name.to_owned())), guard)
 }
 
-/// Writes what is still queued, for a moment: a reader who stands still must not keep the process alive.
-pub fn flush(guard: slog_async::AsyncGuard) {
-    let (done, written) = std::sync::mpsc::channel();
+/// Writes what is still queued, but not for long: a blocked reader must not keep the process alive.
+pub fn flush(guard: AsyncGuard) {
+    let (done, written) = mpsc::channel();
     std::thread::spawn(move || {
         drop(guard);
         let _ = done.send(());
     });
-    let _ = written.recv_timeout(FLUSHED_WITHIN);
+    let _ = written.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// For what may come once a message: tells when to log it, and how many there were since the last time.
+/// Limits how often something is logged that may happen with every message.
 #[derive(Default)]
 pub struct LogRateLimit {
-    unsaid: u64,
-    said: Option<Instant>,
+    unlogged: u64,
+    last_logged: Option<Instant>,
 }
 
 impl LogRateLimit {
+    /// Counts one occurrence. If it is to be logged, the number of occurrences since the last one that was.
     pub fn due(&mut self) -> Option<u64> {
-        self.unsaid += 1;
-        let due = self.said.is_none_or(|at| at.elapsed() >= AT_MOST_EVERY);
-        due.then(|| {
-            self.said = Some(Instant::now());
-            std::mem::take(&mut self.unsaid)
-        })
+        self.unlogged += 1;
+        let recent = self.last_logged.is_some_and(|logged| logged.elapsed() < MIN_LOG_INTERVAL);
+        if recent {
+            return None;
+        }
+        self.last_logged = Some(Instant::now());
+        Some(std::mem::take(&mut self.unlogged))
     }
 }
--- a/control-plane/src/status_pages/tests.rs
+++ b/control-plane/src/status_pages/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tokio::io::AsyncWriteExt;
 
-/// Why frames do not go through axum: the first byte of one ends an HTTP connection.
+/// The reason why frames are told apart before they reach the HTTP server.
 #[tokio::test]
 async fn an_http_parser_ends_the_connection_at_a_frames_first_byte() {
     let (mut ours, theirs) = tokio::io::duplex(1024);
--- a/control-plane/src/task_restart.rs
+++ b/control-plane/src/task_restart.rs
@@ -1,4 +1,4 @@
-//! Tasks that go on for as long as the process does.
+//! Supervision of tasks that run for as long as the process does.
 
 use slog::{error, Logger};
 use std::future::Future;
@@ -6,20 +6,21 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const REST: Duration = Duration::from_millis(100);
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// Starts a peer's task, and starts it again should it break: a slip there must not cost the supervisor.
+/// Starts a task and restarts it whenever it ends, so that a panic in it does not cost the process. `name` stands in the
+/// log.
 pub fn restart_on_panic<F: Future<Output = ()> + 'static>(
-    peer: &'static str,
+    name: &'static str,
     log: Logger,
     task: impl Fn() -> F + 'static,
 ) {
     spawn_local(async move {
         loop {
-            if let Err(broken) = spawn_local(task()).await {
-                error!(log, "a peer's task broke and is started anew"; "peer" => peer, "why" => %broken);
+            if let Err(panicked) = spawn_local(task()).await {
+                error!(log, "task panicked, restarting it"; "task" => name, "why" => %panicked);
             }
-            sleep(REST).await;
+            sleep(RESTART_DELAY).await;
         }
     });
 }
--- a/control-plane/src/timeout.rs
+++ b/control-plane/src/timeout.rs
@@ -5,16 +5,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// What a process that stood still gets to read what came meanwhile.
-const GRACE: Duration = Duration::from_millis(15);
+/// Time to read what arrived while this process was not scheduled.
+const GRACE_PERIOD: Duration = Duration::from_millis(15);
 
-/// What the future yields, or nothing where the peer stays silent for so long. A process that shares its core
-/// may itself have stood still: its timer is due then before it has read what came, and that is no silence.
-pub async fn within<F: Future>(limit: Duration, awaited: F) -> Option<F::Output> {
-    let mut awaited = pin!(awaited);
-    match timeout(limit, &mut awaited).await {
-        Ok(came) => Some(came),
-        Err(_) => timeout(GRACE, awaited).await.ok(),
+/// The future's output, or nothing where it takes longer than `limit`.
+///
+/// A process that shares its core may itself have been suspended: its timer is due then before it has read what
+/// arrived meanwhile. So the future gets a grace period after the limit.
+pub async fn within<F: Future>(limit: Duration, future: F) -> Option<F::Output> {
+    let mut future = pin!(future);
+    match timeout(limit, &mut future).await {
+        Ok(output) => Some(output),
+        Err(_) => timeout(GRACE_PERIOD, future).await.ok(),
     }
 }
 
--- a/control-plane/src/timeout/tests.rs
+++ b/control-plane/src/timeout/tests.rs
@@ -2,8 +2,8 @@
 use tokio::task::yield_now;
 
 #[tokio::test]
-async fn our_own_pause_is_not_the_peers_silence() {
-    // The limit is over at the first look, and what came takes several more to be read.
+async fn a_pause_of_this_process_is_not_a_timeout() {
+    // The limit is over at the first poll, and the future needs several more.
     let read = async {
         for _ in 0..5 {
             yield_now().await;
@@ -14,6 +14,6 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_ends_the_wait() {
+async fn a_silent_peer_times_out() {
     assert_eq!(within(Duration::from_secs(2), std::future::pending::<()>()).await, None);
 }
