--- /dev/null
+++ b/control-plane/src/command.rs
@@ -0,0 +1,103 @@
+//! Commands in the form that the relay reads. Their names on the wire are mapped here and nowhere else.
+
+use otterwinch::host::{EndpointId, RetryPolicy};
+use serde_json::{json, Value};
+
+/// One command to the relay.
+pub struct Command {
+    /// Its JSON text.
+    pub text: String,
+    /// What it does.
+    pub kind: CommandKind,
+}
+
+/// What a command does, as far as its delivery and its rejection depend on it.
+pub enum CommandKind {
+    /// Puts a proxy on a route table.
+    Assignment {
+        /// The proxy.
+        proxy: u32,
+    },
+    /// Sets the weight of an endpoint in a route table.
+    Weight {
+        /// The route table.
+        table: u32,
+        /// The endpoint.
+        endpoint: EndpointId,
+    },
+    /// Sets the admission levels of a route table.
+    Admission {
+        /// The route table.
+        table: u32,
+    },
+    /// Ejects an endpoint or restores it.
+    Ejection,
+    /// Requests an acknowledgement of the commands before it.
+    AcknowledgementRequest,
+}
+
+impl Command {
+    /// Sets the weight of an endpoint in a route table.
+    pub fn set_weight(table: u32, endpoint: &EndpointId, weight: f64) -> Self {
+        let value = json!({"op": "put", "table": table, "endpoint": &**endpoint, "w": weight});
+        Command::new(value, CommandKind::Weight { table, endpoint: endpoint.clone() })
+    }
+
+    /// Puts a proxy on a route table.
+    pub fn assign_table(proxy: u32, table: u32) -> Self {
+        let value = json!({"op": "attach", "node": proxy, "table": table});
+        Command::new(value, CommandKind::Assignment { proxy })
+    }
+
+    /// Ejects an endpoint from all proxies.
+    pub fn eject(endpoint: &EndpointId) -> Self {
+        Command::new(json!({"op": "eject", "endpoint": &**endpoint}), CommandKind::Ejection)
+    }
+
+    /// Lifts the ejection of an endpoint.
+    pub fn restore(endpoint: &EndpointId) -> Self {
+        Command::new(json!({"op": "uneject", "endpoint": &**endpoint}), CommandKind::Ejection)
+    }
+
+    /// Sets the part of the requests of some classes that a route table admits, and when its proxies retry.
+    pub fn set_admission(table: u32, classes: &[&str], admitted: f64, retry: RetryPolicy) -> Self {
+        let policy = retry as u8;
+        let value =
+            json!({"op": "gate", "table": table, "routes": classes, "admit": admitted, "policy": policy});
+        Command::new(value, CommandKind::Admission { table })
+    }
+
+    /// Requests an acknowledgement with a number.
+    pub fn request_acknowledgement(number: u32) -> Self {
+        Command::new(json!({"op": "fence", "nonce_out": number}), CommandKind::AcknowledgementRequest)
+    }
+
+    /// Whether this command requests an acknowledgement.
+    pub fn is_acknowledgement_request(&self) -> bool {
+        matches!(self.kind, CommandKind::AcknowledgementRequest)
+    }
+
+    fn new(value: Value, kind: CommandKind) -> Self {
+        Command { text: value.to_string(), kind }
+    }
+}
+
+impl CommandKind {
+    /// Whether the command that follows right after this one reaches the same proxies.
+    pub fn reaches_same_proxies(&self, next: &CommandKind) -> bool {
+        match (self, next) {
+            (_, CommandKind::AcknowledgementRequest) | (CommandKind::Ejection, CommandKind::Ejection) => true,
+            _ => self.table().is_some() && self.table() == next.table(),
+        }
+    }
+
+    /// The route table whose proxies the command reaches, where it reaches those of one table.
+    fn table(&self) -> Option<u32> {
+        match self {
+            CommandKind::Weight { table, .. } | CommandKind::Admission { table } => Some(*table),
+            CommandKind::Assignment { .. } | CommandKind::Ejection | CommandKind::AcknowledgementRequest => {
+                None
+            }
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/command_batch/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+use crate::command::CommandKind;
+use serde_json::Value;
+
+fn command(kind: CommandKind) -> Command {
+    Command { text: format!("\"{}\"", "x".repeat(20_000)), kind }
+}
+
+/// The number of commands in the first batch, and whether it repeats the acknowledgement request.
+fn first_batch(kinds: impl IntoIterator<Item = CommandKind>) -> (usize, bool) {
+    let batch = CommandBatch::next(&kinds.into_iter().map(command).collect());
+    assert!(batch.body.len() <= MAX_BODY_BYTES);
+    let sent: Value = serde_json::from_str(&batch.body).unwrap();
+    assert_eq!(sent["changes"].as_array().unwrap().len(), batch.sent_commands());
+    (batch.commands, batch.repeats_acknowledgement_request)
+}
+
+fn assignment(proxy: u32) -> CommandKind {
+    CommandKind::Assignment { proxy }
+}
+
+fn admission() -> CommandKind {
+    CommandKind::Admission { table: 7 }
+}
+
+#[test]
+fn a_call_that_would_be_too_long_is_cut_between_commands() {
+    assert_eq!(first_batch((0..4).map(assignment)), (2, false));
+}
+
+#[test]
+fn a_call_is_cut_between_tables_where_it_can_be() {
+    assert_eq!(first_batch([assignment(1), admission(), admission()]), (1, false));
+    assert_eq!(first_batch([admission(), admission(), admission()]), (2, false));
+}
+
+#[test]
+fn each_call_of_a_moment_repeats_its_acknowledgement_request() {
+    let kinds = [assignment(1), assignment(2), assignment(3), CommandKind::AcknowledgementRequest];
+    assert_eq!(first_batch(kinds), (1, true));
+}
+
+#[test]
+fn a_body_is_full_up_to_the_limit_and_no_further() {
+    let longest = MAX_BODY_BYTES - BODY_START.len() - BODY_END.len() - SEPARATOR.len() - 20_002;
+    for (length, commands) in [(longest, 2), (longest + 1, 1)] {
+        let second = Command { text: "1".repeat(length), kind: assignment(2) };
+        let batch = CommandBatch::next(&VecDeque::from([command(assignment(1)), second]));
+        assert_eq!(batch.commands, commands);
+    }
+}
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -1,150 +1,198 @@
-//! The relay's commands: one call at a time, in the order they were given. What became of a call is told to
-//! the rules, and they say whether and when it goes again.
+//! Delivers commands to the relay: one call at a time, in the order in which they were issued.
+//!
+//! Commands stay unacknowledged until the relay has accepted or declined them. After a call that failed nothing
+//! overtakes them: the controller decides when they are sent again.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
-use crate::relay_host::{Command, CommandKind};
+use crate::command::Command;
+use crate::command_batch::CommandBatch;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
 use serde_json::Value;
+use slog::{info, warn, Logger};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::watch;
 
-const MOST_BYTES: usize = 60_000;
-/// An answer comes within 50 ms or never; the rest is for a new connection and a process scheduled late. What
-/// the rules do about a silent relay has to fit into 1.5 s from the call.
-const ANSWER_WITHIN: Duration = Duration::from_millis(250);
-const MOST_ANSWER: usize = 64 << 10;
+const PATH: &str = "/v3/kv/batches";
+/// The relay answers within 50 ms or not at all; the rest is for a new connection and a process that is scheduled late.
+/// The controller's reaction to a silent relay has to fit into 1.5 s from the call.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_ANSWER_BYTES: usize = 64 << 10;
+/// How much of an answer that is not usable goes into the error.
+const MAX_QUOTED_CHARS: usize = 120;
 
+/// What became of the unacknowledged commands.
 pub enum DeliveryOutcome {
-    Taken,
-    /// All before this one were taken, it can't be used, and the rest is still in hand.
+    /// The relay accepted all.
+    Accepted,
+    /// The relay accepted all before this one and can't use it; the rest is still unacknowledged.
     Declined(Command),
-    Lost(CallError),
+    /// A call failed and may be sent again as it was.
+    Failed(CallError),
+    /// The relay found the same call invalid twice, so it is not the answer that is damaged.
+    Invalid(CallError),
 }
 
+/// The commands that the relay has not acknowledged, and the calls that carry them.
 pub struct CommandDelivery {
-    relay: watch::Receiver<SocketAddr>,
+    relay_address: watch::Receiver<SocketAddr>,
     peer: Peer,
-    pub in_hand: VecDeque<Command>,
-    pub calls: u64,
+    log: Logger,
+    unacknowledged: VecDeque<Command>,
+    /// The latest call failed.
+    failing: bool,
+    /// The relay found the latest call invalid.
+    found_invalid: bool,
+    calls: u64,
+    failed_calls: u64,
 }
 
 impl CommandDelivery {
-    pub fn to(mut relay: watch::Receiver<SocketAddr>) -> Self {
-        let peer = Peer::at(*relay.borrow_and_update());
-        CommandDelivery { relay, peer, in_hand: VecDeque::new(), calls: 0 }
+    /// Delivers to the relay at this address, and at a new one from the next call on when it changes.
+    pub fn new(mut relay_address: watch::Receiver<SocketAddr>, log: Logger) -> Self {
+        let peer = Peer::at(*relay_address.borrow_and_update());
+        CommandDelivery {
+            relay_address,
+            peer,
+            log,
+            unacknowledged: VecDeque::new(),
+            failing: false,
+            found_invalid: false,
+            calls: 0,
+            failed_calls: 0,
+        }
+    }
+
+    /// Whether the latest call failed, so that unacknowledged commands wait until they are to be sent again.
+    pub fn is_failing(&self) -> bool {
+        self.failing
+    }
+
+    /// Whether there is anything to send or to recover from.
+    pub fn is_pending(&self) -> bool {
+        !self.unacknowledged.is_empty() || self.failing
+    }
+
+    /// How many calls were made since the start.
+    pub fn calls(&self) -> u64 {
+        self.calls
     }
 
-    /// Puts commands behind those in hand. A mark among them stands for the marks of the call that was lost, so
-    /// that its answer tells which of the two came.
-    pub fn take(&mut self, fresh: VecDeque<Command>) {
-        if fresh.iter().any(|command| matches!(command.about, CommandKind::Mark)) {
-            self.in_hand.retain(|command| !matches!(command.about, CommandKind::Mark));
+    /// How many of them failed.
+    pub fn failed_calls(&self) -> u64 {
+        self.failed_calls
+    }
+
+    /// Queues commands behind the unacknowledged ones. An acknowledgement request among them replaces that of the call
+    /// that failed, so that its answer tells which of the two calls arrived.
+    pub fn enqueue(&mut self, commands: VecDeque<Command>) {
+        if commands.iter().any(Command::is_acknowledgement_request) {
+            self.unacknowledged.retain(|command| !command.is_acknowledgement_request());
         }
-        self.in_hand.extend(fresh);
+        self.unacknowledged.extend(commands);
+    }
+
+    /// Drops what is unacknowledged: the controller that issued it has ended.
+    pub fn discard_pending(&mut self) {
+        self.unacknowledged.clear();
+        self.failing = false;
+        self.found_invalid = false;
     }
 
-    /// Sends what is in hand, in calls that are not too long, until all is taken or something stops it.
+    /// Sends the unacknowledged commands until all are accepted or something stops it.
     pub async fn deliver(&mut self) -> DeliveryOutcome {
-        while !self.in_hand.is_empty() {
-            let (body, count, marks) = body(&self.in_hand);
-            self.calls += 1;
-            match self.call(body, count + marks).await {
-                Ok(taken) => {
-                    self.in_hand.drain(..taken.min(count));
-                    if taken < count {
-                        if let Some(declined) = self.in_hand.pop_front() {
-                            return DeliveryOutcome::Declined(declined);
-                        }
-                    }
+        let found_invalid_before = std::mem::take(&mut self.found_invalid);
+        match self.send_batches().await {
+            Ok(None) => {
+                self.call_succeeded();
+                DeliveryOutcome::Accepted
+            }
+            Ok(Some(declined)) => {
+                warn!(self.log, "command declined by the relay"; "command" => &declined.text);
+                DeliveryOutcome::Declined(declined)
+            }
+            Err(error) => {
+                self.found_invalid = matches!(error, CallError::Invalid(_));
+                if self.found_invalid && found_invalid_before {
+                    return DeliveryOutcome::Invalid(error);
                 }
-                Err(failed) => return DeliveryOutcome::Lost(failed),
+                self.call_failed(&error);
+                DeliveryOutcome::Failed(error)
             }
         }
-        DeliveryOutcome::Taken
     }
 
-    async fn call(&mut self, body: String, count: usize) -> Result<usize, CallError> {
-        // A relay that has moved takes the next call at its new place, be it one that was lost at the old:
-        // that it goes again as it was and nothing overtakes it holds there too.
-        if self.relay.has_changed().unwrap_or(false) {
-            self.peer = Peer::at(*self.relay.borrow_and_update());
-        }
-        let body = Bytes::from(body);
-        let path = "/v3/kv/batches";
-        let (status, answer) = self.peer.ask(Method::POST, path, body, ANSWER_WITHIN, MOST_ANSWER).await?;
-        let value: Result<Value, _> = serde_json::from_slice(&answer);
-        let taken = value.ok().and_then(|v| v.get("taken")?.as_u64()).map(|n| n as usize);
-        match taken.filter(|taken| *taken <= count) {
-            Some(taken) if status.is_success() => Ok(taken),
-            _ => {
-                let text: String = String::from_utf8_lossy(&answer).chars().take(120).collect();
-                // Only a plain no tells that nothing was carried out; an inner error of the relay's does not.
-                let kind = if text.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
-                    CallError::Rejected
-                } else if status.is_client_error() && text.contains("invalid") {
-                    CallError::Invalid
-                } else {
-                    CallError::UnusableAnswer
-                };
-                Err(kind(format!("status {status}: {text}").into()))
+    /// Sends one batch after the other; stops at a command that the relay declines, and returns it.
+    async fn send_batches(&mut self) -> Result<Option<Command>, CallError> {
+        while !self.unacknowledged.is_empty() {
+            let batch = CommandBatch::next(&self.unacknowledged);
+            self.calls += 1;
+            let commands = batch.commands;
+            let accepted = self.send(batch).await?;
+            self.unacknowledged.drain(..accepted.min(commands));
+            if accepted < commands {
+                return Ok(self.unacknowledged.pop_front());
             }
         }
+        Ok(None)
     }
-}
 
-/// As many commands as one call holds, their number, and that of the marks put behind them.
-///
-/// Each call is a message of its own at the relay: whoever is reached by two of them is sent two heads, and only
-/// a call's own mark asks whom it reaches. So commands that reach the same proxies stay in one call where they
-/// fit, and the mark that ends a moment's commands ends each of their calls: else what it counts as one message
-/// is two, and of all calls but the last nobody ever tells that they came.
-fn body(commands: &VecDeque<Command>) -> (String, usize, usize) {
-    let mark = commands.back().filter(|command| matches!(command.about, CommandKind::Mark));
-    let most = MOST_BYTES - mark.map_or(0, |mark| mark.text.len() + 1);
-    let mut text = String::from(r#"{"changes":["#);
-    // Where the last group of commands that reach the same proxies began.
-    let (mut count, mut group) = (0, (0, text.len()));
-    for command in commands {
-        if count > 0 && !together(&commands[count - 1].about, &command.about) {
-            group = (count, text.len());
+    /// Makes one call; returns how many of its commands the relay accepted.
+    async fn send(&mut self, batch: CommandBatch) -> Result<usize, CallError> {
+        self.update_peer();
+        let sent = batch.sent_commands();
+        let body = Bytes::from(batch.body);
+        let (status, answer) =
+            self.peer.ask(Method::POST, PATH, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await?;
+        match accepted_commands(&answer) {
+            Some(accepted) if accepted <= sent && status.is_success() => Ok(accepted),
+            _ => Err(error_of_answer(status, &answer)),
         }
-        if count > 0 && text.len() + command.text.len() + 3 > most {
-            if group.0 > 0 {
-                count = group.0;
-                text.truncate(group.1);
-            }
-            break;
+    }
+
+    /// A relay that has moved gets the next call at its new address, even one that failed at the old address: it is
+    /// sent as it was and nothing overtakes it there either.
+    fn update_peer(&mut self) {
+        if self.relay_address.has_changed().unwrap_or(false) {
+            self.peer = Peer::at(*self.relay_address.borrow_and_update());
         }
-        if count > 0 {
-            text.push(',');
+    }
+
+    fn call_succeeded(&mut self) {
+        if self.failing {
+            info!(self.log, "relay takes commands again");
         }
-        text.push_str(&command.text);
-        count += 1;
+        self.failing = false;
     }
-    let cut = mark.filter(|_| count < commands.len());
-    if let Some(mark) = cut {
-        text.push(',');
-        text.push_str(&mark.text);
+
+    fn call_failed(&mut self, error: &CallError) {
+        self.failed_calls += 1;
+        if !self.failing {
+            warn!(self.log, "commands lost"; "why" => #error, "commands" => self.unacknowledged.len());
+        }
+        self.failing = true;
     }
-    text.push_str("]}");
-    (text, count, usize::from(cut.is_some()))
 }
 
-/// Whether two commands, one right after the other, reach the same proxies.
-fn together(one: &CommandKind, next: &CommandKind) -> bool {
-    match (one, next) {
-        (
-            CommandKind::Line(a, _) | CommandKind::Level(a),
-            CommandKind::Line(b, _) | CommandKind::Level(b),
-        ) => a == b,
-        (CommandKind::Withdrawal, CommandKind::Withdrawal) | (_, CommandKind::Mark) => true,
-        _ => false,
-    }
+/// How many commands the relay accepted, if its answer says so.
+fn accepted_commands(answer: &[u8]) -> Option<usize> {
+    let value: Value = serde_json::from_slice(answer).ok()?;
+    value.get("taken")?.as_u64().map(|accepted| accepted as usize)
 }
 
-#[cfg(test)]
-mod tests;
+/// The error of a call whose answer does not say how many commands were accepted. Only an explicit rejection proves that
+/// none was carried out; an internal error of the relay does not.
+fn error_of_answer(status: StatusCode, answer: &[u8]) -> CallError {
+    let quoted: String = String::from_utf8_lossy(answer).chars().take(MAX_QUOTED_CHARS).collect();
+    let cause = format!("status {status}: {quoted}").into();
+    if quoted.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
+        CallError::Rejected(cause)
+    } else if status.is_client_error() && quoted.contains("invalid") {
+        CallError::Invalid(cause)
+    } else {
+        CallError::UnusableAnswer(cause)
+    }
+}
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -1,310 +1,193 @@
-//! The task that owns the rules and the clock. One round, top to bottom: wait for something, drain all that
-//! is ready, tell it to the rules with one moment, send what they ordered as one call, tell them its fate.
+//! The task that owns the controller and the clock. It runs in rounds: wait for an event or a timer, hand all that is
+//! ready to the controller with one moment, and deliver the commands that it issued.
 
-use crate::call_error::CallError;
+use crate::clock::Clock;
+use crate::command::{Command, CommandKind};
 use crate::command_delivery::{CommandDelivery, DeliveryOutcome};
 use crate::config::Config;
+use crate::controller_restart::RestartableController;
 use crate::event::{Event, EventSender, EVENT_QUEUE_CAPACITY};
-use crate::metrics::{Counter, Metrics};
-use crate::relay_host::{CommandKind, RelayHost};
+use crate::event_dispatch::dispatch;
+use crate::metrics::Metrics;
+use crate::relay_host::RelayHost;
+use crate::status::{LoopStatus, StatusReporter, SNAPSHOT_INTERVAL};
 use otterwinch::controller::Controller;
-use otterwinch::time::{Moment, Span};
-use otterwinch_adapter_support::{catch_panic, CommandValidator};
-use serde_json::json;
-use slog::{error, info, warn, Logger};
+use otterwinch::time::Moment;
+use slog::{error, Logger};
+use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use tokio::sync::{mpsc, watch};
+use std::time::Duration;
+use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-const SUMMARY_EVERY: Span = Span::from_us(10_000_000);
-const PAGE_EVERY: Span = Span::from_us(1_000_000);
-
-/// Unix time that never steps: the system's clock once, then the steady one.
-pub struct Clock {
-    began: Instant,
-    unix: Span,
-}
-
-impl Clock {
-    pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), unix: Span::from_us(unix.as_micros() as i64) }
-    }
-
-    pub fn now(&self) -> Moment {
-        Moment::from_us(self.unix.as_us() + self.began.elapsed().as_micros() as i64)
-    }
-}
-
+/// The control loop before and while it runs.
 pub struct ControlLoop {
-    controller: Controller<RelayHost>,
-    config: Rc<Config>,
+    controller: RestartableController,
     clock: Clock,
-    commands: CommandDelivery,
-    /// A call came to nothing: what is in hand goes again when the rules say so, and nothing before it.
-    lost: bool,
-    /// The relay said of the last call that it is none.
-    unfit: bool,
     events: mpsc::Receiver<Event>,
-    metrics: Rc<Metrics>,
-    page: watch::Sender<String>,
+    delivery: CommandDelivery,
+    status: StatusReporter,
     log: Logger,
-    opened: u64,
-    lost_calls: u64,
-    paged: Moment,
-    summed: Moment,
+}
+
+/// The ends of the control loop that other tasks hold.
+pub struct ControlLoopHandles {
+    /// Sends events into the loop.
+    pub events: EventSender,
+    /// The status snapshot as JSON.
+    pub status: watch::Receiver<String>,
+    /// Notified when the controller wants the endpoint list to be watched.
+    pub watch_requests: Rc<Notify>,
 }
 
 impl ControlLoop {
-    pub fn open(
+    /// Starts the controller; the loop goes on with [`ControlLoop::run`].
+    pub fn start(
         config: Rc<Config>,
-        commands: CommandDelivery,
+        relay_address: watch::Receiver<SocketAddr>,
         log: Logger,
-    ) -> (Self, EventSender, watch::Receiver<String>) {
+    ) -> (Self, ControlLoopHandles) {
         let clock = Clock::start();
         let now = clock.now();
-        let desk =
-            RelayHost::new(CommandValidator::new(&config.controller), config.names.clone(), now, log.clone());
-        let mut controller = Controller::start(desk, config.controller.clone(), config.seed, now);
-        controller.host().learn(&config.known, true);
-        controller.endpoint_list_replaced(now, &config.known);
         let metrics = Rc::<Metrics>::default();
         let (sender, events) = EventSender::channel(EVENT_QUEUE_CAPACITY, metrics.clone());
-        let (page, shown) = watch::channel(String::from("{}"));
-        let (lost, opened, lost_calls) = (false, 1, 0);
-        let (paged, summed) = (now, now);
-        let planner = ControlLoop {
-            controller,
-            config,
-            clock,
-            commands,
-            lost,
-            unfit: false,
-            events,
-            metrics,
-            page,
-            log,
-            opened,
-            lost_calls,
-            paged,
-            summed,
-        };
-        (planner, sender, shown)
-    }
-
-    pub fn follow(&mut self) -> Rc<tokio::sync::Notify> {
-        self.controller.host().follow.clone()
+        let (status, snapshot) = StatusReporter::new(metrics, log.clone(), now);
+        let delivery = CommandDelivery::new(relay_address, log.clone());
+        let mut controller = RestartableController::start(config, log.clone(), now);
+        let watch_requests = controller.host().watch_requests();
+        let handles = ControlLoopHandles { events: sender, status: snapshot, watch_requests };
+        (ControlLoop { controller, clock, events, delivery, status, log }, handles)
     }
 
-    /// Goes on until the end. What was decided by then still goes out, and a call whose fate is open once more:
-    /// proxies that have not gone elsewhere yet would use what has left.
+    /// Runs until the process is to end. A last round sends what was decided by then, and commands whose call has failed
+    /// once more: proxies that have not moved to another instance yet use them.
     pub async fn run(mut self, end: CancellationToken) {
         while !end.is_cancelled() {
             let first = self.wait(&end).await;
-            self.round(first).await;
+            self.run_round(first).await;
         }
-        self.controller.host().again = true;
-        self.round(None).await;
+        self.controller.host().set_resend_requested(true);
+        self.run_round(None).await;
     }
 
-    async fn round(&mut self, first: Option<Event>) {
+    /// Waits for an event; returns none when a timer is due, the status is to be renewed or the process is to end.
+    async fn wait(&mut self, end: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
-        self.controller.host().now = now;
+        let wake_up = self.controller.host().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
+        let pause = Duration::from_micros((wake_up - now).as_us().max(0) as u64);
+        tokio::select! {
+            biased;
+            event = self.events.recv() => event,
+            () = sleep(pause) => None,
+            () = end.cancelled() => None,
+        }
+    }
+
+    async fn run_round(&mut self, first: Option<Event>) {
+        let now = self.clock.now();
+        self.controller.host().set_now(now);
+        self.handle_events(now, first);
+        self.fire_timers(now);
+        self.deliver_commands().await;
+        self.report_status();
+    }
+
+    /// Hands the first event and all that are queued to the controller. No more than the queue holds, so that busy senders
+    /// can't keep the commands back.
+    fn handle_events(&mut self, now: Moment, first: Option<Event>) {
         let mut next = first;
         for _ in 0..EVENT_QUEUE_CAPACITY {
-            match next.or_else(|| self.events.try_recv().ok()) {
-                Some(event) => self.guarded(now, |controller, now| dispatch(controller, now, event)),
-                None => break,
-            }
+            let Some(event) = next.or_else(|| self.events.try_recv().ok()) else { return };
+            self.step(now, |controller, now| dispatch(controller, now, event));
             next = None;
         }
-        while let Some(timer) = self.controller.host().due(now) {
-            self.guarded(now, |controller, now| controller.timer_fired(now, timer));
-        }
-        self.send().await;
-        self.report();
     }
 
-    /// The first that comes: something told, or nothing where a wake-up is due or the end has come.
-    async fn wait(&mut self, end: &CancellationToken) -> Option<Event> {
-        let now = self.clock.now();
-        let at = self.controller.host().next_wake().unwrap_or(now + PAGE_EVERY);
-        let left = Duration::from_micros((at - now).as_us().max(0) as u64);
-        tokio::select! {
-            biased;
-            event = self.events.recv() => event,
-            () = sleep(left) => None,
-            () = end.cancelled() => None,
+    fn fire_timers(&mut self, now: Moment) {
+        while let Some(timer) = self.controller.host().pop_due_timer(now) {
+            self.step(now, |controller, now| controller.timer_fired(now, timer));
         }
     }
 
-    /// Sends what this moment ordered. While a call's fate is open nothing overtakes it.
-    async fn send(&mut self) {
+    /// Delivers what the controller has issued, and what it issues in response to the outcome. While a call's outcome is
+    /// open nothing overtakes its commands.
+    async fn deliver_commands(&mut self) {
         loop {
-            let again = std::mem::take(&mut self.controller.host().again);
-            if self.lost && !again {
+            let resend = self.controller.host().take_resend_request();
+            if self.delivery.is_failing() && !resend {
                 return;
             }
-            let fresh = std::mem::take(&mut self.controller.host().commands);
-            self.commands.take(fresh);
-            if self.commands.in_hand.is_empty() && !self.lost {
+            let commands = self.controller.host().take_commands();
+            self.delivery.enqueue(commands);
+            if !self.delivery.is_pending() {
                 return;
             }
-            let fate = self.commands.deliver().await;
+            let outcome = self.delivery.deliver().await;
             let now = self.clock.now();
-            self.controller.host().now = now;
-            let unfit = matches!(&fate, DeliveryOutcome::Lost(CallError::Invalid(_)));
-            let unfit_again = std::mem::replace(&mut self.unfit, unfit) && unfit;
-            match fate {
-                DeliveryOutcome::Taken => {
-                    if std::mem::take(&mut self.lost) {
-                        info!(self.log, "relay takes commands again");
-                    }
-                    self.guarded(now, |controller, now| controller.commands_accepted(now));
-                }
-                DeliveryOutcome::Declined(command) => {
-                    warn!(self.log, "command declined by the relay"; "command" => &command.text);
-                    match command.about {
-                        CommandKind::Bind(proxy) => {
-                            self.guarded(now, |controller, now| controller.assignment_rejected(now, proxy));
-                        }
-                        CommandKind::Line(tbl, id) => {
-                            self.guarded(now, |controller, _| controller.weight_rejected(tbl, &id));
-                        }
-                        CommandKind::Level(_) | CommandKind::Withdrawal | CommandKind::Mark => {}
-                    }
-                    self.controller.host().again = self.lost;
+            self.controller.host().set_now(now);
+            match outcome {
+                DeliveryOutcome::Accepted => {
+                    self.step(now, |controller, now| controller.commands_accepted(now));
                 }
-                // A call that the relay can't read would stop all that follows, for ever. Said once it may be
-                // the answer that is spoilt, and the call goes again as it was.
-                DeliveryOutcome::Lost(failed) if unfit_again => {
-                    error!(self.log, "the relay can't use our commands"; "why" => #failed);
-                    self.open_anew(now);
+                DeliveryOutcome::Declined(command) => self.command_declined(now, command),
+                DeliveryOutcome::Failed(error) => {
+                    let may_have_been_executed = error.may_have_been_executed();
+                    self.step(now, |controller, now| controller.commands_lost(now, may_have_been_executed));
                     return;
                 }
-                DeliveryOutcome::Lost(failed) => {
-                    self.lost_calls += 1;
-                    if !std::mem::replace(&mut self.lost, true) {
-                        let commands = self.commands.in_hand.len();
-                        warn!(self.log, "commands lost"; "why" => #&failed, "commands" => commands);
-                    }
-                    let unsure = failed.may_have_been_executed();
-                    self.guarded(now, |controller, now| controller.commands_lost(now, unsure));
+                // Sent again as it is it would hold up all further commands for ever.
+                DeliveryOutcome::Invalid(error) => {
+                    error!(self.log, "the relay can't use our commands"; "why" => #error);
+                    self.controller.restart(now);
+                    self.delivery.discard_pending();
                     return;
                 }
             }
         }
     }
 
-    /// Controller that break are opened anew from what stands outside, as after a start.
-    fn guarded(&mut self, now: Moment, step: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
-        if let Err(cause) = catch_panic(|| step(&mut self.controller, now)) {
-            error!(self.log, "the rules broke"; "cause" => %cause);
-            self.open_anew(now);
+    /// Tells the controller of the one command that the relay declined; those behind it are sent on at once.
+    fn command_declined(&mut self, now: Moment, command: Command) {
+        match command.kind {
+            CommandKind::Assignment { proxy } => {
+                self.step(now, |controller, now| controller.assignment_rejected(now, proxy));
+            }
+            CommandKind::Weight { table, endpoint } => {
+                self.step(now, |controller, _| controller.weight_rejected(table, &endpoint));
+            }
+            CommandKind::Admission { .. } | CommandKind::Ejection | CommandKind::AcknowledgementRequest => {}
         }
+        let failing = self.delivery.is_failing();
+        self.controller.host().set_resend_requested(failing);
     }
 
-    /// Opens the rules again on what stands outside, as after a start. They are first told as gone of whatever
-    /// the relay may still hold from the old ones: else a line of a server that has left would stay (rule 3),
-    /// and one that was barred would never be let back in.
-    fn open_anew(&mut self, now: Moment) {
-        error!(self.log, "the rules are opened anew");
-        let new =
-            RelayHost::new(CommandValidator::default(), self.config.names.clone(), now, self.log.clone());
-        let mut desk = std::mem::replace(self.controller.host(), new);
-        desk.cleared();
-        self.commands.in_hand.clear();
-        (self.lost, self.unfit, self.opened) = (false, false, self.opened + 1);
-        let (listed, gone) = desk.stands();
-        let joined = desk.joined.clone();
-        let seed = self.config.seed.wrapping_add(self.opened);
-        self.controller = Controller::start(desk, self.config.controller.clone(), seed, now);
-        let tell = |controller: &mut Controller<RelayHost>| {
-            controller.endpoints_updated(now, &gone);
-            controller.endpoint_list_replaced(now, &listed);
-            joined.iter().for_each(|(p, (zone, rate))| controller.proxy_joined(now, *p, *zone, *rate, false));
-        };
-        if catch_panic(|| tell(&mut self.controller)).is_err() {
-            error!(self.log, "the rules broke again on what stands");
+    /// Lets the controller take one step. If it panics it is restarted, and the commands of the old one are dropped.
+    fn step(&mut self, now: Moment, step: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
+        if self.controller.step(now, step).is_err() {
+            self.delivery.discard_pending();
         }
     }
 
-    fn report(&mut self) {
+    fn report_status(&mut self) {
         let now = self.clock.now();
-        if now - self.paged < PAGE_EVERY {
+        if !self.status.is_due(now) {
             return;
         }
-        self.paged = now;
-        let (calls, lost_calls, opened, lost) =
-            (self.commands.calls, self.lost_calls, self.opened, self.lost);
-        let desk = self.controller.host();
-        let (servers, proxies, ordered) = (desk.servers(), desk.joined.len(), desk.ordered);
-        let [dropped, ended, turned_away, config_read, config_refused] = [
-            &self.metrics.invalid_inputs,
-            &self.metrics.connection_errors,
-            &self.metrics.rejected_connections,
-            &self.metrics.config_reloads,
-            &self.metrics.config_rejections,
-        ]
-        .map(Counter::get);
-        let page = json!({"servers": servers, "proxies": proxies, "commands": ordered, "calls": calls,
-            "calls_lost": lost_calls, "opened": opened, "relay_away": lost, "dropped": dropped,
-            "ended": ended, "turned_away": turned_away, "config_read": config_read,
-            "config_refused": config_refused});
-        self.page.send_replace(page.to_string());
-        if now - self.summed >= SUMMARY_EVERY {
-            self.summed = now;
-            info!(self.log, "summary"; "servers" => servers, "proxies" => proxies, "commands" => ordered,
-                "calls" => calls, "calls_lost" => lost_calls, "opened" => opened, "dropped" => dropped,
-                "ended" => ended, "turned_away" => turned_away);
-        }
-    }
-}
-
-/// Hands one event to the controller, and keeps what the host knows of the fleet in step with it.
-fn dispatch(controller: &mut Controller<RelayHost>, now: Moment, event: Event) {
-    match event {
-        Event::EndpointListReplaced { mut updates, invalid } => {
-            updates.extend(controller.host().last_listed(invalid.into_iter()));
-            controller.host().learn(&updates, true);
-            controller.endpoint_list_replaced(now, &updates);
-        }
-        Event::EndpointsUpdated { updates } => {
-            controller.host().learn(&updates, false);
-            controller.endpoints_updated(now, &updates);
-        }
-        Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
-        Event::ProxyJoined { proxy, zone, rate, fresh } => {
-            controller.host().joined(proxy, zone, rate);
-            controller.proxy_joined(now, proxy, zone, rate, fresh);
-        }
-        Event::ProxyLeft { proxy } => proxy_left(controller, now, proxy),
-        Event::ProxySnapshot { joined } => {
-            let known: Vec<u32> = controller.host().joined.keys().copied().collect();
-            for proxy in known.into_iter().filter(|proxy| !joined.contains(proxy)) {
-                proxy_left(controller, now, proxy);
-            }
-        }
-        Event::Acknowledged { proxy, number } => {
-            if controller.host().joined.contains_key(&proxy) {
-                controller.acknowledged(now, number, proxy);
-            }
-        }
-        Event::EndpointOutcomes { endpoint, attempts, failures, mean_latency, interval } => {
-            if controller.host().lists(&endpoint) {
-                controller.endpoint_outcomes(now, &endpoint, attempts, failures, mean_latency, interval);
-            }
-        }
-        Event::Demand { class, requests } => controller.demand(class, requests),
+        let controller_starts = self.controller.starts();
+        let host = self.controller.host();
+        let status = LoopStatus {
+            endpoints: host.fleet().listed_count(),
+            proxies: host.fleet().proxies().len(),
+            commands: host.commands_issued(),
+            calls: self.delivery.calls(),
+            failed_calls: self.delivery.failed_calls(),
+            controller_starts,
+            delivery_failing: self.delivery.is_failing(),
+        };
+        self.status.report(now, &status);
     }
 }
 
-fn proxy_left(controller: &mut Controller<RelayHost>, now: Moment, proxy: u32) {
-    controller.host().left(proxy);
-    controller.proxy_left(now, proxy);
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/control-plane/src/event_dispatch.rs
@@ -0,0 +1,58 @@
+//! Hands events to the controller, and keeps what its host knows of the fleet in step with them.
+
+use crate::event::Event;
+use crate::observed_fleet::JoinedProxy;
+use crate::relay_host::RelayHost;
+use otterwinch::controller::Controller;
+use otterwinch::time::Moment;
+use std::collections::BTreeSet;
+
+/// Lets the controller handle one event.
+pub fn dispatch(controller: &mut Controller<RelayHost>, now: Moment, event: Event) {
+    match event {
+        Event::EndpointListReplaced { mut updates, invalid } => {
+            updates.extend(controller.host().fleet().last_listed(&invalid));
+            controller.host().replace_endpoint_list(&updates);
+            controller.endpoint_list_replaced(now, &updates);
+        }
+        Event::EndpointsUpdated { updates } => {
+            controller.host().update_endpoints(&updates);
+            controller.endpoints_updated(now, &updates);
+        }
+        Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
+        Event::ProxyJoined { proxy, zone, rate, fresh } => {
+            controller.host().proxy_joined(proxy, JoinedProxy { zone, rate });
+            controller.proxy_joined(now, proxy, zone, rate, fresh);
+        }
+        Event::ProxyLeft { proxy } => proxy_left(controller, now, proxy),
+        Event::ProxySnapshot { joined } => missing_proxies_left(controller, now, &joined),
+        Event::Acknowledged { proxy, number } => {
+            if controller.host().fleet().proxies().contains_key(&proxy) {
+                controller.acknowledged(now, number, proxy);
+            }
+        }
+        Event::EndpointOutcomes { endpoint, attempts, failures, mean_latency, interval } => {
+            if controller.host().fleet().knows_endpoint(&endpoint) {
+                controller.endpoint_outcomes(now, &endpoint, attempts, failures, mean_latency, interval);
+            }
+        }
+        Event::Demand { class, requests } => controller.demand(class, requests),
+    }
+}
+
+fn missing_proxies_left(controller: &mut Controller<RelayHost>, now: Moment, joined: &BTreeSet<u32>) {
+    let known: Vec<u32> = controller.host().fleet().proxies().keys().copied().collect();
+    for proxy in known {
+        if !joined.contains(&proxy) {
+            proxy_left(controller, now, proxy);
+        }
+    }
+}
+
+fn proxy_left(controller: &mut Controller<RelayHost>, now: Moment, proxy: u32) {
+    controller.host().proxy_left(proxy);
+    controller.proxy_left(now, proxy);
+}
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -1,201 +1,190 @@
-//! The rules' way out: writes what they order down as the relay reads it, keeps their wake-ups, and remembers
-//! what stands outside so that rules that broke can be opened anew.
+//! The controller's host on sockets: validates and queues the commands for the relay, keeps the timers, and knows the
+//! fleet that a restarted controller begins with. Owned by the controller; the control loop reads it between events.
 
+use crate::command::Command;
 use crate::deployment_names::DeploymentNames;
-use otterwinch::host::{
-    EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer,
-};
+use crate::observed_fleet::{JoinedProxy, ObservedFleet};
+use crate::timer_queue::TimerQueue;
+use otterwinch::host::{EndpointId, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::{Moment, Span};
 use otterwinch_adapter_support::{CommandValidator, InvalidCommand};
-use serde_json::{json, Value};
 use slog::{warn, Logger};
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::collections::VecDeque;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// One command in the relay's form, and what the rules have to know if it can't be used.
-pub struct Command {
-    pub text: String,
-    pub about: CommandKind,
-}
-
-pub enum CommandKind {
-    Bind(u32),
-    Line(u32, EndpointId),
-    Level(u32),
-    Withdrawal,
-    Mark,
-}
-
+/// Collects what the controller orders until the control loop carries it out.
 pub struct RelayHost {
-    checks: CommandValidator,
+    validator: CommandValidator,
     names: Rc<DeploymentNames>,
     log: Logger,
-    pub follow: Rc<Notify>,
-    pub commands: VecDeque<Command>,
-    pub ordered: u64,
-    pub again: bool,
-    /// The present moment, from which wake-ups count.
-    pub now: Moment,
-    wakes: BinaryHeap<Reverse<(Moment, u64, Timer)>>,
-    woken: u64,
-    /// Whatever was listed and is not forgotten, as it was listed last.
-    listed: BTreeMap<EndpointId, EndpointUpdate>,
-    /// Servers that joined proxies are barred from by our command.
-    withdrawn: BTreeSet<EndpointId>,
-    /// Zone and usual rate of each proxy that is joined.
-    pub joined: BTreeMap<u32, (u32, f64)>,
+    fleet: ObservedFleet,
+    timers: TimerQueue,
+    now: Moment,
+    watch_requests: Rc<Notify>,
+    commands: VecDeque<Command>,
+    commands_issued: u64,
+    resend_requested: bool,
 }
 
 impl RelayHost {
-    pub fn new(checks: CommandValidator, names: Rc<DeploymentNames>, now: Moment, log: Logger) -> Self {
+    /// A host that knows no endpoint and no proxy yet.
+    pub fn new(validator: CommandValidator, names: Rc<DeploymentNames>, now: Moment, log: Logger) -> Self {
         RelayHost {
-            checks,
+            validator,
             names,
             log,
-            follow: Rc::new(Notify::new()),
-            commands: VecDeque::new(),
-            ordered: 0,
-            again: false,
+            fleet: ObservedFleet::default(),
+            timers: TimerQueue::default(),
             now,
-            wakes: BinaryHeap::new(),
-            woken: 0,
-            listed: BTreeMap::new(),
-            withdrawn: BTreeSet::new(),
-            joined: BTreeMap::new(),
+            watch_requests: Rc::default(),
+            commands: VecDeque::new(),
+            commands_issued: 0,
+            resend_requested: false,
         }
     }
 
-    pub fn learn(&mut self, listings: &[EndpointUpdate], whole: bool) {
-        self.checks.add_endpoints(listings.iter().map(|l| &l.id));
-        if whole {
-            self.listed.values_mut().for_each(|listing| listing.state = EndpointState::Removed);
-        }
-        self.listed.extend(listings.iter().map(|listing| (listing.id.clone(), listing.clone())));
+    /// Sets the moment that timers are scheduled from.
+    pub fn set_now(&mut self, now: Moment) {
+        self.now = now;
     }
 
-    /// What was listed last of some servers, as far as they are listed.
-    pub fn last_listed(&self, ids: impl Iterator<Item = EndpointId>) -> Vec<EndpointUpdate> {
-        ids.filter_map(|id| self.listed.get(&id))
-            .filter(|l| l.state != EndpointState::Removed)
-            .cloned()
-            .collect()
+    /// The known fleet.
+    pub fn fleet(&self) -> &ObservedFleet {
+        &self.fleet
     }
 
-    /// Whether a server is listed, or was lately.
-    pub fn lists(&self, id: &str) -> bool {
-        self.listed.contains_key(id)
+    /// The endpoint list was read whole.
+    pub fn replace_endpoint_list(&mut self, updates: &[EndpointUpdate]) {
+        self.validator.add_endpoints(updates.iter().map(|update| &update.id));
+        self.fleet.replace_endpoint_list(updates);
     }
 
-    /// How many servers are listed now.
-    pub fn servers(&self) -> usize {
-        self.listed.values().filter(|l| l.state != EndpointState::Removed).count()
+    /// Entries of the endpoint list changed.
+    pub fn update_endpoints(&mut self, updates: &[EndpointUpdate]) {
+        self.validator.add_endpoints(updates.iter().map(|update| &update.id));
+        self.fleet.update_endpoints(updates);
     }
 
-    /// What is listed now, and what is not although the relay's tables or its bars may still name it.
-    pub fn stands(&self) -> (Vec<EndpointUpdate>, Vec<EndpointUpdate>) {
-        let gone = |l: &&EndpointUpdate| l.state == EndpointState::Removed;
-        let listed = self.listed.values().filter(|l| !gone(l)).cloned().collect();
-        let barred = self.listed.values().filter(|l| gone(l) || self.withdrawn.contains(&l.id));
-        (listed, barred.map(|l| EndpointUpdate { state: EndpointState::Removed, ..l.clone() }).collect())
+    /// A proxy joined.
+    pub fn proxy_joined(&mut self, number: u32, proxy: JoinedProxy) {
+        self.validator.set_joined(number, true);
+        self.fleet.proxy_joined(number, proxy);
     }
 
-    pub fn joined(&mut self, proxy: u32, zone: u32, rate: f64) {
-        self.checks.set_joined(proxy, true);
-        self.joined.insert(proxy, (zone, rate));
+    /// A proxy left.
+    pub fn proxy_left(&mut self, number: u32) {
+        self.validator.set_joined(number, false);
+        self.fleet.proxy_left(number);
     }
 
-    pub fn left(&mut self, proxy: u32) {
-        self.checks.set_joined(proxy, false);
-        self.joined.remove(&proxy);
+    /// Notified when the controller wants the endpoint list to be watched.
+    pub fn watch_requests(&self) -> Rc<Notify> {
+        self.watch_requests.clone()
     }
 
-    /// For rules opened anew: what stands outside stays, what the old ones wanted is dropped.
-    pub fn cleared(&mut self) {
-        self.commands.clear();
-        self.wakes.clear();
-        self.again = false;
+    /// Takes the commands that the controller issued since the last call.
+    pub fn take_commands(&mut self) -> VecDeque<Command> {
+        std::mem::take(&mut self.commands)
+    }
+
+    /// How many commands the controller has issued since the start.
+    pub fn commands_issued(&self) -> u64 {
+        self.commands_issued
+    }
+
+    /// Whether unacknowledged commands are to be sent again. The request is answered once.
+    pub fn take_resend_request(&mut self) -> bool {
+        std::mem::take(&mut self.resend_requested)
+    }
+
+    /// Sets or withdraws the request to send unacknowledged commands again.
+    pub fn set_resend_requested(&mut self, requested: bool) {
+        self.resend_requested = requested;
     }
 
-    pub fn next_wake(&self) -> Option<Moment> {
-        self.wakes.peek().map(|wake| wake.0 .0)
+    /// When the next timer is due.
+    pub fn next_timer_due(&self) -> Option<Moment> {
+        self.timers.next_due()
     }
 
-    /// The timer that is due.
-    pub fn due(&mut self, now: Moment) -> Option<Timer> {
-        self.next_wake().filter(|at| *at <= now)?;
-        self.wakes.pop().map(|wake| wake.0 .2)
+    /// Takes the next timer out, if it is due.
+    pub fn pop_due_timer(&mut self, now: Moment) -> Option<Timer> {
+        self.timers.pop_due(now)
     }
 
-    fn say(&mut self, checked: Result<(), InvalidCommand>, command: Value, about: CommandKind) {
-        if let Err(fault) = checked {
-            return warn!(self.log, "command against the relay's rules"; "why" => %fault);
+    /// Drops what a controller that ended had ordered; what is known of the fleet stays.
+    pub fn discard_pending(&mut self) {
+        self.commands.clear();
+        self.timers.clear();
+        self.resend_requested = false;
+    }
+
+    fn issue(&mut self, validity: Result<(), InvalidCommand>, command: Command) {
+        if let Err(invalid) = validity {
+            warn!(self.log, "command against the relay's rules"; "why" => %invalid);
+            return;
         }
-        self.ordered += 1;
-        self.commands.push_back(Command { text: command.to_string(), about });
+        self.commands_issued += 1;
+        self.commands.push_back(command);
     }
 
-    fn routes(&self, products: RequestClassSet) -> Vec<&str> {
+    fn class_names(&self, classes: RequestClassSet) -> Vec<&str> {
         let all = self.names.request_classes.iter().enumerate();
-        all.filter(|(k, _)| products >> k & 1 == 1).map(|(_, name)| name.as_str()).collect()
+        all.filter(|(position, _)| classes >> position & 1 == 1).map(|(_, name)| name.as_str()).collect()
     }
 }
 
 impl Host for RelayHost {
-    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
-        let command = json!({"op": "put", "table": tbl, "endpoint": &**server, "w": weight});
-        self.say(
-            self.checks.check_weight(tbl, server, weight),
-            command,
-            CommandKind::Line(tbl, server.clone()),
-        );
+    fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
+        let validity = self.validator.check_weight(table, endpoint, weight);
+        self.issue(validity, Command::set_weight(table, endpoint, weight));
     }
 
-    fn assign_table(&mut self, proxy: u32, tbl: u32) {
-        let command = json!({"op": "attach", "node": proxy, "table": tbl});
-        self.say(self.checks.check_assignment(proxy, tbl), command, CommandKind::Bind(proxy));
+    fn assign_table(&mut self, proxy: u32, table: u32) {
+        let validity = self.validator.check_assignment(proxy, table);
+        self.issue(validity, Command::assign_table(proxy, table));
     }
 
-    fn eject_endpoint(&mut self, server: &EndpointId) {
-        self.withdrawn.insert(server.clone());
-        let command = json!({"op": "eject", "endpoint": &**server});
-        self.say(self.checks.check_ejection(server), command, CommandKind::Withdrawal);
+    fn eject_endpoint(&mut self, endpoint: &EndpointId) {
+        self.fleet.endpoint_ejected(endpoint);
+        let validity = self.validator.check_ejection(endpoint);
+        self.issue(validity, Command::eject(endpoint));
     }
 
-    fn restore_endpoint(&mut self, server: &EndpointId) {
-        self.withdrawn.remove(server);
-        let command = json!({"op": "uneject", "endpoint": &**server});
-        self.say(self.checks.check_ejection(server), command, CommandKind::Withdrawal);
+    fn restore_endpoint(&mut self, endpoint: &EndpointId) {
+        self.fleet.endpoint_restored(endpoint);
+        let validity = self.validator.check_ejection(endpoint);
+        self.issue(validity, Command::restore(endpoint));
     }
 
-    fn forget_endpoint(&mut self, server: &EndpointId) {
-        self.checks.forget_endpoint(server);
-        self.listed.remove(server);
-        self.withdrawn.remove(server);
+    fn forget_endpoint(&mut self, endpoint: &EndpointId) {
+        self.validator.forget_endpoint(endpoint);
+        self.fleet.forget_endpoint(endpoint);
     }
 
-    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
-        let (routes, policy) = (self.routes(products), retry as u8);
-        let command =
-            json!({"op": "gate", "table": tbl, "routes": routes, "admit": admitted, "policy": policy});
-        self.say(self.checks.check_admission(tbl, admitted), command, CommandKind::Level(tbl));
+    fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+        let validity = self.validator.check_admission(table, admitted);
+        let command = Command::set_admission(table, &self.class_names(classes), admitted, retry);
+        self.issue(validity, command);
     }
 
     fn request_acknowledgement(&mut self, number: u32) {
-        self.say(Ok(()), json!({"op": "fence", "nonce_out": number}), CommandKind::Mark);
+        self.issue(Ok(()), Command::request_acknowledgement(number));
     }
 
     fn resend_commands(&mut self) {
-        self.again = true;
+        self.resend_requested = true;
     }
 
     fn watch_endpoints(&mut self) {
-        self.follow.notify_one();
+        self.watch_requests.notify_one();
     }
 
     fn schedule_timer(&mut self, after: Span, timer: Timer) {
-        self.woken += 1;
-        self.wakes.push(Reverse((self.now + after, self.woken, timer)));
+        self.timers.schedule(self.now + after, timer);
     }
 }
+
+#[cfg(test)]
+mod tests;
