--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::config_fault::ConfigFault;
 use crate::deployment_names::DeploymentNames;
-use crate::endpoint_watch;
+use crate::endpoint_list::EndpointList;
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointUpdate, RequestClassSet};
 use otterwinch_adapter_support::{controller_config, JsonFieldError, JsonFields, SettingsReader};
@@ -210,13 +210,13 @@
 
     fn known_endpoints(&mut self, names: &DeploymentNames) -> Option<Vec<EndpointUpdate>> {
         let value = self.collect(self.fields.object("known"))?;
-        let answer = endpoint_watch::answer(value, names)
+        let list = EndpointList::decode(value, names)
             .map_err(|error| ConfigFault::KnownEndpoints { reason: error.to_string() });
-        let answer = self.collect(answer)?;
-        for entry in answer.spoilt {
-            self.faults.push(ConfigFault::KnownEndpoints { reason: entry.why.to_string() });
+        let list = self.collect(list)?;
+        for entry in list.invalid {
+            self.faults.push(ConfigFault::KnownEndpoints { reason: entry.to_string() });
         }
-        Some(answer.listings)
+        Some(list.updates)
     }
 
     fn limit(&mut self, name: &str, default: u64) -> Option<u64> {
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,183 +1,211 @@
-//! The list of servers: read whole once, then watched. A call that fails is reported to the rules, which say
-//! when to ask again. What can't be read of an answer is left out alone: the last good state of it stands.
+//! Watches the endpoint list: reads it whole once, then polls for changes. The controller says when a watch begins, at
+//! the start and after a call that failed. An invalid entry is left out alone: the endpoint stays in its last state.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
 use crate::deployment_names::DeploymentNames;
+use crate::endpoint_list::{EndpointList, InvalidEntry};
 use crate::event::{Event, EventSender};
 use crate::log::LogRateLimit;
 use hyper::body::Bytes;
 use hyper::{Method, StatusCode};
-use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
-use otterwinch::time::Moment;
-use otterwinch_adapter_support::JsonFields;
-use serde_json::Value;
 use slog::{info, warn, Logger};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-/// How long a watch may wait before it answers with nothing: a list that has gone silent is found this late.
-const WATCH_MS: u64 = 1_500;
-const ANSWER_WITHIN: Duration = Duration::from_millis(600);
+const PATH: &str = "/v1/servers";
+/// How long a poll may wait for a change: a list that has fallen silent is noticed this late.
+const POLL_WAIT: Duration = Duration::from_millis(1_500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-pub struct Answer {
-    pub version: u64,
-    pub whole: bool,
-    pub listings: Vec<EndpointUpdate>,
-    pub spoilt: Vec<InvalidEntry>,
+/// What a watch needs.
+#[derive(Clone)]
+pub struct EndpointWatch {
+    /// Where the list is. At a new address it is read whole at once.
+    pub address: watch::Receiver<SocketAddr>,
+    /// The longest answer, in bytes.
+    pub max_answer_bytes: usize,
+    /// The names of the settings.
+    pub names: Rc<DeploymentNames>,
+    /// Notified when the controller wants the list to be watched.
+    pub requests: Rc<Notify>,
+    /// Where the answers go.
+    pub events: EventSender,
+    /// Where to log.
+    pub log: Logger,
 }
 
-/// An entry that can't be used: why, and of which server it tells where that much can be read.
-pub struct InvalidEntry {
-    pub id: Option<EndpointId>,
-    pub why: String,
+impl EndpointWatch {
+    /// Watches for ever.
+    pub async fn run(self) {
+        // The controller does not know of a watch that panicked, so its successor does not wait for a request.
+        self.requests.notify_one();
+        Watcher::new(self).run().await;
+    }
 }
 
-pub fn answer(value: &Value, names: &DeploymentNames) -> Result<Answer, String> {
-    let f = JsonFields::of_object(value, "list")?;
-    let (version, whole) = (f.u64("seq")?, f.flag("whole"));
-    let (mut listings, mut spoilt) = (Vec::new(), Vec::new());
-    for (place, entry) in f.list("hosts")?.iter().enumerate() {
-        match listing(entry, names) {
-            Ok(listing) => listings.push(listing),
-            Err(why) => {
-                let id = entry.get("host").and_then(Value::as_str).map(EndpointId::from);
-                spoilt.push(InvalidEntry { id, why: format!("entry {place}: {why}") });
-            }
-        }
-    }
-    Ok(Answer { version, whole, listings, spoilt })
+/// A watch that runs.
+struct Watcher {
+    context: EndpointWatch,
+    peer: Peer,
+    /// The version that changes are polled for since; without one the list is read whole.
+    version: Option<u64>,
+    /// Whether to poll; else the controller is to request it.
+    polling: bool,
+    /// The latest call failed.
+    failing: bool,
+    invalid_entry_log: LogRateLimit,
 }
 
-fn listing(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, String> {
-    let f = JsonFields::of_object(entry, "list entry")?;
-    let id = f.text("host")?.into();
-    let standing = match f.text("health")? {
-        "active" => EndpointState::Ready,
-        "leaving" => EndpointState::Draining,
-        "left" => EndpointState::Removed,
-        other => return Err(format!("list entry: field 'health' is unknown: '{other}'")),
-    };
-    // A zone that the settings do not name is far from all that they do.
-    let zone = |text| names.zone(text).unwrap_or(u32::MAX);
-    let zone = if f.has("site") { f.text("site").map(zone) } else { Ok(0) };
-    let weight = if f.has("share") { f.non_negative("share") } else { Ok(1.0) };
-    let born = f.i64_or("born_ms", 0);
-    let (zone, weight, born) = match standing {
-        EndpointState::Ready => (zone?, weight?, born?),
-        // Whatever else is amiss: it is to be left, and the grace runs.
-        EndpointState::Draining | EndpointState::Removed => {
-            (zone.unwrap_or(0), weight.unwrap_or(1.0), born.unwrap_or(0))
+impl Watcher {
+    fn new(mut context: EndpointWatch) -> Self {
+        let peer = Peer::at(*context.address.borrow_and_update());
+        Watcher {
+            context,
+            peer,
+            version: None,
+            polling: false,
+            failing: false,
+            invalid_entry_log: LogRateLimit::default(),
         }
-    };
-    let started = (born > 0).then(|| Moment::from_us(born.saturating_mul(1000)));
-    Ok(EndpointUpdate { id, zone, weight, state: standing, started })
-}
+    }
 
-/// Follows the list for ever; `follow` is the rules' word to ask, at the start and after a failure. A list that
-/// has moved is asked for whole at its new place at once, whatever call is open at the old.
-pub async fn follow(
-    (mut place, most_bytes): (watch::Receiver<SocketAddr>, usize),
-    names: Rc<DeploymentNames>,
-    follow: Rc<Notify>,
-    ear: EventSender,
-    log: Logger,
-) {
-    let mut peer = Peer::at(*place.borrow_and_update());
-    let (mut version, mut lost, mut asking, mut odd) = (None, false, false, LogRateLimit::default());
-    loop {
-        let told = tokio::select! {
-            () = follow.notified(), if !asking => {
-                asking = true;
-                continue;
-            }
-            told = ask(&peer, &names, version, most_bytes), if asking => told,
-            Ok(()) = place.changed() => {
-                peer = Peer::at(*place.borrow_and_update());
-                (version, asking) = (None, true);
-                continue;
-            }
-        };
-        let told = match told.and_then(|told| newer(told, version)) {
-            Ok(told) => told,
-            Err(failed) => {
-                if !std::mem::replace(&mut lost, true) {
-                    warn!(log, "list lost"; "why" => #&failed, "version" => version);
+    async fn run(mut self) {
+        loop {
+            let answer = tokio::select! {
+                () = self.context.requests.notified(), if !self.polling => {
+                    self.polling = true;
+                    continue;
                 }
-                // What can't be read may have been a change, and no later one tells of it again; a list that has
-                // lost its state may refuse to tell what is newer than it knows.
-                version =
-                    version.filter(|_| matches!(failed, CallError::NotConnected(_) | CallError::NoAnswer(_)));
-                asking = false;
-                ear.send(Event::EndpointWatchFailed).await;
-                continue;
+                answer = poll(&self.peer, self.version, &self.context.names, self.context.max_answer_bytes), if self.polling => answer,
+                Ok(()) = self.context.address.changed() => {
+                    self.move_to_new_address();
+                    continue;
+                }
+            };
+            match answer {
+                Ok(list) => self.list_received(list).await,
+                Err(error) => self.call_failed(&error).await,
             }
-        };
-        if std::mem::take(&mut lost) || version.is_none() {
-            info!(log, "list found"; "version" => told.version, "servers" => told.listings.len());
         }
-        version = Some(told.version);
-        let Answer { whole, listings, spoilt, .. } = told;
-        for InvalidEntry { why, .. } in &spoilt {
-            ear.metrics.invalid_inputs.increment();
-            if let Some(times) = odd.due() {
-                warn!(log, "list entry left out"; "why" => why, "times" => times);
-            }
+    }
+
+    fn move_to_new_address(&mut self) {
+        self.peer = Peer::at(*self.context.address.borrow_and_update());
+        self.version = None;
+        self.polling = true;
+    }
+
+    async fn list_received(&mut self, list: EndpointList) {
+        if self.failing || self.version.is_none() {
+            info!(self.context.log, "list found"; "version" => list.version, "servers" => list.updates.len());
         }
-        // A server that is there and can't be read is not one that is missing. Where not even its name can be
-        // read nobody is taken for missing, and the list is asked for whole again.
-        let nameless = spoilt.iter().any(|entry| entry.id.is_none());
-        let missed = nameless || !whole && !spoilt.is_empty();
-        if whole || !listings.is_empty() {
-            let event = if whole && !nameless {
-                let invalid = spoilt.into_iter().filter_map(|entry| entry.id).collect();
-                Event::EndpointListReplaced { updates: listings, invalid }
-            } else {
-                Event::EndpointsUpdated { updates: listings }
-            };
-            ear.send(event).await;
+        self.failing = false;
+        self.version = Some(list.version);
+        self.report_invalid(&list.invalid);
+        let missed_a_change = misses_a_change(&list);
+        if list.whole || !list.updates.is_empty() {
+            self.context.events.send(event_of(list)).await;
         }
-        if missed {
-            (version, asking) = (None, false);
-            ear.send(Event::EndpointWatchFailed).await;
+        if missed_a_change {
+            self.read_whole_on_request().await;
+        }
+    }
+
+    async fn call_failed(&mut self, error: &CallError) {
+        if !self.failing {
+            warn!(self.context.log, "list lost"; "why" => #error, "version" => self.version);
+        }
+        self.failing = true;
+        // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
+        // refuse to tell what is newer than a version that it does not know.
+        if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
+            self.wait_for_request().await;
+        } else {
+            self.read_whole_on_request().await;
+        }
+    }
+
+    async fn read_whole_on_request(&mut self) {
+        self.version = None;
+        self.wait_for_request().await;
+    }
+
+    async fn wait_for_request(&mut self) {
+        self.polling = false;
+        self.context.events.send(Event::EndpointWatchFailed).await;
+    }
+
+    fn report_invalid(&mut self, entries: &[InvalidEntry]) {
+        for entry in entries {
+            self.context.events.metrics.invalid_inputs.increment();
+            if let Some(times) = self.invalid_entry_log.due() {
+                warn!(self.context.log, "list entry left out"; "why" => %entry, "times" => times);
+            }
         }
     }
 }
 
-/// A change older than what is known was held up on its way, or comes from a list that counts anew: only the
-/// whole list tells which.
-fn newer(told: Answer, version: Option<u64>) -> Result<Answer, CallError> {
-    match version.filter(|known| !told.whole && told.version < *known) {
-        Some(_) => Err(CallError::UnusableAnswer(format!("a change of version {}", told.version).into())),
-        None => Ok(told),
+/// Whether an invalid entry hides something that no later answer repeats: any change, or which endpoint it was about.
+fn misses_a_change(list: &EndpointList) -> bool {
+    has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
+}
+
+fn has_unidentified_entry(list: &EndpointList) -> bool {
+    list.invalid.iter().any(|entry| entry.id.is_none())
+}
+
+/// An endpoint whose entry is invalid is not missing from the list. Where an entry does not even name its endpoint, no
+/// endpoint is taken as missing.
+fn event_of(list: EndpointList) -> Event {
+    if list.whole && !has_unidentified_entry(&list) {
+        let invalid = list.invalid.into_iter().filter_map(|entry| entry.id).collect();
+        Event::EndpointListReplaced { updates: list.updates, invalid }
+    } else {
+        Event::EndpointsUpdated { updates: list.updates }
     }
 }
 
-async fn ask(
+/// Reads the whole list, or waits for what has changed since a version.
+async fn poll(
     peer: &Peer,
-    names: &DeploymentNames,
     version: Option<u64>,
-    most: usize,
-) -> Result<Answer, CallError> {
-    let (path, within) = match version {
-        None => ("/v1/servers".into(), ANSWER_WITHIN),
-        Some(seen) => {
-            let path = format!("/v1/servers?since={seen}&timeout_ms={WATCH_MS}");
-            (path, Duration::from_millis(WATCH_MS) + ANSWER_WITHIN)
+    names: &DeploymentNames,
+    max_bytes: usize,
+) -> Result<EndpointList, CallError> {
+    let (path, timeout) = match version {
+        None => (PATH.to_owned(), ANSWER_TIMEOUT),
+        Some(version) => {
+            let wait_ms = POLL_WAIT.as_millis();
+            (format!("{PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
         }
     };
-    let (status, body) = peer.ask(Method::GET, &path, Bytes::new(), within, most).await?;
+    let (status, body) = peer.ask(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
     if status != StatusCode::OK {
         return Err(CallError::Rejected(format!("status {status}").into()));
     }
-    let unreadable = |why: String| CallError::UnusableAnswer(why.into());
-    let value = serde_json::from_slice(&body).map_err(|e| unreadable(e.to_string()))?;
-    let told = answer(&value, names).map_err(unreadable)?;
-    // Asked for the whole list, a part would pass for all of it.
-    if version.is_none() && !told.whole {
-        return Err(unreadable("a part where the whole list was asked for".into()));
+    let value = serde_json::from_slice(&body).map_err(|error| CallError::UnusableAnswer(error.into()))?;
+    let list =
+        EndpointList::decode(&value, names).map_err(|error| CallError::UnusableAnswer(error.into()))?;
+    check_continues(&list, version)?;
+    Ok(list)
+}
+
+/// Checks that an answer goes on from the version that was asked for.
+///
+/// A change older than that was delayed on its way, or the list counts its versions anew: only the whole list tells
+/// which. Where the whole list was asked for, a part would be mistaken for it.
+fn check_continues(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
+    if list.whole {
+        return Ok(());
+    }
+    match version {
+        None => Err(CallError::UnusableAnswer("a part where the whole list was asked for".into())),
+        Some(known) if list.version < known => {
+            Err(CallError::UnusableAnswer(format!("a change of version {}", list.version).into()))
+        }
+        Some(_) => Ok(()),
     }
-    Ok(told)
 }
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -14,6 +14,7 @@
 mod control_loop;
 mod controller_restart;
 mod deployment_names;
+mod endpoint_list;
 mod endpoint_watch;
 mod event;
 mod event_dispatch;
@@ -33,6 +34,7 @@
 use config_fault::ConfigFault;
 use config_reload::ConfigReload;
 use control_loop::{ControlLoop, ControlLoopHandles};
+use endpoint_watch::EndpointWatch;
 use slog::{error, info, warn, Logger};
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -107,13 +109,15 @@
     let (names, seen, list_bytes) = (config.names.clone(), ear.metrics.clone(), config.max_list_bytes);
     let front = listener::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
     {
-        let (names, ear, log) = (names.clone(), ear.clone(), log.clone());
-        restart_on_panic("list", log.clone(), move || {
-            // A task started anew asks at once: the rules do not know that the old one broke.
-            follow.notify_one();
-            let place = (list.clone(), list_bytes);
-            endpoint_watch::follow(place, names.clone(), follow.clone(), ear.clone(), log.clone())
-        });
+        let watch = EndpointWatch {
+            address: list,
+            max_answer_bytes: list_bytes,
+            names: names.clone(),
+            requests: follow,
+            events: ear.clone(),
+            log: log.clone(),
+        };
+        restart_on_panic("list", log.clone(), move || watch.clone().run());
     }
     {
         let log = log.clone();
