--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -1,24 +1,24 @@
 //! Starts the tasks of the control plane, connects them, and runs them until a signal ends the process.
 
-use crate::command_delivery::CommandDelivery;
 use crate::config::Config;
 use crate::config_reload::ConfigReload;
 use crate::connection::ConnectionContext;
-use crate::control_loop::ControlLoop;
+use crate::control_loop::{ControlLoop, ControlLoopHandles};
 use crate::deployment_names::DeploymentNames;
+use crate::endpoint_watch::EndpointWatch;
 use crate::event::EventSender;
 use crate::listener::Listener;
+use crate::proxy_streams;
 use crate::shutdown::{ServerTasks, ShutdownSignals, TaskError};
 use crate::status_pages;
 use crate::task_restart::restart_on_panic;
-use crate::{endpoint_watch, proxy_streams};
 use slog::{info, Logger};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::{watch, Notify};
+use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
@@ -44,17 +44,24 @@
     let config = Rc::new(config);
     let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
     let (relay_address, relay) = watch::channel(config.relay);
-    let commands = CommandDelivery::to(relay.clone());
-    let (mut control_loop, events, status) = ControlLoop::open(config.clone(), commands, log.clone());
+    let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
+    let ControlLoopHandles { events, status, watch_requests } = handles;
     let socket = TcpListener::bind(config.listen).await?;
     info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
 
-    let peers = PeerTasks { names: config.names.clone(), events: events.clone(), log: log.clone() };
-    peers.spawn_endpoint_watch(endpoint_list, config.max_list_bytes, control_loop.follow());
-    peers.spawn_proxy_stream(relay);
+    let names = config.names.clone();
+    spawn_endpoint_watch(EndpointWatch {
+        address: endpoint_list,
+        max_answer_bytes: config.max_list_bytes,
+        names: names.clone(),
+        requests: watch_requests,
+        events: events.clone(),
+        log: log.clone(),
+    });
+    spawn_proxy_stream(relay, names.clone(), events.clone(), log.clone());
     let shutdown = CancellationToken::new();
     let context = ConnectionContext {
-        names: config.names.clone(),
+        names,
         events: events.clone(),
         status_pages: status_pages::router(status),
         log: log.clone(),
@@ -82,35 +89,19 @@
     Ok(tasks.finish(&log).await?)
 }
 
-/// What the tasks of the peers share. A panic in one of them restarts that task alone.
-#[derive(Clone)]
-struct PeerTasks {
+// A panic in the task of a peer restarts that task alone.
+
+fn spawn_endpoint_watch(watch: EndpointWatch) {
+    restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
+}
+
+fn spawn_proxy_stream(
+    relay: watch::Receiver<SocketAddr>,
     names: Rc<DeploymentNames>,
     events: EventSender,
     log: Logger,
-}
-
-impl PeerTasks {
-    /// `poll` is the controller's request to poll the endpoint list.
-    fn spawn_endpoint_watch(
-        &self,
-        address: watch::Receiver<SocketAddr>,
-        max_list_bytes: usize,
-        poll: Rc<Notify>,
-    ) {
-        let PeerTasks { names, events, log } = self.clone();
-        restart_on_panic("endpoint watch", self.log.clone(), move || {
-            // A restarted task polls at once: the controller does not know that the old one panicked.
-            poll.notify_one();
-            let list = (address.clone(), max_list_bytes);
-            endpoint_watch::follow(list, names.clone(), poll.clone(), events.clone(), log.clone())
-        });
-    }
-
-    fn spawn_proxy_stream(&self, address: watch::Receiver<SocketAddr>) {
-        let PeerTasks { names, events, log } = self.clone();
-        restart_on_panic("event stream", self.log.clone(), move || {
-            proxy_streams::follow(address.clone(), names.clone(), events.clone(), log.clone())
-        });
-    }
+) {
+    restart_on_panic("event stream", log.clone(), move || {
+        proxy_streams::follow(relay.clone(), names.clone(), events.clone(), log.clone())
+    });
 }
