--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -38,55 +38,74 @@
 
 /// Runs the control plane until SIGTERM or SIGINT.
 pub async fn serve(config: Config, log: Logger) -> Result<(), ServeError> {
-    // Installed before the listener answers anybody: without a handler a SIGHUP ends the process.
-    let mut signals = ShutdownSignals::install()?;
-    let hangups = signal(SignalKind::hangup())?;
-    let config = Rc::new(config);
-    let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
-    let (relay_address, relay) = watch::channel(config.relay);
-    let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
-    let ControlLoopHandles { events, status, watch_requests } = handles;
-    let socket = TcpListener::bind(config.listen).await?;
-    info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
+    let server = Server::start(Rc::new(config), log).await?;
+    server.run().await
+}
 
-    let names = config.names.clone();
-    spawn_endpoint_watch(EndpointWatch {
-        address: endpoint_list,
-        max_answer_bytes: config.max_list_bytes,
-        names: names.clone(),
-        requests: watch_requests,
-        events: events.clone(),
-        log: log.clone(),
-    });
-    spawn_proxy_stream(relay, names.clone(), events.clone(), log.clone());
-    let shutdown = CancellationToken::new();
-    let context = ConnectionContext {
-        names,
-        events: events.clone(),
-        status_pages: status_pages::router(status),
-        log: log.clone(),
-    };
-    let listener = Listener::new(socket, context, config.max_connections, shutdown.clone());
-    let mut tasks = ServerTasks {
-        listener: spawn_local(listener.run()),
-        control_loop: spawn_local(control_loop.run(shutdown.clone())),
-    };
-    let reload = ConfigReload {
-        hangups,
-        config,
-        endpoint_list: list_address,
-        relay: relay_address,
-        metrics: events.metrics,
-        log: log.clone(),
-    };
-    let signal = tokio::select! {
-        error = tasks.unexpected_end() => return Err(error.into()),
-        () = reload.run() => return Err(ServeError::SignalsClosed),
-        signal = signals.received() => signal,
-    };
-    info!(log, "shutting down"; "signal" => signal);
-    shutdown.cancel();
-    Ok(tasks.finish(&log).await?)
+/// A control plane whose tasks are started.
+struct Server {
+    signals: ShutdownSignals,
+    reload: ConfigReload,
+    tasks: ServerTasks,
+    /// Ends the tasks.
+    shutdown: CancellationToken,
+    log: Logger,
+}
+
+impl Server {
+    async fn start(config: Rc<Config>, log: Logger) -> io::Result<Self> {
+        // Installed before the listener answers anybody: without a handler a SIGHUP ends the process.
+        let signals = ShutdownSignals::install()?;
+        let hangups = signal(SignalKind::hangup())?;
+        let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
+        let (relay_address, relay) = watch::channel(config.relay);
+        let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
+        let ControlLoopHandles { events, status, watch_requests } = handles;
+        let socket = TcpListener::bind(config.listen).await?;
+        info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
+        spawn_endpoint_watch(EndpointWatch {
+            address: endpoint_list,
+            max_answer_bytes: config.max_list_bytes,
+            names: config.names.clone(),
+            requests: watch_requests,
+            events: events.clone(),
+            log: log.clone(),
+        });
+        spawn_proxy_stream(relay, config.names.clone(), events.clone(), log.clone());
+        let context = ConnectionContext {
+            names: config.names.clone(),
+            events: events.clone(),
+            status_pages: status_pages::router(status),
+            log: log.clone(),
+        };
+        let shutdown = CancellationToken::new();
+        let listener = Listener::new(socket, context, config.max_connections, shutdown.clone());
+        let tasks = ServerTasks {
+            listener: spawn_local(listener.run()),
+            control_loop: spawn_local(control_loop.run(shutdown.clone())),
+        };
+        let reload = ConfigReload {
+            hangups,
+            config,
+            endpoint_list: list_address,
+            relay: relay_address,
+            metrics: events.metrics,
+            log: log.clone(),
+        };
+        Ok(Server { signals, reload, tasks, shutdown, log })
+    }
+
+    /// Runs until a signal and the shutdown that follows it, or until a task fails.
+    async fn run(mut self) -> Result<(), ServeError> {
+        let signal = tokio::select! {
+            error = self.tasks.unexpected_end() => return Err(error.into()),
+            () = self.reload.run() => return Err(ServeError::SignalsClosed),
+            signal = self.signals.received() => signal,
+        };
+        info!(self.log, "shutting down"; "signal" => signal);
+        self.shutdown.cancel();
+        Ok(self.tasks.finish(&self.log).await?)
+    }
 }
 
 // A panic in the task of a peer restarts that task alone.
