--- a/control-plane/tests/sockets/list.rs
+++ b/control-plane/tests/sockets/list.rs
@@ -1,162 +1,185 @@
-//! Answers of the list that are spoilt, cut, old or doubled: that one thing is left out, the last good state
-//! stands, and what is known to leave is left.
+//! Answers of the endpoint list that are invalid, truncated, outdated or doubled: an invalid entry is left out alone and
+//! its endpoint keeps its last state, and an endpoint that is known to drain is ejected.
 
-use crate::common::{server, until, Relay, Says, Supervisor};
-use crate::{serving, started};
+use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListAnswer, Testbed};
 use serde_json::{json, Value};
 
-fn spoilt(id: &str, health: &str, field: &str, by: Value) -> Value {
-    let mut entry = server(id, health);
-    entry[field] = by;
+fn invalid_entry(id: &str, health: &str, field: &str, value: Value) -> Value {
+    let mut entry = endpoint_entry(id, health);
+    entry[field] = value;
     entry
 }
 
-fn text(version: u64, whole: bool, hosts: &[Value]) -> Says {
-    Says::Text(json!({"seq": version, "whole": whole, "hosts": hosts}).to_string())
+fn answer(version: u64, whole: bool, hosts: &[Value]) -> ListAnswer {
+    ListAnswer::Body(json!({"seq": version, "whole": whole, "hosts": hosts}).to_string())
 }
 
-fn listed(supervisor: &Supervisor, servers: usize) {
-    let said = format!(r#""servers":{servers},"#);
-    until(&said, || supervisor.page("/state").contains(&said).then_some(()));
+fn wait_for_listed(control_plane: &ControlPlane, endpoints: usize) {
+    control_plane.wait_for_status(&format!(r#""servers":{endpoints},"#));
 }
 
-fn assert_left(relay: &Relay, id: &str) {
-    assert_eq!(relay.command("eject")["endpoint"], id);
+fn assert_next_ejected(relay: &FakeRelay, endpoint: &str) {
+    assert_eq!(relay.next_command("eject")["endpoint"], endpoint);
 }
 
 #[test]
 fn an_entry_that_cannot_be_read_costs_no_other_of_its_answer() {
-    let (list, relay, supervisor) = serving();
-    let odd = [json!({}), json!("text"), spoilt("c", "active", "health", 7.into())];
-    for (n, odd) in odd.into_iter().enumerate() {
-        list.stands(&[server("b", "active")], &[odd, server("a", "leaving")]);
-        assert_left(&relay, "a");
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    let invalid = [json!({}), json!("text"), invalid_entry("c", "active", "health", 7.into())];
+    for (n, entry) in invalid.into_iter().enumerate() {
+        list.publish(&[endpoint_entry("b", "active")], &[entry, endpoint_entry("a", "leaving")]);
+        assert_next_ejected(&relay, "a");
         let counted = format!(r#""dropped":{},"#, n + 1);
-        until("it is counted", || supervisor.page("/state").contains(&counted).then_some(()));
-        list.stands(&[server("a", "active"), server("b", "active")], &[server("a", "active")]);
-        assert_eq!(relay.command("uneject")["endpoint"], "a");
+        control_plane.wait_for_status(&counted);
+        list.publish(
+            &[endpoint_entry("a", "active"), endpoint_entry("b", "active")],
+            &[endpoint_entry("a", "active")],
+        );
+        assert_eq!(relay.next_command("uneject")["endpoint"], "a");
     }
-    let why = supervisor.logged("list entry left out")["why"].to_string();
+    let why = control_plane.wait_for_log("list entry left out")["why"].to_string();
     assert!(why.contains("entry 0") && why.contains("'host'"), "{why}");
 }
 
-/// No later answer tells of a change again.
+/// No later answer repeats a change.
 #[test]
 fn what_a_spoilt_entry_would_have_told_is_asked_for_anew() {
-    let (list, relay, _supervisor) = serving();
-    list.stands(&[server("a", "leaving"), server("b", "active")], &[spoilt("a", "gone?", "share", json!(1))]);
-    assert_left(&relay, "a");
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    list.publish(
+        &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
+        &[invalid_entry("a", "gone?", "share", json!(1))],
+    );
+    assert_next_ejected(&relay, "a");
 }
 
 #[test]
 fn a_server_that_drains_is_left_whatever_else_is_amiss_in_its_entry() {
-    let (list, relay, _supervisor) = serving();
-    let odd = [spoilt("a", "leaving", "share", json!([])), spoilt("b", "leaving", "born_ms", json!("x"))];
-    list.changes(&odd);
-    let call = relay.call_with("eject");
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    let invalid = [
+        invalid_entry("a", "leaving", "share", json!([])),
+        invalid_entry("b", "leaving", "born_ms", json!("x")),
+    ];
+    list.publish_changes(&invalid);
+    let call = relay.next_call_with("eject");
     assert_eq!(call.iter().filter(|o| o["op"] == "eject").count(), 2, "{call:?}");
 }
 
 #[test]
 fn a_server_whose_entry_in_the_whole_list_cannot_be_read_stays_as_it_was() {
-    let (list, relay, supervisor) = started(&["a", "b", "c"]);
-    relay.joins(7);
-    relay.command("attach");
-    list.will([text(9, true, &[spoilt("a", "active", "share", json!(-1)), server("b", "active")])]);
-    // `c` is not there any more, `a` is, and that it was told of at all is what counts.
-    assert_left(&relay, "c");
-    listed(&supervisor, 2);
+    let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    list.plan_answer(answer(
+        9,
+        true,
+        &[invalid_entry("a", "active", "share", json!(-1)), endpoint_entry("b", "active")],
+    ));
+    // `c` is missing; `a` is not, since there is an entry for it, though an invalid one.
+    assert_next_ejected(&relay, "c");
+    wait_for_listed(&control_plane, 2);
 }
 
 #[test]
 fn where_an_entry_has_no_name_nobody_is_taken_for_missing_until_the_list_can_be_read() {
-    let (list, relay, supervisor) = started(&["a", "b", "c"]);
-    relay.joins(7);
-    relay.command("attach");
-    let nameless = [json!({"health": "active"}), server("b", "leaving")];
-    list.changes_but(&[server("a", "active")], &[], text(9, true, &nameless));
-    assert_left(&relay, "b");
-    // Asked for whole again: now it is plain that `c` has gone and `a` has not.
-    assert_left(&relay, "c");
-    listed(&supervisor, 1);
+    let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    let nameless = [json!({"health": "active"}), endpoint_entry("b", "leaving")];
+    list.publish_with_answer(&[endpoint_entry("a", "active")], &[], answer(9, true, &nameless));
+    assert_next_ejected(&relay, "b");
+    // The whole list is read again: now it is certain that `c` is removed and `a` is not.
+    assert_next_ejected(&relay, "c");
+    wait_for_listed(&control_plane, 1);
 }
 
 #[test]
 fn a_change_older_than_what_is_known_is_not_believed_and_the_whole_list_is_asked_for() {
-    let (list, relay, supervisor) = serving();
-    list.stands(&[server("a", "active"), server("b", "leaving")], &[server("b", "leaving")]);
-    assert_left(&relay, "b");
-    list.heard_all();
-    list.changes_but(
-        &[server("a", "leaving"), server("b", "leaving")],
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    list.publish(
+        &[endpoint_entry("a", "active"), endpoint_entry("b", "leaving")],
+        &[endpoint_entry("b", "leaving")],
+    );
+    assert_next_ejected(&relay, "b");
+    list.wait_until_up_to_date();
+    list.publish_with_answer(
+        &[endpoint_entry("a", "leaving"), endpoint_entry("b", "leaving")],
         &[],
-        text(1, false, &[server("b", "active")]),
+        answer(1, false, &[endpoint_entry("b", "active")]),
     );
-    assert!(supervisor.logged("list lost")["why"].as_str().unwrap().contains("version 1"));
-    let call = relay.call_with("eject");
+    assert!(control_plane.wait_for_log("list lost")["why"].as_str().unwrap().contains("version 1"));
+    let call = relay.next_call_with("eject");
     assert!(call.iter().all(|o| o["op"] != "uneject"), "{call:?}");
     assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
 }
 
-fn counts_anew(refuses: bool) {
-    let (list, relay, _supervisor) = serving();
-    (0..5).for_each(|_| list.changes(&[]));
-    list.heard_all();
-    list.restarts_at(1, refuses);
-    list.stands(&[server("a", "leaving"), server("b", "active")], &[server("a", "leaving")]);
-    assert_left(&relay, "a");
+fn assert_restarted_list_is_followed(rejects_newer_versions: bool) {
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    for _ in 0..5 {
+        list.publish_changes(&[]);
+    }
+    list.wait_until_up_to_date();
+    list.restarts_at(1, rejects_newer_versions);
+    list.publish(
+        &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
+        &[endpoint_entry("a", "leaving")],
+    );
+    assert_next_ejected(&relay, "a");
 }
 
 #[test]
 fn a_list_that_counts_anew_is_followed() {
-    counts_anew(false);
+    assert_restarted_list_is_followed(false);
 }
 
 #[test]
 fn a_list_that_counts_anew_and_refuses_what_it_does_not_know_is_followed() {
-    counts_anew(true);
+    assert_restarted_list_is_followed(true);
 }
 
-fn comes_through(says: Says) {
-    let (list, relay, supervisor) = serving();
-    list.changes_but(&[server("a", "leaving"), server("b", "active")], &[server("a", "leaving")], says);
-    assert_left(&relay, "a");
-    list.changes(&[server("c", "active")]);
-    assert_eq!(relay.command("put")["endpoint"], "c");
-    listed(&supervisor, 3);
+fn assert_change_arrives_despite(answer: ListAnswer) {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    list.publish_with_answer(
+        &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
+        &[endpoint_entry("a", "leaving")],
+        answer,
+    );
+    assert_next_ejected(&relay, "a");
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    assert_eq!(relay.next_command("put")["endpoint"], "c");
+    wait_for_listed(&control_plane, 3);
 }
 
 #[test]
 fn a_change_comes_through_when_its_answer_is_cut_in_the_status() {
-    comes_through(Says::CutAfter(12));
+    assert_change_arrives_despite(ListAnswer::Truncated(12));
 }
 
 #[test]
 fn a_change_comes_through_when_its_answer_is_cut_after_the_head() {
-    comes_through(Says::CutAfter(60));
+    assert_change_arrives_despite(ListAnswer::Truncated(60));
 }
 
 #[test]
 fn a_change_comes_through_when_its_answer_lacks_the_last_byte() {
-    comes_through(Says::CutAfter(usize::MAX));
+    assert_change_arrives_despite(ListAnswer::Truncated(usize::MAX));
 }
 
 #[test]
 fn a_change_comes_through_when_the_watch_is_reset() {
-    comes_through(Says::Resets);
+    assert_change_arrives_despite(ListAnswer::ConnectionReset);
 }
 
 #[test]
 fn a_change_comes_through_when_its_answer_is_not_json() {
-    comes_through(Says::Text("{\"seq\":".into()));
+    assert_change_arrives_despite(ListAnswer::Body("{\"seq\":".into()));
 }
 
 #[test]
 fn a_change_comes_through_when_its_answer_is_of_another_type() {
-    comes_through(Says::Text("[[]]".into()));
+    assert_change_arrives_despite(ListAnswer::Body("[[]]".into()));
 }
 
 #[test]
 fn a_change_comes_through_when_it_is_answered_twice() {
-    comes_through(Says::Twice);
+    assert_change_arrives_despite(ListAnswer::Twice);
 }
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -1,187 +1,174 @@
 //! The built program on loopback sockets, one thing that happens a test.
 
-mod common;
 mod endings;
 mod list;
 mod relay;
+mod support;
 
-use common::{config, frame, program, read_frame, server, until, Does, File, List, Relay, Supervisor};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::TcpStream;
-
-fn started(ids: &[&str]) -> (List, Relay, Supervisor) {
-    let (list, relay) = (List::start(ids), Relay::start());
-    let supervisor = Supervisor::start(&list, &relay);
-    // Who joins before any server is known gets one of the tables for a fleet of any size.
-    let listed = format!(r#""servers":{},"#, ids.len());
-    until("the list", || supervisor.page("/state").contains(&listed).then_some(()));
-    (list, relay, supervisor)
-}
-
-/// A supervisor whose proxy 7 is bound to a table of `a` and `b`.
-fn serving() -> (List, Relay, Supervisor) {
-    let (list, relay, supervisor) = started(&["a", "b"]);
-    relay.joins(7);
-    relay.command("attach");
-    (list, relay, supervisor)
-}
+use support::{
+    config, endpoint_entry, frame, program, read_frame, wait_for, ConfigFile, ControlPlane, FakeEndpointList,
+    FakeRelay, RelayBehavior, Testbed,
+};
 
 #[test]
 fn a_proxy_that_joins_is_bound_to_a_table_that_is_laid() {
-    let (_list, relay, _supervisor) = started(&["a", "b"]);
-    relay.joins(7);
-    let lines = relay.call_with("put");
+    let Testbed { relay, control_plane: _control_plane, .. } = Testbed::start(&["a", "b"]);
+    relay.proxy_joins(7);
+    let lines = relay.next_call_with("put");
     let ids: Vec<&Value> = lines.iter().filter(|o| o["op"] == "put").map(|o| &o["endpoint"]).collect();
     assert_eq!(ids, ["a", "b"]);
     let tbl = lines[0]["table"].clone();
-    assert_eq!(relay.command("attach"), json!({"op": "attach", "node": 7, "table": tbl}));
+    assert_eq!(relay.next_command("attach"), json!({"op": "attach", "node": 7, "table": tbl}));
 }
 
 #[test]
 fn a_draining_server_is_taken_out_and_shut_out() {
-    let (list, relay, _supervisor) = serving();
-    list.changes(&[server("a", "leaving")]);
-    let call = relay.call_with("eject");
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let call = relay.next_call_with("eject");
     assert!(call.iter().any(|o| o["op"] == "put" && o["endpoint"] == "a" && o["w"] == 0.0), "{call:?}");
     assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
 }
 
-/// Drains `a` while the relay does this, and checks that the very same commands come again.
-fn comes_again_when_the_relay(does: Does) {
-    let (list, relay, supervisor) = serving();
-    relay.will(does);
-    list.changes(&[server("a", "leaving")]);
-    let lost = relay.call_with("eject");
-    let mut again = relay.call();
-    // What may have been carried out asks to be told when it comes.
-    again.retain(|command| command["op"] != "fence");
-    assert_eq!(again, lost);
-    supervisor.logged("commands lost");
-    supervisor.logged("relay takes commands again");
+/// Drains `a` while the relay behaves like this, and checks that the very same commands are sent again.
+fn assert_commands_are_resent_after(behavior: RelayBehavior) {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan(behavior);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let lost = relay.next_call_with("eject");
+    let mut resent = relay.next_call();
+    // Commands that may have been carried out are followed by a request for an acknowledgement.
+    resent.retain(|command| command["op"] != "fence");
+    assert_eq!(resent, lost);
+    control_plane.wait_for_log("commands lost");
+    control_plane.wait_for_log("relay takes commands again");
 }
 
 #[test]
 fn commands_come_again_when_the_relay_breaks_the_call() {
-    comes_again_when_the_relay(Does::Breaks);
+    assert_commands_are_resent_after(RelayBehavior::ClosesConnection);
 }
 
 #[test]
 fn commands_come_again_when_the_relay_is_silent() {
-    comes_again_when_the_relay(Does::IsSilent);
+    assert_commands_are_resent_after(RelayBehavior::DoesNotAnswer);
 }
 
 #[test]
 fn commands_come_again_when_the_answer_is_unreadable() {
-    comes_again_when_the_relay(Does::Mumbles);
+    assert_commands_are_resent_after(RelayBehavior::AnswersInvalidJson);
 }
 
 #[test]
 fn commands_come_again_when_the_relay_throttles() {
-    comes_again_when_the_relay(Does::Throttles);
+    assert_commands_are_resent_after(RelayBehavior::Throttles);
 }
 
 #[test]
 fn when_the_relay_cannot_use_a_call_all_is_planned_and_bound_anew() {
-    let (list, relay, supervisor) = serving();
-    // Said once it may be an answer that was spoilt.
-    relay.will(Does::CannotUseIt);
-    relay.will(Does::CannotUseIt);
-    list.changes(&[server("a", "leaving")]);
-    (0..2).for_each(|_| _ = relay.call_with("eject"));
-    supervisor.logged("the rules are opened anew");
-    assert_eq!(relay.command("put")["endpoint"], "b");
-    assert_eq!(relay.command("attach")["node"], 7);
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    // A single one may be a corrupted answer.
+    relay.plan_times(2, RelayBehavior::RejectsAsInvalid);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    for _ in 0..2 {
+        relay.next_call_with("eject");
+    }
+    control_plane.wait_for_log("the rules are opened anew");
+    assert_eq!(relay.next_command("put")["endpoint"], "b");
+    assert_eq!(relay.next_command("attach")["node"], 7);
 }
 
 #[test]
 fn commands_come_again_when_the_relay_cannot_use_the_call_once() {
-    comes_again_when_the_relay(Does::CannotUseIt);
+    assert_commands_are_resent_after(RelayBehavior::RejectsAsInvalid);
 }
 
 #[test]
 fn after_a_long_silence_of_the_relay_what_was_held_goes_and_joins_are_bound() {
-    let (list, relay, supervisor) = serving();
-    (0..5).for_each(|_| relay.will(Does::IsSilent));
-    list.changes(&[server("a", "leaving")]);
-    relay.call_with("eject");
-    // Comes while commands are lost, and waits behind them.
-    list.changes(&[server("c", "active")]);
-    supervisor.logged("relay takes commands again");
-    assert_eq!(relay.call_with("put").last().unwrap()["op"], "fence");
-    relay.joins(8);
-    assert_eq!(relay.command("attach")["node"], 8);
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan_times(5, RelayBehavior::DoesNotAnswer);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    relay.next_call_with("eject");
+    // This change comes while commands are unacknowledged, and waits behind them.
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    control_plane.wait_for_log("relay takes commands again");
+    assert_eq!(relay.next_call_with("put").last().unwrap()["op"], "fence");
+    relay.proxy_joins(8);
+    assert_eq!(relay.next_command("attach")["node"], 8);
 }
 
 #[test]
 fn a_connection_that_the_relay_has_closed_costs_no_commands() {
-    let (list, relay, _supervisor) = serving();
-    relay.will(Does::TakesAndCloses);
-    list.changes(&[server("a", "leaving")]);
-    relay.command("eject");
-    list.changes(&[server("c", "active")]);
-    assert_eq!(relay.command("put")["endpoint"], "c");
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AcceptsAndCloses);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    relay.next_command("eject");
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    assert_eq!(relay.next_command("put")["endpoint"], "c");
 }
 
 #[test]
 fn an_answer_in_pieces_is_an_answer() {
-    let (list, relay, _supervisor) = serving();
-    relay.will(Does::TakesInPieces);
-    list.changes(&[server("a", "leaving")]);
-    let taken = relay.call_with("eject");
-    list.changes(&[server("b", "leaving"), server("c", "active")]);
-    assert_ne!(relay.call(), taken);
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AnswersInPieces);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let taken = relay.next_call_with("eject");
+    list.publish_changes(&[endpoint_entry("b", "leaving"), endpoint_entry("c", "active")]);
+    assert_ne!(relay.next_call(), taken);
 }
 
 #[test]
 fn after_an_order_that_cannot_be_used_the_rest_goes_and_the_bind_is_made_again() {
-    let (_list, relay, supervisor) = serving();
-    relay.will(Does::TakesOnly(0));
-    relay.joins(8);
-    relay.joins(9);
-    let call = relay.call_with("attach");
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AcceptsOnly(0));
+    relay.proxy_joins(8);
+    relay.proxy_joins(9);
+    let call = relay.next_call_with("attach");
     let declined = call[0].clone();
-    assert_eq!(supervisor.logged("command declined by the relay")["command"], declined.to_string());
+    assert_eq!(control_plane.wait_for_log("command declined by the relay")["command"], declined.to_string());
     if call.len() > 1 {
-        assert_eq!(relay.call(), call[1..]);
+        assert_eq!(relay.next_call(), call[1..]);
     }
-    until("the bind again", || relay.call_with("attach").contains(&declined).then_some(()));
+    wait_for("the bind again", || relay.next_call_with("attach").contains(&declined).then_some(()));
 }
 
 #[test]
 fn who_is_missing_when_the_event_stream_is_reopened_has_left() {
-    let (_list, relay, supervisor) = serving();
-    relay.joins(8);
-    relay.command("attach");
-    relay.forgets_all_but_the_last();
-    supervisor.logged("event stream lost");
-    // Whoever is still there may have gone and come meanwhile: it is bound anew.
-    assert_eq!(relay.command("attach")["node"], 8);
-    until("one proxy left", || supervisor.page("/state").contains(r#""proxies":1,"#).then_some(()));
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.proxy_joins(8);
+    relay.next_command("attach");
+    relay.reopens_stream_with_last_proxy();
+    control_plane.wait_for_log("event stream lost");
+    // The proxy that is named may have left and joined again meanwhile, so its table is assigned again.
+    assert_eq!(relay.next_command("attach")["node"], 8);
+    control_plane.wait_for_status(r#""proxies":1,"#);
 }
 
-/// A silence that passes costs no bind, and nobody who joined at its end is missed.
+/// A silence that passes costs no assignment, and no proxy that joined during it is missed.
 #[test]
 fn an_event_stream_that_is_silent_is_kept_until_another_speaks() {
-    let (_list, relay, supervisor) = serving();
-    relay.is_out_of_reach();
-    supervisor.logged("event stream silent");
-    supervisor.logged("event stream not found");
-    relay.joins(8);
-    supervisor.logged("event stream speaks again");
-    assert_eq!(relay.command("attach")["node"], 8);
-    until("both proxies", || supervisor.page("/state").contains(r#""proxies":2,"#).then_some(()));
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.becomes_unreachable();
+    control_plane.wait_for_log("event stream silent");
+    control_plane.wait_for_log("event stream not found");
+    relay.proxy_joins(8);
+    control_plane.wait_for_log("event stream speaks again");
+    assert_eq!(relay.next_command("attach")["node"], 8);
+    control_plane.wait_for_status(r#""proxies":2,"#);
 }
 
-fn assert_answers_a_probe(stream: &mut TcpStream) {
+fn assert_answers_health_check(stream: &mut TcpStream) {
     stream.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
     assert_eq!(read_frame(stream).unwrap(), r#"{"msg":"alive"}"#);
 }
 
 #[test]
 fn a_probe_in_pieces_and_two_at_once_are_answered() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    let mut stream = supervisor.connect();
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.connect();
     let probe = frame(r#"{"msg":"probe"}"#);
     for byte in &probe[..7] {
         stream.write_all(&[*byte]).unwrap();
@@ -193,8 +180,8 @@
     }
 }
 
-fn assert_ended(stream: &mut TcpStream, what: &str) {
-    // An `error` may come before the close; a close with unread bytes is a reset.
+fn assert_closed(stream: &mut TcpStream, what: &str) {
+    // An `error` may come before the close, and a close with unread bytes is a reset.
     let mut rest = Vec::new();
     let end = stream.read_to_end(&mut rest);
     let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
@@ -203,8 +190,8 @@
 
 #[test]
 fn whoever_does_not_join_is_ended_whatever_it_sends_and_nobody_else_is() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    let mut good = supervisor.collector();
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut good = control_plane.connect_collector();
     let report = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
     for sent in [
         &[] as &[u8],
@@ -221,18 +208,18 @@
         b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n",
         b"POST /v3/kv/batches HTTP/1.1\r\nhost: x\r\ncontent-length: 99999\r\n\r\n{",
     ] {
-        let mut bad = supervisor.connect();
+        let mut bad = control_plane.connect();
         bad.write_all(sent).unwrap();
-        assert_ended(&mut bad, &String::from_utf8_lossy(sent));
+        assert_closed(&mut bad, &String::from_utf8_lossy(sent));
     }
-    assert_answers_a_probe(&mut good);
+    assert_answers_health_check(&mut good);
 }
 
 #[test]
 fn asking_for_a_sign_of_life_keeps_no_connection_open() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    let mut stream = supervisor.connect();
-    until("the end of who only asks", || {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.connect();
+    wait_for("the end of who only asks", || {
         let asked = stream.write_all(&frame(r#"{"msg":"probe"}"#));
         asked.and_then(|()| read_frame(&mut stream)).err()
     });
@@ -240,172 +227,172 @@
 
 #[test]
 fn hundreds_who_say_nothing_keep_no_collector_out() {
-    let (list, relay) = (List::start(&["a"]), Relay::start());
+    let (list, relay) = (FakeEndpointList::start(&["a"]), FakeRelay::start());
     let mut config = config(list.address, relay.address);
     config["limits"] = json!({"sockets": 256, "memory_mb": 32});
-    let supervisor = Supervisor::with(&config);
-    let mut first = supervisor.collector();
-    let _strangers: Vec<TcpStream> = (0..300).map(|_| supervisor.connect()).collect();
-    let mut collector = supervisor.collector();
-    assert_answers_a_probe(&mut collector);
-    assert_answers_a_probe(&mut first);
+    let control_plane = ControlPlane::start_with(&config);
+    let mut first = control_plane.connect_collector();
+    let _unidentified: Vec<TcpStream> = (0..300).map(|_| control_plane.connect()).collect();
+    let mut collector = control_plane.connect_collector();
+    assert_answers_health_check(&mut collector);
+    assert_answers_health_check(&mut first);
 }
 
 #[test]
 fn a_zone_whose_collector_comes_again_and_again_keeps_the_newest_connections() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    let mut silent = supervisor.collector();
-    let mut newest: Vec<TcpStream> = (0..8).map(|_| supervisor.collector()).collect();
-    assert_ended(&mut silent, "the one that was silent for longest");
-    newest.iter_mut().for_each(assert_answers_a_probe);
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut most_silent = control_plane.connect_collector();
+    let mut newest: Vec<TcpStream> = (0..8).map(|_| control_plane.connect_collector()).collect();
+    assert_closed(&mut most_silent, "the connection that was silent for longest");
+    newest.iter_mut().for_each(assert_answers_health_check);
 }
 
 #[test]
 fn a_collector_that_goes_on_with_what_cannot_be_read_is_ended() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    for odd in [frame("{\"msg\":"), vec![255; 64], frame(&"x".repeat(70_000))] {
-        let mut bad = supervisor.collector();
-        let _ = bad.write_all(&odd);
-        assert_ended(&mut bad, "unreadable");
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    for unreadable in [frame("{\"msg\":"), vec![255; 64], frame(&"x".repeat(70_000))] {
+        let mut bad = control_plane.connect_collector();
+        let _ = bad.write_all(&unreadable);
+        assert_closed(&mut bad, "unreadable");
     }
 }
 
 #[test]
 fn a_peer_that_goes_half_way_through_a_frame_disturbs_nothing_else() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    supervisor.connect().write_all(&frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
-    supervisor.logged("connection failed");
-    let mut good = supervisor.connect();
-    assert_answers_a_probe(&mut good);
-}
-
-/// The config replaced by one that names another list and another relay.
-fn moved(supervisor: &Supervisor, ids: &[&str], proxy: u32) -> (List, Relay) {
-    let (list, relay) = (List::start(ids), Relay::start());
-    relay.joins(proxy);
-    supervisor.reads_again(&config(list.address, relay.address).to_string());
-    supervisor.logged("config reloaded");
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    control_plane.connect().write_all(&frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
+    control_plane.wait_for_log("connection failed");
+    let mut good = control_plane.connect();
+    assert_answers_health_check(&mut good);
+}
+
+/// Reloads a configuration that names another list and another relay.
+fn move_peers(control_plane: &ControlPlane, endpoints: &[&str], proxy: u32) -> (FakeEndpointList, FakeRelay) {
+    let (list, relay) = (FakeEndpointList::start(endpoints), FakeRelay::start());
+    relay.proxy_joins(proxy);
+    control_plane.reload_config(&config(list.address, relay.address).to_string());
+    control_plane.wait_for_log("config reloaded");
     (list, relay)
 }
 
 #[test]
 fn a_new_config_moves_list_commands_and_event_stream_and_a_second_file_does_so_again() {
-    let (_list, _relay, supervisor) = serving();
-    let mut collector = supervisor.collector();
+    let Testbed { control_plane, .. } = Testbed::start_with_proxy();
+    let mut collector = control_plane.connect_collector();
     for n in [8, 9] {
-        let (list, relay) = moved(&supervisor, &["a", "b"], n);
-        // Who stands there is bound there, and who is named no more has left.
-        until("its bind", || (relay.command("attach")["node"] == n).then_some(()));
-        until("one proxy", || supervisor.page("/state").contains(r#""proxies":1,"#).then_some(()));
-        list.called(2);
-        list.changes(&[server("a", "leaving")]);
-        assert_eq!(relay.command("eject")["endpoint"], "a");
-        list.changes(&[server("a", "active")]);
-        assert_eq!(relay.command("uneject")["endpoint"], "a");
+        let (list, relay) = move_peers(&control_plane, &["a", "b"], n);
+        // A proxy that the new relay names gets its table there; one that it does not name has left.
+        wait_for("its bind", || (relay.next_command("attach")["node"] == n).then_some(()));
+        control_plane.wait_for_status(r#""proxies":1,"#);
+        list.wait_for_requests(2);
+        list.publish_changes(&[endpoint_entry("a", "leaving")]);
+        assert_eq!(relay.next_command("eject")["endpoint"], "a");
+        list.publish_changes(&[endpoint_entry("a", "active")]);
+        assert_eq!(relay.next_command("uneject")["endpoint"], "a");
     }
-    assert_answers_a_probe(&mut collector);
+    assert_answers_health_check(&mut collector);
 }
 
 #[test]
 fn commands_lost_at_the_old_relay_go_to_the_new_one_before_any_other() {
-    let (list, relay, supervisor) = serving();
-    (0..500).for_each(|_| relay.will(Does::Throttles));
-    list.changes(&[server("a", "leaving")]);
-    let lost = relay.call_with("eject");
-    let (_list, relay) = moved(&supervisor, &["b"], 7);
-    assert_eq!(relay.call(), lost);
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan_times(500, RelayBehavior::Throttles);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let lost = relay.next_call_with("eject");
+    let (_list, relay) = move_peers(&control_plane, &["b"], 7);
+    assert_eq!(relay.next_call(), lost);
 }
 
 #[test]
 fn a_faulty_config_changes_nothing_and_every_fault_is_logged() {
-    let (list, relay, supervisor) = serving();
-    supervisor.reads_again("{\"name\":");
-    supervisor.logged("config rejected, keeping the current one");
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    control_plane.reload_config("{\"name\":");
+    control_plane.wait_for_log("config rejected, keeping the current one");
     let mut other = config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
     other["settings"]["zones"] = json!(["elsewhere"]);
     other["name"] = "n2".into();
-    supervisor.reads_again(&other.to_string());
+    control_plane.reload_config(&other.to_string());
     for field in ["'name'", "'settings'"] {
-        let why = supervisor.logged("config rejected, keeping the current one")["why"].to_string();
+        let why = control_plane.wait_for_log("config rejected, keeping the current one")["why"].to_string();
         assert!(why.contains(field), "{why}");
     }
-    let counted = || supervisor.page("/state").contains(r#""config_refused":2"#).then_some(());
-    until("both counted", counted);
-    list.changes(&[server("a", "leaving")]);
-    assert_eq!(relay.command("eject")["endpoint"], "a");
+    control_plane.wait_for_status(r#""config_refused":2"#);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    assert_eq!(relay.next_command("eject")["endpoint"], "a");
 }
 
 #[test]
 fn a_start_after_the_list_has_moved_goes_by_the_config() {
-    let file = File::with(&sound_config().to_string());
-    let check = program().arg("check").arg(&file.0).env("GW_DISCOVERY", "127.0.0.1:3").status().unwrap();
+    let file = ConfigFile::with(&valid_config().to_string());
+    let check = program().arg("check").arg(&file.path).env("GW_DISCOVERY", "127.0.0.1:3").status().unwrap();
     assert!(check.success());
 }
 
 #[test]
 fn reports_of_voided_tries_take_weight_from_a_server() {
-    let (_list, relay, supervisor) = started(&["a", "b", "c", "d"]);
-    relay.joins(7);
-    relay.command("attach");
-    let mut stream = supervisor.collector();
+    let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    let mut stream = control_plane.connect_collector();
     for (id, errors) in [("a", 40), ("b", 0), ("c", 0), ("d", 0)] {
         let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
             "errors": errors, "rtt": 41.7, "interval": 1000.0, "metrics": {"util": 0.5}});
         stream.write_all(&frame(&report.to_string())).unwrap();
     }
-    let line = relay.command("put");
+    let line = relay.next_command("put");
     assert_eq!(line["endpoint"], "a");
     assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
 }
 
 #[test]
 fn a_list_that_goes_silent_is_asked_again() {
-    let (list, relay, supervisor) = serving();
-    list.silent(true);
-    supervisor.logged("list lost");
-    list.silent(false);
-    list.changes(&[server("a", "leaving")]);
-    assert_eq!(relay.command("eject")["endpoint"], "a");
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    list.set_silent(true);
+    control_plane.wait_for_log("list lost");
+    list.set_silent(false);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    assert_eq!(relay.next_command("eject")["endpoint"], "a");
 }
 
 #[test]
 fn the_list_is_watched_call_after_call() {
-    let (list, _relay, _supervisor) = started(&["a"]);
-    list.called(3);
+    let Testbed { list, control_plane: _control_plane, .. } = Testbed::start(&["a"]);
+    list.wait_for_requests(3);
 }
 
 #[test]
 fn http_at_the_same_address_gets_the_page() {
-    let (_list, _relay, supervisor) = started(&["a"]);
-    assert!(supervisor.page("/healthz").ends_with("\r\n\r\nalive\n"));
-    assert!(supervisor.page("/other").starts_with("HTTP/1.1 404"));
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    assert!(control_plane.http_get("/healthz").ends_with("\r\n\r\nalive\n"));
+    assert!(control_plane.http_get("/other").starts_with("HTTP/1.1 404"));
 }
 
 #[test]
 fn sigterm_ends_the_program_with_code_0() {
-    let (_list, _relay, mut supervisor) = serving();
-    supervisor.signal("TERM");
-    assert_eq!(supervisor.ends(), Some(0));
+    let Testbed { mut control_plane, .. } = Testbed::start_with_proxy();
+    control_plane.signal("TERM");
+    assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
+/// Exit code and standard error of `check` on this file.
 fn check(text: &str) -> (Option<i32>, String) {
-    let file = File::with(text);
-    let out = program().arg("check").arg(&file.0).output().unwrap();
+    let file = ConfigFile::with(text);
+    let out = program().arg("check").arg(&file.path).output().unwrap();
     (out.status.code(), String::from_utf8(out.stderr).unwrap())
 }
 
-fn sound_config() -> Value {
+fn valid_config() -> Value {
     config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into())
 }
 
 #[test]
-fn a_sound_config_passes_the_check() {
-    assert_eq!(check(&sound_config().to_string()), (Some(0), String::new()));
+fn a_valid_config_passes_the_check() {
+    assert_eq!(check(&valid_config().to_string()), (Some(0), String::new()));
 }
 
 #[test]
 fn every_fault_in_the_config_is_named() {
-    let mut config = sound_config();
+    let mut config = valid_config();
     config["relay"] = json!({});
     config["seed"] = "xyz".into();
     config["settings"]["classes"] = json!([]);
@@ -416,7 +403,7 @@
 
 #[test]
 fn more_classes_than_commands_can_name_are_refused() {
-    let mut config = sound_config();
+    let mut config = valid_config();
     let class = |n| json!({"name": format!("c{n}"), "promiseUs": 1_000_000, "importance": 1.0});
     config["settings"]["classes"] = (0..64).map(class).collect();
     assert_eq!(check(&config.to_string()).0, Some(0));
@@ -427,15 +414,15 @@
 
 #[test]
 fn a_missing_field_is_named_once() {
-    let mut config = sound_config();
+    let mut config = valid_config();
     config.as_object_mut().unwrap().remove("known");
     assert_eq!(check(&config.to_string()).1, "otterwinch: config: field 'known' is missing\n");
 }
 
 #[test]
 fn a_config_that_contradicts_the_environment_is_refused() {
-    let file = File::with(&sound_config().to_string());
-    let out = program().arg("serve").env("GW_CONFIG", &file.0).env("GW_NAME", "n9").output().unwrap();
+    let file = ConfigFile::with(&valid_config().to_string());
+    let out = program().arg("serve").env("GW_CONFIG", &file.path).env("GW_NAME", "n9").output().unwrap();
     let said = String::from_utf8(out.stderr).unwrap();
     assert_eq!((out.status.code(), said.contains("'name' is 'n1' but GW_NAME says 'n9'")), (Some(2), true));
 }
