--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -140,3 +140,6 @@
         self.table.borrow_mut().remove(self.number);
     }
 }
+
+#[cfg(test)]
+mod tests;
