--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -23,6 +23,7 @@
 mod log;
 mod metrics;
 mod observed_fleet;
+mod proxy_event;
 mod proxy_streams;
 mod relay_host;
 mod status;
@@ -35,6 +36,7 @@
 use config_reload::ConfigReload;
 use control_loop::{ControlLoop, ControlLoopHandles};
 use endpoint_watch::EndpointWatch;
+use proxy_streams::ProxyStreams;
 use slog::{error, info, warn, Logger};
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -120,10 +122,8 @@
         restart_on_panic("list", log.clone(), move || watch.clone().run());
     }
     {
-        let log = log.clone();
-        restart_on_panic("event stream", log.clone(), move || {
-            proxy_streams::follow(relay.clone(), names.clone(), ear.clone(), log.clone())
-        });
+        let streams = ProxyStreams { address: relay, names, events: ear, log: log.clone() };
+        restart_on_panic("event stream", log.clone(), move || streams.clone().run());
     }
     let end = CancellationToken::new();
     let reload = ConfigReload {
