--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The supervisor: the rules of `otterwinch` on sockets.
+//! The control plane of `otterwinch` on sockets: the program and its sub-commands.
 
 mod call_error;
 mod cli;
@@ -10,6 +10,8 @@
 mod config;
 mod config_fault;
 mod config_reload;
+mod connection;
+mod connection_table;
 mod connector;
 mod control_loop;
 mod controller_restart;
@@ -26,142 +28,71 @@
 mod proxy_event;
 mod proxy_streams;
 mod relay_host;
+mod server;
+mod shutdown;
 mod status;
+mod status_pages;
 mod task_restart;
 mod timeout;
 mod timer_queue;
 
 use config::Config;
 use config_fault::ConfigFault;
-use config_reload::ConfigReload;
-use control_loop::{ControlLoop, ControlLoopHandles};
-use endpoint_watch::EndpointWatch;
-use proxy_streams::ProxyStreams;
-use slog::{error, info, warn, Logger};
+use server::{serve, ServeError};
+use slog::{error, Logger};
 use std::process::ExitCode;
-use std::rc::Rc;
-use std::time::Duration;
-use task_restart::restart_on_panic;
-use timeout::within;
-use tokio::net::TcpListener;
-use tokio::signal::unix::{signal, SignalKind};
-use tokio::sync::watch;
-use tokio::task::{spawn_local, JoinError, LocalSet};
-use tokio_util::sync::CancellationToken;
+use tokio::runtime;
+use tokio::task::LocalSet;
 
-/// From the word to end until we do, whatever is still owed: a kill follows no sooner than 0.7 s after it.
-const SETTLED_WITHIN: Duration = Duration::from_millis(500);
+const EXIT_INVALID_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
-    let env = |name: &str| std::env::var(name).ok();
     match cli::command().run() {
         cli::Command::Version => {
             println!("otterwinch {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        cli::Command::Check { file } => match Config::from_file(file.as_deref(), env) {
+        cli::Command::Check { file } => match Config::from_file(file.as_deref(), environment) {
             Ok(config) => {
                 println!("config of {} is in order", config.name);
                 ExitCode::SUCCESS
             }
-            Err(faults) => faulty(&faults),
+            Err(faults) => print_faults(&faults),
         },
-        cli::Command::Serve => match Config::from_file(None, env) {
-            Ok(config) => start(config),
-            Err(faults) => faulty(&faults),
+        cli::Command::Serve => match Config::from_file(None, environment) {
+            Ok(config) => run_server(config),
+            Err(faults) => print_faults(&faults),
         },
     }
 }
 
-fn faulty(faults: &[ConfigFault]) -> ExitCode {
-    faults.iter().for_each(|fault| eprintln!("otterwinch: {fault}"));
-    ExitCode::from(2)
+fn environment(variable: &str) -> Option<String> {
+    std::env::var(variable).ok()
 }
 
-fn start(config: Config) -> ExitCode {
-    let (log, guard) = log::to_stderr(&config.name);
-    let ended = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => LocalSet::new().block_on(&runtime, serve(config, log.clone())),
-        Err(e) => Err(e),
-    };
-    let code = match ended {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            error!(log, "ended"; "why" => %e);
-            ExitCode::FAILURE
-        }
-    };
-    drop(log);
-    log::flush(guard);
-    code
+fn print_faults(faults: &[ConfigFault]) -> ExitCode {
+    for fault in faults {
+        eprintln!("otterwinch: {fault}");
+    }
+    ExitCode::from(EXIT_INVALID_CONFIG)
 }
 
-async fn serve(config: Config, log: Logger) -> std::io::Result<()> {
-    let (mut told_to_end, mut interrupted) =
-        (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-    // Before we answer anybody: without a handler a SIGHUP ends the process.
-    let hangups = signal(SignalKind::hangup())?;
-    let config = Rc::new(config);
-    let (list_moves, list) = watch::channel(config.endpoint_list);
-    let (relay_moves, relay) = watch::channel(config.relay);
-    let (planner, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
-    let ControlLoopHandles { events: ear, status: page, watch_requests: follow } = handles;
-    let listener = TcpListener::bind(config.listen).await?;
-    info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %listener.local_addr()?);
-    let (names, seen, list_bytes) = (config.names.clone(), ear.metrics.clone(), config.max_list_bytes);
-    let front = listener::Front { names: names.clone(), ear: ear.clone(), page, log: log.clone() };
-    {
-        let watch = EndpointWatch {
-            address: list,
-            max_answer_bytes: list_bytes,
-            names: names.clone(),
-            requests: follow,
-            events: ear.clone(),
-            log: log.clone(),
-        };
-        restart_on_panic("list", log.clone(), move || watch.clone().run());
-    }
-    {
-        let streams = ProxyStreams { address: relay, names, events: ear, log: log.clone() };
-        restart_on_panic("event stream", log.clone(), move || streams.clone().run());
+fn run_server(config: Config) -> ExitCode {
+    let (log, flush_guard) = log::to_stderr(&config.name);
+    let result = block_on_server(config, log.clone());
+    if let Err(failure) = &result {
+        error!(log, "exiting with an error"; "why" => #failure);
     }
-    let end = CancellationToken::new();
-    let reload = ConfigReload {
-        hangups,
-        config: config.clone(),
-        endpoint_list: list_moves,
-        relay: relay_moves,
-        metrics: seen,
-        log: log.clone(),
-    };
-    let mut front = spawn_local(listener::serve(listener, front, config.max_connections, end.clone()));
-    let mut planner = spawn_local(planner.run(end.clone()));
-    let why = tokio::select! {
-        ended = &mut planner => return Err(unasked("the planner", ended)),
-        ended = &mut front => return Err(unasked("our address", ended)),
-        () = reload.run() => {
-            return Err(std::io::Error::other("signals are heard no more"));
-        }
-        _ = told_to_end.recv() => "told to end",
-        _ = interrupted.recv() => "interrupted",
-    };
-    info!(log, "{}", why);
-    end.cancel();
-    match within(SETTLED_WITHIN, async { tokio::join!(planner, front) }).await {
-        Some((Ok(()), Ok(()))) => {}
-        Some((planner @ Err(_), _)) => return Err(unasked("the planner", planner)),
-        Some((_, front)) => return Err(unasked("our address", front)),
-        None => {
-            warn!(log, "ended with something still owed"; "after_ms" => SETTLED_WITHIN.as_millis() as u64);
-        }
+    drop(log);
+    log::flush(flush_guard);
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(_) => ExitCode::FAILURE,
     }
-    Ok(())
 }
 
-/// Why a task that goes on until we are told to end has ended.
-fn unasked(task: &str, ended: Result<(), JoinError>) -> std::io::Error {
-    std::io::Error::other(match ended {
-        Ok(()) => format!("{task} ended"),
-        Err(broken) => format!("{task} broke: {broken}"),
-    })
+/// All tasks share one thread, so they share state without locks.
+fn block_on_server(config: Config, log: Logger) -> Result<(), ServeError> {
+    let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+    LocalSet::new().block_on(&runtime, serve(config, log))
 }
--- a/control-plane/tests/sockets/common.rs
+++ b/control-plane/tests/sockets/common.rs
@@ -527,7 +527,7 @@
     pub fn collector(&self) -> TcpStream {
         let mut stream = self.connect();
         stream.write_all(&frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
-        self.logged("collector found");
+        self.logged("collector connected");
         stream
     }
 
