--- /dev/null
+++ b/control-plane/src/collector_message/tests.rs
@@ -0,0 +1,78 @@
+use super::*;
+use serde_json::json;
+
+fn names() -> DeploymentNames {
+    DeploymentNames { zones: vec!["a".into()], request_classes: vec!["quote".into()], proxy_count: 8 }
+}
+
+/// Whether a valid report is still a report with one field replaced, or removed.
+fn is_report(kind: &str, field: &str, replacement: Option<Value>) -> bool {
+    let mut report = match kind {
+        "demand" => json!({"node": 3, "route": "quote", "total": 9, "errors": 1, "interval": 1e3}),
+        _ => {
+            json!({"locality": "a", "endpoint": "s", "total": 9, "errors": 1, "rtt": 4.5, "interval": 1e3})
+        }
+    };
+    report["msg"] = kind.into();
+    match replacement {
+        Some(value) => report[field] = value,
+        None => _ = report.as_object_mut().unwrap().remove(field),
+    }
+    let decoded = CollectorMessage::decode(report.to_string().as_bytes(), &names());
+    assert_eq!(decoded.is_ok(), matches!(decoded, Ok(CollectorMessage::Report(_))));
+    decoded.is_ok()
+}
+
+#[test]
+fn a_report_is_valid_only_if_each_field_is_there_of_its_type_within_bounds_and_names_what_exists() {
+    let (text, none, many) = (json!("9"), Value::Null, json!(1e300));
+    for (kind, fields) in [
+        ("outcomes", &["locality", "endpoint", "total", "errors", "rtt", "interval"] as &[&str]),
+        ("demand", &["node", "route", "total", "errors", "interval"]),
+    ] {
+        assert!(is_report(kind, "metrics", Some(json!(7))), "a field that is not used may be anything");
+        for field in fields {
+            assert!(!is_report(kind, field, None), "{kind} without {field}");
+            for invalid in [&none, &many, &json!(-1), &json!([]), &json!({})] {
+                assert!(!is_report(kind, field, Some(invalid.clone())), "{kind} with {field} {invalid}");
+            }
+            if !["endpoint"].contains(field) {
+                assert!(!is_report(kind, field, Some(text.clone())), "{kind} with {field} a text");
+            }
+        }
+        // Attempts end within their report's interval; a request may have arrived in the one before.
+        assert_eq!(is_report(kind, "errors", Some(json!(10))), kind == "demand");
+        assert!(!is_report(kind, "interval", Some(json!(0))));
+    }
+    assert!(!is_report("demand", "node", Some(json!(8))), "a proxy beyond the number in the settings");
+    assert!(is_report("outcomes", "errors", Some(json!(9))));
+}
+
+#[test]
+fn a_report_is_decoded_with_its_times_in_microseconds() {
+    let frame =
+        br#"{"msg":"outcomes","locality":"a","endpoint":"s","total":9,"errors":1,"rtt":4.5,"interval":1000}"#;
+    let Ok(CollectorMessage::Report(Event::EndpointOutcomes {
+        endpoint,
+        attempts,
+        failures,
+        mean_latency,
+        interval,
+    })) = CollectorMessage::decode(frame, &names())
+    else {
+        panic!("outcomes")
+    };
+    assert_eq!((&*endpoint, attempts, failures), ("s", 9.0, 1.0));
+    assert_eq!((mean_latency, interval), (Span::from_us(4_500), Span::from_us(1_000_000)));
+}
+
+#[test]
+fn nothing_but_a_probe_and_an_identification_is_valid_before_the_identification() {
+    let decode = |text: &str| Handshake::decode(text.as_bytes(), &names());
+    assert!(matches!(decode(r#"{"msg":"probe"}"#), Ok(Handshake::Probe)));
+    let identification = r#"{"msg":"agent","locality":"a"}"#;
+    assert!(matches!(decode(identification), Ok(Handshake::Identification { zone: 0 })));
+    for invalid in [r#"{"msg":"agent","locality":"elsewhere"}"#, r#"{"msg":"demand"}"#, "[]", "{\"msg\":"] {
+        assert!(decode(invalid).is_err(), "{invalid}");
+    }
+}
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -7,7 +7,7 @@
 use crate::connection_table::ConnectionSlot;
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
-use crate::load_reports;
+use crate::load_reports::{Collector, CLOSING_GRACE};
 use crate::status_pages;
 use crate::timeout::within;
 use axum::Router;
@@ -49,26 +49,23 @@
     let mut handshake = pin!(within(HANDSHAKE_TIMEOUT, handshake(stream, context)));
     let finished = tokio::select! {
         finished = &mut handshake => finished,
-        () = closing.cancelled() => match within(load_reports::AT_HAND, handshake).await {
+        () = closing.cancelled() => match within(CLOSING_GRACE, handshake).await {
             Some(finished) => finished,
             None => return Ok(()),
         },
     };
     let finished = finished.ok_or_else(|| CallError::NoAnswer("not identified in time".into()))?;
-    let Some((frames, zone)) = finished? else { return Ok(()) };
-    slot.identify(zone);
-    info!(log, "collector connected"; "zone" => zone);
+    let Some(collector) = finished? else { return Ok(()) };
+    slot.identify(collector.zone());
+    info!(log, "collector connected"; "zone" => collector.zone());
     let on_frame = || slot.heard();
-    load_reports::listen(frames, &context.names, &context.events, on_frame, closing, log).await?;
+    collector.receive_reports(&context.names, &context.events, on_frame, closing, log).await?;
     info!(log, "collector disconnected");
     Ok(())
 }
 
 /// A collector that has identified itself; nothing where the peer asked for a page or left.
-async fn handshake(
-    stream: TcpStream,
-    context: &ConnectionContext,
-) -> Result<Option<(load_reports::Frames, u32)>, CallError> {
+async fn handshake(stream: TcpStream, context: &ConnectionContext) -> Result<Option<Collector>, CallError> {
     let not_connected = |error: io::Error| CallError::NotConnected(error.into());
     let mut first = [0];
     if stream.peek(&mut first).await.map_err(not_connected)? == 0 {
@@ -76,7 +73,7 @@
     }
     stream.set_nodelay(true).map_err(not_connected)?;
     if first[0] == FIRST_BYTE_OF_A_FRAME {
-        return load_reports::join(stream, &context.names).await;
+        return Collector::identify(stream, &context.names).await;
     }
     status_pages::serve(stream, context.status_pages.clone()).await?;
     Ok(None)
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -1,195 +1,174 @@
-//! Collectors: who has joined at our address, in frames of a four-byte length and one JSON object, and what it
-//! reports. Every field that is used is checked before the rules hear any.
+//! Receives load reports: a collector connects to our address, identifies itself with its zone, and sends frames of a
+//! four-byte length and one JSON object.
 
 use crate::call_error::{CallError, Cause};
+use crate::collector_message::{CollectorMessage, Handshake, InvalidContent, InvalidMessage};
 use crate::deployment_names::DeploymentNames;
-use crate::event::{Event, EventSender};
+use crate::event::EventSender;
 use crate::log::LogRateLimit;
 use crate::timeout::within;
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
-use otterwinch::time::Span;
-use otterwinch_adapter_support::JsonFields;
-use serde_json::Value;
 use slog::{warn, Logger};
+use std::ops::Deref;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// A joining and a probe take tens of bytes. Whoever has not joined gets no buffer for more: hundreds of them
-/// that each announce a megabyte would cost all our memory.
-const LONGEST_UNJOINED: usize = 1 << 10;
+/// Enough for an identification and a probe. An unidentified peer gets no larger buffer: hundreds of them that each
+/// announce a long frame would use up the memory.
+const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 1 << 10;
 /// A report takes some hundred bytes.
-const LONGEST_FRAME: usize = 64 << 10;
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// Of a frame, from its first byte on.
-const FRAME_WITHIN: Duration = Duration::from_secs(5);
-/// Collectors report each second or so; one that vanished leaves its connection open for ever.
-const SILENT_FOR: Duration = Duration::from_secs(30);
-/// For what had come when a connection was let go, and was not read yet.
-pub const AT_HAND: Duration = Duration::from_millis(20);
+const MAX_FRAME_BYTES: usize = 64 << 10;
+/// For a peer to read an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// From the first byte of a frame to its last.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
+/// Collectors report each second or so. One that vanished would leave its connection open for ever.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
+/// For reading what had arrived when a connection is closed.
+pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
-/// Beyond these a figure is a slip of its sender: tries or txns of one report; a mean time; an interval.
-const MOST_COUNTED: f64 = 1e6;
-const LONGEST_MS: f64 = 600_000.0;
+const PROBE_ANSWER: &[u8] = br#"{"msg":"alive"}"#;
+/// A frame with its length.
+const ERROR_FRAME: &[u8] = b"\0\0\0\x0f{\"msg\":\"error\"}";
 
-pub type Frames = Framed<TcpStream, LengthDelimitedCodec>;
+type Frames = Framed<TcpStream, LengthDelimitedCodec>;
 
-fn unusable(why: impl Into<Cause>) -> CallError {
-    CallError::UnusableAnswer(why.into())
+/// The connection of a collector that has identified itself.
+pub struct Collector {
+    frames: Frames,
+    zone: u32,
 }
 
-/// Hears a stranger out until it states its zone, which is what makes it a collector; nothing where it leaves.
-/// Probes are answered; anything else is told to be an error and ends the connection.
-pub async fn join(stream: TcpStream, names: &DeploymentNames) -> Result<Option<(Frames, u32)>, CallError> {
-    let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST_UNJOINED).new_codec();
-    let mut frames = Framed::with_capacity(stream, codec, LONGEST_UNJOINED);
-    loop {
-        let zone = match frames.next().await {
-            None => return Ok(None),
-            Some(frame) => frame.map_err(Cause::from).and_then(|frame| Ok(greeting(&frame, names)?)),
-        };
-        match zone {
-            Ok(None) => alive(&mut frames).await?,
-            Ok(Some(zone)) => {
-                frames.codec_mut().set_max_frame_length(LONGEST_FRAME);
-                return Ok(Some((frames, zone)));
-            }
-            Err(why) => {
-                // As much as goes out at once: no close waits for a peer that does not read.
-                let _ = frames.get_ref().try_write(b"\0\0\0\x0f{\"msg\":\"error\"}");
-                return Err(unusable(why));
+impl Collector {
+    /// Reads frames until the peer identifies itself as a collector; nothing where it leaves. Probes are answered.
+    ///
+    /// # Errors
+    /// The peer sends anything else, and is sent an error frame, or it does not read an answer.
+    pub async fn identify(stream: TcpStream, names: &DeploymentNames) -> Result<Option<Self>, CallError> {
+        let codec =
+            LengthDelimitedCodec::builder().max_frame_length(MAX_UNIDENTIFIED_FRAME_BYTES).new_codec();
+        let mut frames = Framed::with_capacity(stream, codec, MAX_UNIDENTIFIED_FRAME_BYTES);
+        while let Some(frame) = frames.next().await {
+            match decode_handshake(frame, names) {
+                Ok(Handshake::Probe) => answer_probe(&mut frames).await?,
+                Ok(Handshake::Identification { zone }) => {
+                    frames.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
+                    return Ok(Some(Collector { frames, zone }));
+                }
+                Err(error) => {
+                    // As much as can be written at once: the close does not wait for a peer that does not read.
+                    let _ = frames.get_ref().try_write(ERROR_FRAME);
+                    return Err(error);
+                }
             }
         }
+        Ok(None)
     }
-}
 
-/// The zone that a stranger's frame joins for; nothing where it is a probe.
-fn greeting(frame: &[u8], names: &DeploymentNames) -> Result<Option<u32>, String> {
-    let value = json(frame)?;
-    let f = JsonFields::of_message(&value, "msg")?;
-    match f.kind {
-        "probe" => Ok(None),
-        "agent" => Ok(Some(names.zone(f.text("locality")?)?)),
-        kind => Err(format!("'{kind}' before joining")),
+    /// The position of its zone in the configuration.
+    pub fn zone(&self) -> u32 {
+        self.zone
     }
-}
 
-fn json(frame: &[u8]) -> Result<Value, String> {
-    serde_json::from_slice(frame).map_err(|e| format!("not a JSON value: {e}"))
-}
-
-async fn alive(frames: &mut Frames) -> Result<(), CallError> {
-    let answer = frames.send(Bytes::from_static(br#"{"msg":"alive"}"#));
-    let answer = within(ANSWER_WITHIN, answer).await;
-    let answer = answer.ok_or_else(|| CallError::NoAnswer("the answer is left unread".into()))?;
-    answer.map_err(|e| CallError::NoAnswer(e.into()))
-}
-
-/// Takes reports until the collector leaves. A report that is spoilt is dropped alone; where frames can't be
-/// read any more the connection ends, so that the collector comes again. `heard` is told of each frame. One that is
-/// let go, since its zone has newer connections or the process ends, has what it sent before heard to the end.
-pub async fn listen(
-    mut frames: Frames,
-    names: &DeploymentNames,
-    ear: &EventSender,
-    heard: impl Fn(),
-    let_go: &CancellationToken,
-    log: &Logger,
-) -> Result<(), CallError> {
-    let mut odd = LogRateLimit::default();
-    loop {
-        let Some(frame) = next(&mut frames, let_go).await? else { return Ok(()) };
-        heard();
-        let value = json(&frame).map_err(unusable)?;
-        match one(&value, names, ear).await {
-            Ok(false) => {}
-            Ok(true) => alive(&mut frames).await?,
-            Err(fault) => {
-                ear.metrics.invalid_inputs.increment();
-                if let Some(times) = odd.due() {
-                    warn!(log, "report dropped"; "why" => fault, "times" => times);
+    /// Receives reports until the collector leaves, and calls `on_frame` at each frame. An invalid report is dropped
+    /// alone. Once `closing` is cancelled it ends as soon as what has arrived by then is handled.
+    ///
+    /// # Errors
+    /// Frames can't be decoded any more, or the collector is silent for too long: it has to connect again.
+    pub async fn receive_reports(
+        mut self,
+        names: &DeploymentNames,
+        events: &EventSender,
+        on_frame: impl Fn(),
+        closing: &CancellationToken,
+        log: &Logger,
+    ) -> Result<(), CallError> {
+        let mut dropped_report_log = LogRateLimit::default();
+        while let Some(frame) = self.next_frame(closing).await? {
+            on_frame();
+            match CollectorMessage::decode(&frame, names) {
+                Ok(CollectorMessage::Probe) => answer_probe(&mut self.frames).await?,
+                Ok(CollectorMessage::Identification) => {}
+                Ok(CollectorMessage::Report(event)) => events.send(event).await,
+                Err(InvalidMessage::Content(error)) => {
+                    events.metrics.invalid_inputs.increment();
+                    report_dropped(&mut dropped_report_log, &error, log);
                 }
+                Err(error @ InvalidMessage::NotJson(_)) => return Err(unusable(error)),
             }
         }
+        Ok(())
     }
-}
 
-/// The next frame. Silence is counted from the last one, half a frame from its first byte: else a byte now and
-/// then would keep a connection for good.
-async fn next(
-    frames: &mut Frames,
-    let_go: &CancellationToken,
-) -> Result<Option<impl std::ops::Deref<Target = [u8]>>, CallError> {
-    let since = Instant::now();
-    loop {
-        if frames.read_buffer().is_empty() {
-            let left = SILENT_FOR.saturating_sub(since.elapsed());
-            let came = tokio::select! {
-                came = within(left, frames.get_ref().readable()) => came,
-                () = let_go.cancelled() => match within(AT_HAND, frames.get_ref().readable()).await {
-                    Some(came) => Some(came),
-                    None => return Ok(None),
-                },
-            };
-            came.ok_or_else(|| CallError::NoAnswer("silent".into()))?.map_err(unusable)?;
-        }
-        let limit = if let_go.is_cancelled() { AT_HAND } else { FRAME_WITHIN };
-        match within(limit, frames.next()).await {
-            Some(frame) => return frame.transpose().map_err(unusable),
-            // Readable, and nothing to be read after all.
-            None if frames.read_buffer().is_empty() => {}
-            None => return Err(CallError::NoAnswer("half a frame".into())),
+    /// The next frame; nothing where the collector leaves, or has sent nothing more when it is to close. Silence counts
+    /// from the frame before, an incomplete frame from its first byte: else single bytes would keep a connection open.
+    async fn next_frame(
+        &mut self,
+        closing: &CancellationToken,
+    ) -> Result<Option<impl Deref<Target = [u8]>>, CallError> {
+        let previous_frame = Instant::now();
+        loop {
+            if self.frames.read_buffer().is_empty() && !self.wait_readable(previous_frame, closing).await? {
+                return Ok(None);
+            }
+            let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
+            match within(timeout, self.frames.next()).await {
+                Some(frame) => return frame.transpose().map_err(unusable),
+                // A socket may be reported as readable although there is nothing to read.
+                None if self.frames.read_buffer().is_empty() => {}
+                None => return Err(CallError::NoAnswer("half a frame".into())),
+            }
         }
     }
-}
 
-/// Takes one frame; true where it asks for a sign of life.
-async fn one(value: &Value, names: &DeploymentNames, ear: &EventSender) -> Result<bool, String> {
-    let f = JsonFields::of_message(value, "msg")?;
-    match f.kind {
-        "probe" => return Ok(true),
-        "agent" => _ = names.zone(f.text("locality")?)?,
-        "outcomes" => {
-            let id = f.text("endpoint")?.to_owned();
-            names.zone(f.text("locality")?)?;
-            let (tries, over) = counted(&f)?;
-            let voided = f.number_within("errors", 0.0..=tries)?;
-            // The mean of those that were answered: none of them, no mean.
-            let took = if voided < tries { f.number_within("rtt", 0.0..=LONGEST_MS)? } else { 0.0 };
-            ear.send(Event::EndpointOutcomes {
-                endpoint: id,
-                attempts: tries,
-                failures: voided,
-                mean_latency: millis(took),
-                interval: over,
-            })
-            .await;
-        }
-        "demand" => {
-            names.proxy(f.u32("node")?)?;
-            let (product, (txns, _)) = (names.request_class(f.text("route")?)?, counted(&f)?);
-            // What came in an earlier interval may fail in this one: they are not bounded by the total.
-            f.number_within("errors", 0.0..=MOST_COUNTED)?;
-            ear.send(Event::Demand { class: product, requests: txns }).await;
-        }
-        kind => return Err(format!("kind '{kind}' is unknown")),
+    /// Waits for bytes to read; false where the connection is to close and none have arrived.
+    async fn wait_readable(
+        &self,
+        previous_frame: Instant,
+        closing: &CancellationToken,
+    ) -> Result<bool, CallError> {
+        let stream = self.frames.get_ref();
+        let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
+        let readable = tokio::select! {
+            readable = within(remaining, stream.readable()) => {
+                readable.ok_or_else(|| CallError::NoAnswer("silent".into()))?
+            }
+            () = closing.cancelled() => match within(CLOSING_GRACE, stream.readable()).await {
+                Some(readable) => readable,
+                None => return Ok(false),
+            },
+        };
+        readable.map_err(unusable)?;
+        Ok(true)
     }
-    Ok(false)
 }
 
-/// How many in all, and over how long.
-fn counted(f: &JsonFields) -> Result<(f64, Span), String> {
-    let total = f.number_within("total", 0.0..=MOST_COUNTED)?;
-    let over = f.number_within("interval", f64::MIN_POSITIVE..=LONGEST_MS)?;
-    Ok((total, millis(over)))
+fn decode_handshake(
+    frame: std::io::Result<impl Deref<Target = [u8]>>,
+    names: &DeploymentNames,
+) -> Result<Handshake, CallError> {
+    let frame = frame.map_err(unusable)?;
+    Handshake::decode(&frame, names).map_err(unusable)
+}
+
+async fn answer_probe(frames: &mut Frames) -> Result<(), CallError> {
+    let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
+    match within(ANSWER_TIMEOUT, answer).await {
+        Some(sent) => sent.map_err(|error| CallError::NoAnswer(error.into())),
+        None => Err(CallError::NoAnswer("the answer is left unread".into())),
+    }
 }
 
-fn millis(ms: f64) -> Span {
-    Span::secs(ms / 1e3)
+fn report_dropped(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
+    if let Some(times) = limit.due() {
+        warn!(log, "report dropped"; "why" => %error, "times" => times);
+    }
 }
 
-#[cfg(test)]
-mod tests;
+fn unusable(error: impl Into<Cause>) -> CallError {
+    CallError::UnusableAnswer(error.into())
+}
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -4,6 +4,7 @@
 mod cli;
 mod client;
 mod clock;
+mod collector_message;
 mod command;
 mod command_batch;
 mod command_delivery;
