--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -4,17 +4,14 @@
 use crate::config_reload::ConfigReload;
 use crate::connection::ConnectionContext;
 use crate::control_loop::{ControlLoop, ControlLoopHandles};
-use crate::deployment_names::DeploymentNames;
 use crate::endpoint_watch::EndpointWatch;
-use crate::event::EventSender;
 use crate::listener::Listener;
-use crate::proxy_streams;
+use crate::proxy_streams::ProxyStreams;
 use crate::shutdown::{ServerTasks, ShutdownSignals, TaskError};
 use crate::status_pages;
 use crate::task_restart::restart_on_panic;
 use slog::{info, Logger};
 use std::io;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -71,7 +68,12 @@
             events: events.clone(),
             log: log.clone(),
         });
-        spawn_proxy_stream(relay, config.names.clone(), events.clone(), log.clone());
+        spawn_proxy_streams(ProxyStreams {
+            address: relay,
+            names: config.names.clone(),
+            events: events.clone(),
+            log: log.clone(),
+        });
         let context = ConnectionContext {
             names: config.names.clone(),
             events: events.clone(),
@@ -114,13 +116,6 @@
     restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
 }
 
-fn spawn_proxy_stream(
-    relay: watch::Receiver<SocketAddr>,
-    names: Rc<DeploymentNames>,
-    events: EventSender,
-    log: Logger,
-) {
-    restart_on_panic("event stream", log.clone(), move || {
-        proxy_streams::follow(relay.clone(), names.clone(), events.clone(), log.clone())
-    });
+fn spawn_proxy_streams(streams: ProxyStreams) {
+    restart_on_panic("event stream", streams.log.clone(), move || streams.clone().run());
 }
