--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -19,6 +19,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
+use tokio::time::Instant;
 use tower_service::Service;
 
 /// Shorter than the limit of any call, so that a request that could not be sent is known not to have been. The attempt
@@ -121,15 +122,13 @@
         limit: Duration,
         max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let exchange = async {
-            let answer = self.send(method, path, body, limit).await?;
-            let status = answer.status();
-            let body = Limited::new(answer.into_body(), max_bytes).collect().await;
-            let body = body.map_err(CallError::UnusableAnswer)?;
-            Ok((status, body.to_bytes()))
-        };
-        match within(limit, exchange).await {
-            Some(result) => result,
+        let begun = Instant::now();
+        let answer = self.send(method, path, body, limit).await?;
+        let status = answer.status();
+        let body = Limited::new(answer.into_body(), max_bytes).collect();
+        match within(limit.saturating_sub(begun.elapsed()), body).await {
+            Some(Ok(body)) => Ok((status, body.to_bytes())),
+            Some(Err(error)) => Err(CallError::UnusableAnswer(error)),
             None => {
                 let text = format!("incomplete after {} ms", limit.as_millis());
                 Err(CallError::UnusableAnswer(text.into()))
@@ -143,3 +142,6 @@
     let cause = error.source().and_then(|cause| cause.downcast_ref::<hyper::Error>());
     cause.is_some_and(hyper::Error::is_canceled)
 }
+
+#[cfg(test)]
+mod tests;
