--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -163,7 +163,7 @@
 
     fn call_succeeded(&mut self) {
         if self.failing {
-            info!(self.log, "relay takes commands again");
+            info!(self.log, "command delivery recovered");
         }
         self.failing = false;
     }
@@ -171,7 +171,7 @@
     fn call_failed(&mut self, error: &CallError) {
         self.failed_calls += 1;
         if !self.failing {
-            warn!(self.log, "commands lost"; "why" => #error, "commands" => self.unacknowledged.len());
+            warn!(self.log, "command delivery failed"; "why" => #error, "commands" => self.unacknowledged.len());
         }
         self.failing = true;
     }
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -138,7 +138,7 @@
                 }
                 // Sent again as it is it would hold up all further commands for ever.
                 DeliveryOutcome::Invalid(error) => {
-                    error!(self.log, "the relay can't use our commands"; "why" => #error);
+                    error!(self.log, "relay finds the commands invalid"; "why" => #error);
                     self.controller.restart(now);
                     self.delivery.discard_pending();
                     return;
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -51,7 +51,7 @@
         match catch_panic(|| step(&mut self.controller, now)) {
             Ok(()) => Ok(()),
             Err(panic) => {
-                error!(self.log, "the rules broke"; "cause" => %panic);
+                error!(self.log, "controller panicked"; "why" => %panic);
                 self.restart(now);
                 Err(ControllerRestarted)
             }
@@ -63,7 +63,7 @@
     /// It first learns of the endpoints that were removed or ejected: the relay may still hold commands of the old
     /// controller about them, and the new one has to take them out of the tables or restore them.
     pub fn restart(&mut self, now: Moment) {
-        error!(self.log, "the rules are opened anew");
+        error!(self.log, "controller restarted");
         let mut host = self.take_host(now);
         host.discard_pending();
         self.starts += 1;
@@ -81,7 +81,7 @@
             }
         });
         if replayed.is_err() {
-            error!(self.log, "the rules broke again on what stands");
+            error!(self.log, "controller panicked again while restarting");
         }
     }
 
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -100,7 +100,7 @@
 
     async fn list_received(&mut self, list: EndpointList) {
         if self.failing || self.version.is_none() {
-            info!(self.context.log, "list found"; "version" => list.version, "servers" => list.updates.len());
+            info!(self.context.log, "endpoint watch established"; "version" => list.version, "endpoints" => list.updates.len());
         }
         self.failing = false;
         self.version = Some(list.version);
@@ -116,7 +116,7 @@
 
     async fn call_failed(&mut self, error: &CallError) {
         if !self.failing {
-            warn!(self.context.log, "list lost"; "why" => #error, "version" => self.version);
+            warn!(self.context.log, "endpoint watch failed"; "why" => #error, "version" => self.version);
         }
         self.failing = true;
         // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
@@ -142,7 +142,7 @@
         for entry in entries {
             self.context.events.metrics.invalid_inputs.increment();
             if let Some(times) = self.invalid_entry_log.due() {
-                warn!(self.context.log, "list entry left out"; "why" => %entry, "times" => times);
+                warn!(self.context.log, "endpoint list entry skipped"; "why" => %entry, "times" => times);
             }
         }
     }
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -165,7 +165,7 @@
 
 fn report_dropped(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
     if let Some(times) = limit.due() {
-        warn!(log, "report dropped"; "why" => %error, "times" => times);
+        warn!(log, "load report dropped"; "why" => %error, "times" => times);
     }
 }
 
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -127,7 +127,7 @@
     async fn line_received(&mut self, line: &str) -> Result<(), CallError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
         if stream.address == self.peer.address && self.opening.take().is_some() {
-            info!(self.context.log, "event stream speaks again");
+            info!(self.context.log, "proxy stream recovered");
         }
         match ProxyEvent::decode(line, &self.context.names) {
             Ok(event) => {
@@ -147,19 +147,19 @@
 
     fn event_skipped(&mut self, reason: &InvalidEvent) {
         if let Some(times) = self.skipped_event_log.due() {
-            warn!(self.context.log, "event skipped"; "why" => %reason, "times" => times);
+            warn!(self.context.log, "proxy stream event skipped"; "why" => %reason, "times" => times);
         }
     }
 
     fn stream_silent(&mut self) {
         if self.opening.is_none() {
-            warn!(self.context.log, "event stream silent"; "seconds" => SILENCE_TIMEOUT.as_secs_f32());
+            warn!(self.context.log, "proxy stream silent"; "seconds" => SILENCE_TIMEOUT.as_secs_f32());
             self.opening = Some(open_after(Duration::ZERO, &self.peer));
         }
     }
 
     fn stream_opened(&mut self, stream: ProxyStream) {
-        info!(self.context.log, "event stream found");
+        info!(self.context.log, "proxy stream connected");
         self.stream = Some(stream);
         self.opening = None;
         self.failed_attempts = 0;
@@ -167,7 +167,7 @@
 
     fn attempt_failed(&mut self, error: &CallError) {
         if self.failed_attempts == 0 {
-            warn!(self.context.log, "event stream not found"; "why" => #error);
+            warn!(self.context.log, "proxy stream connect failed"; "why" => #error);
         }
         self.failed_attempts += 1;
         let pause = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
@@ -183,7 +183,7 @@
     /// Drops the stream and opens another, whatever attempt is under way: a connection that was reset shows that the
     /// relay is back, and the attempt may hang.
     fn stream_lost(&mut self, error: &CallError) {
-        warn!(self.context.log, "event stream lost"; "why" => #error);
+        warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
         self.opening = Some(open_after(BACKOFF[0], &self.peer));
         self.failed_attempts = 0;
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -122,7 +122,7 @@
 
     fn issue(&mut self, validity: Result<(), InvalidCommand>, command: Command) {
         if let Err(invalid) = validity {
-            warn!(self.log, "command against the relay's rules"; "why" => %invalid);
+            warn!(self.log, "invalid command not sent"; "why" => %invalid);
             return;
         }
         self.commands_issued += 1;
--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -117,5 +117,5 @@
 }
 
 fn spawn_proxy_streams(streams: ProxyStreams) {
-    restart_on_panic("event stream", streams.log.clone(), move || streams.clone().run());
+    restart_on_panic("proxy stream", streams.log.clone(), move || streams.clone().run());
 }
--- a/control-plane/tests/sockets/common.rs
+++ b/control-plane/tests/sockets/common.rs
@@ -478,7 +478,7 @@
         let address = ([127, 0, 0, 1], 0).into();
         let mut supervisor = Supervisor { child, address, log, config: file };
         supervisor.address = supervisor.logged("started")["listen"].as_str().unwrap().parse().unwrap();
-        supervisor.logged("event stream found");
+        supervisor.logged("proxy stream connected");
         supervisor
     }
 
--- a/control-plane/tests/sockets/list.rs
+++ b/control-plane/tests/sockets/list.rs
@@ -36,7 +36,7 @@
         list.stands(&[server("a", "active"), server("b", "active")], &[server("a", "active")]);
         assert_eq!(relay.command("uneject")["endpoint"], "a");
     }
-    let why = supervisor.logged("list entry left out")["why"].to_string();
+    let why = supervisor.logged("endpoint list entry skipped")["why"].to_string();
     assert!(why.contains("entry 0") && why.contains("'host'"), "{why}");
 }
 
@@ -92,7 +92,7 @@
         &[],
         text(1, false, &[server("b", "active")]),
     );
-    assert!(supervisor.logged("list lost")["why"].as_str().unwrap().contains("version 1"));
+    assert!(supervisor.logged("endpoint watch failed")["why"].as_str().unwrap().contains("version 1"));
     let call = relay.call_with("eject");
     assert!(call.iter().all(|o| o["op"] != "uneject"), "{call:?}");
     assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -57,8 +57,8 @@
     // What may have been carried out asks to be told when it comes.
     again.retain(|command| command["op"] != "fence");
     assert_eq!(again, lost);
-    supervisor.logged("commands lost");
-    supervisor.logged("relay takes commands again");
+    supervisor.logged("command delivery failed");
+    supervisor.logged("command delivery recovered");
 }
 
 #[test]
@@ -89,7 +89,7 @@
     relay.will(Does::CannotUseIt);
     list.changes(&[server("a", "leaving")]);
     (0..2).for_each(|_| _ = relay.call_with("eject"));
-    supervisor.logged("the rules are opened anew");
+    supervisor.logged("controller restarted");
     assert_eq!(relay.command("put")["endpoint"], "b");
     assert_eq!(relay.command("attach")["node"], 7);
 }
@@ -107,7 +107,7 @@
     relay.call_with("eject");
     // Comes while commands are lost, and waits behind them.
     list.changes(&[server("c", "active")]);
-    supervisor.logged("relay takes commands again");
+    supervisor.logged("command delivery recovered");
     assert_eq!(relay.call_with("put").last().unwrap()["op"], "fence");
     relay.joins(8);
     assert_eq!(relay.command("attach")["node"], 8);
@@ -154,7 +154,7 @@
     relay.joins(8);
     relay.command("attach");
     relay.forgets_all_but_the_last();
-    supervisor.logged("event stream lost");
+    supervisor.logged("proxy stream lost");
     // Whoever is still there may have gone and come meanwhile: it is bound anew.
     assert_eq!(relay.command("attach")["node"], 8);
     until("one proxy left", || supervisor.page("/state").contains(r#""proxies":1,"#).then_some(()));
@@ -165,10 +165,10 @@
 fn an_event_stream_that_is_silent_is_kept_until_another_speaks() {
     let (_list, relay, supervisor) = serving();
     relay.is_out_of_reach();
-    supervisor.logged("event stream silent");
-    supervisor.logged("event stream not found");
+    supervisor.logged("proxy stream silent");
+    supervisor.logged("proxy stream connect failed");
     relay.joins(8);
-    supervisor.logged("event stream speaks again");
+    supervisor.logged("proxy stream recovered");
     assert_eq!(relay.command("attach")["node"], 8);
     until("both proxies", || supervisor.page("/state").contains(r#""proxies":2,"#).then_some(()));
 }
@@ -362,7 +362,7 @@
 fn a_list_that_goes_silent_is_asked_again() {
     let (list, relay, supervisor) = serving();
     list.silent(true);
-    supervisor.logged("list lost");
+    supervisor.logged("endpoint watch failed");
     list.silent(false);
     list.changes(&[server("a", "leaving")]);
     assert_eq!(relay.command("eject")["endpoint"], "a");
--- a/control-plane/tests/sockets/relay.rs
+++ b/control-plane/tests/sockets/relay.rs
@@ -60,7 +60,7 @@
     let mut third = relay.call();
     third.retain(|command| command["op"] != "fence");
     assert_eq!(third, held);
-    supervisor.logged("relay takes commands again");
+    supervisor.logged("command delivery recovered");
     list.changes(&[server("c", "active")]);
     let next = relay.call_with("put");
     assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
@@ -97,7 +97,7 @@
     [Does::CannotUseIt, Does::Breaks, Does::CannotUseIt].into_iter().for_each(|does| relay.will(does));
     list.changes(&[server("a", "leaving")]);
     (0..4).for_each(|_| _ = relay.call_with("eject"));
-    supervisor.logged("relay takes commands again");
+    supervisor.logged("command delivery recovered");
     assert!(supervisor.page("/state").contains(r#""opened":1,"#));
 }
 
@@ -112,8 +112,8 @@
         relay.joins(8);
         relay.command("attach");
         relay.opens_anew_with(&[hello(7, json!(20.5)), spoilt]);
-        supervisor.logged("event stream found");
-        supervisor.logged("event skipped");
+        supervisor.logged("proxy stream connected");
+        supervisor.logged("proxy stream event skipped");
         // Bound anew once the opening has been heard to its end.
         assert_eq!(relay.command("attach")["node"], 7);
         relay.joins(9);
