--- a/control-plane/tests/sockets/list.rs
+++ b/control-plane/tests/sockets/list.rs
@@ -37,7 +37,7 @@
         );
         assert_eq!(relay.next_command("uneject")["endpoint"], "a");
     }
-    let why = control_plane.wait_for_log("list entry left out")["why"].to_string();
+    let why = control_plane.wait_for_log("endpoint list entry skipped")["why"].to_string();
     assert!(why.contains("entry 0") && why.contains("'host'"), "{why}");
 }
 
@@ -106,7 +106,10 @@
         &[],
         answer(1, false, &[endpoint_entry("b", "active")]),
     );
-    assert!(control_plane.wait_for_log("list lost")["why"].as_str().unwrap().contains("version 1"));
+    assert!(control_plane.wait_for_log("endpoint watch failed")["why"]
+        .as_str()
+        .unwrap()
+        .contains("version 1"));
     let call = relay.next_call_with("eject");
     assert!(call.iter().all(|o| o["op"] != "uneject"), "{call:?}");
     assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -43,8 +43,8 @@
     // Commands that may have been carried out are followed by a request for an acknowledgement.
     resent.retain(|command| command["op"] != "fence");
     assert_eq!(resent, lost);
-    control_plane.wait_for_log("commands lost");
-    control_plane.wait_for_log("relay takes commands again");
+    control_plane.wait_for_log("command delivery failed");
+    control_plane.wait_for_log("command delivery recovered");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     for _ in 0..2 {
         relay.next_call_with("eject");
     }
-    control_plane.wait_for_log("the rules are opened anew");
+    control_plane.wait_for_log("controller restarted");
     assert_eq!(relay.next_command("put")["endpoint"], "b");
     assert_eq!(relay.next_command("attach")["node"], 7);
 }
@@ -94,7 +94,7 @@
     relay.next_call_with("eject");
     // This change comes while commands are unacknowledged, and waits behind them.
     list.publish_changes(&[endpoint_entry("c", "active")]);
-    control_plane.wait_for_log("relay takes commands again");
+    control_plane.wait_for_log("command delivery recovered");
     assert_eq!(relay.next_call_with("put").last().unwrap()["op"], "fence");
     relay.proxy_joins(8);
     assert_eq!(relay.next_command("attach")["node"], 8);
@@ -141,7 +141,7 @@
     relay.proxy_joins(8);
     relay.next_command("attach");
     relay.reopens_stream_with_last_proxy();
-    control_plane.wait_for_log("event stream lost");
+    control_plane.wait_for_log("proxy stream lost");
     // The proxy that is named may have left and joined again meanwhile, so its table is assigned again.
     assert_eq!(relay.next_command("attach")["node"], 8);
     control_plane.wait_for_status(r#""proxies":1,"#);
@@ -152,10 +152,10 @@
 fn an_event_stream_that_is_silent_is_kept_until_another_speaks() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
     relay.becomes_unreachable();
-    control_plane.wait_for_log("event stream silent");
-    control_plane.wait_for_log("event stream not found");
+    control_plane.wait_for_log("proxy stream silent");
+    control_plane.wait_for_log("proxy stream connect failed");
     relay.proxy_joins(8);
-    control_plane.wait_for_log("event stream speaks again");
+    control_plane.wait_for_log("proxy stream recovered");
     assert_eq!(relay.next_command("attach")["node"], 8);
     control_plane.wait_for_status(r#""proxies":2,"#);
 }
@@ -348,7 +348,7 @@
 fn a_list_that_goes_silent_is_asked_again() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     list.set_silent(true);
-    control_plane.wait_for_log("list lost");
+    control_plane.wait_for_log("endpoint watch failed");
     list.set_silent(false);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     assert_eq!(relay.next_command("eject")["endpoint"], "a");
--- a/control-plane/tests/sockets/relay.rs
+++ b/control-plane/tests/sockets/relay.rs
@@ -60,7 +60,7 @@
     let mut third = relay.next_call();
     third.retain(|command| command["op"] != "fence");
     assert_eq!(third, withheld);
-    control_plane.wait_for_log("relay takes commands again");
+    control_plane.wait_for_log("command delivery recovered");
     list.publish_changes(&[endpoint_entry("c", "active")]);
     let next = relay.next_call_with("put");
     assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
@@ -103,7 +103,7 @@
     for _ in 0..4 {
         relay.next_call_with("eject");
     }
-    control_plane.wait_for_log("relay takes commands again");
+    control_plane.wait_for_log("command delivery recovered");
     assert!(control_plane.http_get("/state").contains(r#""opened":1,"#));
 }
 
@@ -118,8 +118,8 @@
         relay.proxy_joins(8);
         relay.next_command("attach");
         relay.reopens_stream_with(&[hello(7, json!(20.5)), invalid]);
-        control_plane.wait_for_log("event stream found");
-        control_plane.wait_for_log("event skipped");
+        control_plane.wait_for_log("proxy stream connected");
+        control_plane.wait_for_log("proxy stream event skipped");
         // Its table is assigned again once the opening has been read to its end.
         assert_eq!(relay.next_command("attach")["node"], 7);
         relay.proxy_joins(9);
--- a/control-plane/tests/sockets/support/control_plane.rs
+++ b/control-plane/tests/sockets/support/control_plane.rs
@@ -82,7 +82,7 @@
         let mut control_plane = ControlPlane { child, address, log, config };
         let started = control_plane.wait_for_log("started");
         control_plane.address = started["listen"].as_str().unwrap().parse().unwrap();
-        control_plane.wait_for_log("event stream found");
+        control_plane.wait_for_log("proxy stream connected");
         control_plane
     }
 
