--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -78,7 +78,7 @@
 
 impl Peer {
     /// A client of the peer at `address`. It connects with its first request.
-    pub fn at(address: SocketAddr) -> Self {
+    pub fn new(address: SocketAddr) -> Self {
         let connector = PeerConnector { address, connector: Arc::new(Mutex::new(Connector::new())) };
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(POOL_IDLE_TIMEOUT)
@@ -114,7 +114,7 @@
     }
 
     /// Sends a request and reads its whole answer, of up to `max_bytes` bytes and within `limit`.
-    pub async fn ask(
+    pub async fn call(
         &self,
         method: Method,
         path: &str,
--- a/control-plane/src/client/tests.rs
+++ b/control-plane/src/client/tests.rs
@@ -6,7 +6,7 @@
 const LIMIT: Duration = Duration::from_millis(40);
 
 async fn call(address: SocketAddr) -> CallError {
-    let answer = Peer::at(address).ask(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
+    let answer = Peer::new(address).call(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
     answer.expect_err("nobody answers")
 }
 
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -53,7 +53,7 @@
 impl CommandDelivery {
     /// Delivers to the relay at this address, and at a new one from the next call on when it changes.
     pub fn new(mut relay_address: watch::Receiver<SocketAddr>, log: Logger) -> Self {
-        let peer = Peer::at(*relay_address.borrow_and_update());
+        let peer = Peer::new(*relay_address.borrow_and_update());
         CommandDelivery {
             relay_address,
             peer,
@@ -146,7 +146,7 @@
         let sent = batch.sent_commands();
         let body = Bytes::from(batch.body);
         let (status, answer) =
-            self.peer.ask(Method::POST, PATH, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await?;
+            self.peer.call(Method::POST, PATH, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await?;
         match accepted_commands(&answer) {
             Some(accepted) if accepted <= sent && status.is_success() => Ok(accepted),
             _ => Err(error_of_answer(status, &answer)),
@@ -157,7 +157,7 @@
     /// sent as it was and nothing overtakes it there either.
     fn update_peer(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
-            self.peer = Peer::at(*self.relay_address.borrow_and_update());
+            self.peer = Peer::new(*self.relay_address.borrow_and_update());
         }
     }
 
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -42,7 +42,7 @@
     /// What the controller decides by.
     pub controller: ControllerConfig,
     /// The endpoints to start with, until the endpoint list answers.
-    pub known: Vec<EndpointUpdate>,
+    pub known_endpoints: Vec<EndpointUpdate>,
     /// Connections that the listener may hold: half of all sockets, so that outgoing connections have theirs.
     pub max_connections: usize,
     /// The longest answer of the endpoint list, in bytes.
@@ -124,7 +124,7 @@
         let relay = self.address("relay.address", self.relay_address());
         let seed = self.seed();
         let (names, controller) = self.settings();
-        let known = self.known_endpoints(&names);
+        let known_endpoints = self.known_endpoints(&names);
         let memory_mb = self.limit("memory_mb", DEFAULT_MEMORY_MB);
         let sockets = self.limit("sockets", DEFAULT_SOCKETS);
         Some(Config {
@@ -135,7 +135,7 @@
             seed: seed?,
             names: Rc::new(names),
             controller,
-            known: known?,
+            known_endpoints: known_endpoints?,
             max_connections: (sockets? / 2).clamp(1, MAX_CONNECTIONS) as usize,
             max_list_bytes: ((memory_mb? << 20) / LIST_MEMORY_DIVISOR).min(MAX_LIST_BYTES) as usize,
         })
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -27,8 +27,8 @@
         let validator = CommandValidator::new(&config.controller);
         let host = RelayHost::new(validator, config.names.clone(), now, log.clone());
         let mut controller = Controller::start(host, config.controller.clone(), config.seed, now);
-        controller.host().replace_endpoint_list(&config.known);
-        controller.endpoint_list_replaced(now, &config.known);
+        controller.host().replace_endpoint_list(&config.known_endpoints);
+        controller.endpoint_list_replaced(now, &config.known_endpoints);
         RestartableController { controller, config, log, starts: 1 }
     }
 
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -61,7 +61,7 @@
 
 impl Watcher {
     fn new(mut context: EndpointWatch) -> Self {
-        let peer = Peer::at(*context.address.borrow_and_update());
+        let peer = Peer::new(*context.address.borrow_and_update());
         Watcher {
             context,
             peer,
@@ -93,7 +93,7 @@
     }
 
     fn move_to_new_address(&mut self) {
-        self.peer = Peer::at(*self.context.address.borrow_and_update());
+        self.peer = Peer::new(*self.context.address.borrow_and_update());
         self.version = None;
         self.polling = true;
     }
@@ -141,7 +141,7 @@
     fn report_invalid(&mut self, entries: &[InvalidEntry]) {
         for entry in entries {
             self.context.events.metrics.invalid_inputs.increment();
-            if let Some(times) = self.invalid_entry_log.due() {
+            if let Some(times) = self.invalid_entry_log.record() {
                 warn!(self.context.log, "endpoint list entry skipped"; "why" => %entry, "times" => times);
             }
         }
@@ -182,7 +182,7 @@
             (format!("{PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
         }
     };
-    let (status, body) = peer.ask(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
+    let (status, body) = peer.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
     if status != StatusCode::OK {
         return Err(CallError::Rejected(format!("status {status}").into()));
     }
--- a/control-plane/src/listener.rs
+++ b/control-plane/src/listener.rs
@@ -81,7 +81,7 @@
 
     /// Descriptors may have run out, or the peer gave up: both pass.
     async fn pause_accepting(&mut self, error: &io::Error) {
-        if let Some(times) = self.accept_errors.due() {
+        if let Some(times) = self.accept_errors.record() {
             warn!(self.context.log, "accept failed"; "why" => %error, "times" => times);
         }
         sleep(ACCEPT_RETRY_DELAY).await;
@@ -101,7 +101,7 @@
     /// Closes the oldest unidentified connection; false where there is none.
     fn evict(&mut self) -> bool {
         self.context.events.metrics.rejected_connections.increment();
-        if let Some(times) = self.evictions.due() {
+        if let Some(times) = self.evictions.record() {
             warn!(self.context.log, "too many connections, closing the oldest unidentified one"; "times" => times);
         }
         self.connections.borrow_mut().abort_oldest_unidentified()
@@ -133,7 +133,7 @@
             let log = context.log.new(o!("from" => peer.to_string()));
             if let Err(error) = serve_connection(stream, &context, &slot, &closing, &log).await {
                 context.events.metrics.connection_errors.increment();
-                if let Some(times) = errors.borrow_mut().due() {
+                if let Some(times) = errors.borrow_mut().record() {
                     info!(log, "connection failed"; "why" => #error, "times" => times);
                 }
             }
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -164,7 +164,7 @@
 }
 
 fn report_dropped(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
-    if let Some(times) = limit.due() {
+    if let Some(times) = limit.record() {
         warn!(log, "load report dropped"; "why" => %error, "times" => times);
     }
 }
--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -39,7 +39,7 @@
 
 impl LogRateLimit {
     /// Counts one occurrence. If it is to be logged, the number of occurrences since the last one that was.
-    pub fn due(&mut self) -> Option<u64> {
+    pub fn record(&mut self) -> Option<u64> {
         self.unlogged += 1;
         let recent = self.last_logged.is_some_and(|logged| logged.elapsed() < MIN_LOG_INTERVAL);
         if recent {
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -86,7 +86,7 @@
 
 impl Follower {
     fn new(mut context: ProxyStreams) -> Self {
-        let peer = Rc::new(Peer::at(*context.address.borrow_and_update()));
+        let peer = Rc::new(Peer::new(*context.address.borrow_and_update()));
         let opening = open_after(Duration::ZERO, &peer);
         Follower {
             context,
@@ -146,7 +146,7 @@
     }
 
     fn event_skipped(&mut self, reason: &InvalidEvent) {
-        if let Some(times) = self.skipped_event_log.due() {
+        if let Some(times) = self.skipped_event_log.record() {
             warn!(self.context.log, "proxy stream event skipped"; "why" => %reason, "times" => times);
         }
     }
@@ -175,7 +175,7 @@
     }
 
     fn relay_moved(&mut self) {
-        self.peer = Rc::new(Peer::at(*self.context.address.borrow_and_update()));
+        self.peer = Rc::new(Peer::new(*self.context.address.borrow_and_update()));
         self.opening = Some(open_after(Duration::ZERO, &self.peer));
         self.failed_attempts = 0;
     }
