--- /dev/null
+++ b/simulator-adapter/src/wire_host.rs
@@ -0,0 +1,96 @@
+//! The host of one instance: encodes the commands of its controller for the simulator's wire. A command that the wire
+//! would refuse is logged and not sent, so that a fault in the controller costs one command and not the process.
+
+use crate::encode;
+use otterwinch::config::ControllerConfig;
+use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
+use otterwinch::time::Span;
+use otterwinch_adapter_support::{CommandValidator, InvalidCommand};
+use serde_json::{json, Value};
+
+/// The wire refuses timers that are further off.
+const MAX_TIMER_DELAY: Span = Span::from_us(70 * 60 * 1_000_000);
+
+/// The shortest timer that the wire knows.
+const MIN_TIMER_DELAY: Span = Span::from_us(1);
+
+/// Encodes the commands of one instance.
+pub struct WireHost {
+    instance: u64,
+    /// What the instance may name in a command.
+    pub validator: CommandValidator,
+    /// Commands since the last reply, one JSON message a line.
+    pub encoded_commands: Vec<u8>,
+}
+
+impl WireHost {
+    /// The host of an instance that was just started.
+    pub fn new(instance: u64, config: &ControllerConfig) -> Self {
+        WireHost { instance, validator: CommandValidator::new(config), encoded_commands: Vec::new() }
+    }
+
+    fn send(&mut self, kind: &str, mut fields: Value) {
+        fields["kind"] = kind.into();
+        fields["who"] = self.instance.into();
+        encode::append_line(&mut self.encoded_commands, &fields);
+    }
+
+    fn send_if_valid(&mut self, validation: Result<(), InvalidCommand>, kind: &str, fields: Value) {
+        match validation {
+            Ok(()) => self.send(kind, fields),
+            Err(error) => eprintln!("otterwinch-simulator-adapter: instance {}: {error}", self.instance),
+        }
+    }
+
+    fn send_ejection(&mut self, endpoint: &EndpointId, ejected: bool) {
+        let fields = json!({"server": &**endpoint, "set": ejected});
+        self.send_if_valid(self.validator.check_ejection(endpoint), "WITHDRAW", fields);
+    }
+}
+
+impl Host for WireHost {
+    fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
+        let fields = json!({"mapId": table, "server": &**endpoint, "weight": weight});
+        self.send_if_valid(self.validator.check_weight(table, endpoint, weight), "ENDPOINT", fields);
+    }
+
+    fn assign_table(&mut self, proxy: u32, table: u32) {
+        let fields = json!({"px": proxy, "mapId": table, "forClasses": 0});
+        self.send_if_valid(self.validator.check_assignment(proxy, table), "INSTALL", fields);
+    }
+
+    fn eject_endpoint(&mut self, endpoint: &EndpointId) {
+        self.send_ejection(endpoint, true);
+    }
+
+    fn restore_endpoint(&mut self, endpoint: &EndpointId) {
+        self.send_ejection(endpoint, false);
+    }
+
+    fn forget_endpoint(&mut self, endpoint: &EndpointId) {
+        self.validator.forget_endpoint(endpoint);
+    }
+
+    fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+        let retry_number = retry as u8;
+        let fields =
+            json!({"mapId": table, "forClasses": classes, "allowance": admitted, "how": retry_number});
+        self.send_if_valid(self.validator.check_admission(table, admitted), "SET_LEVEL", fields);
+    }
+
+    fn request_acknowledgement(&mut self, number: u32) {
+        self.send("CHECKPOINT", json!({"epoch": number, "set": false}));
+    }
+
+    /// The simulator loses no commands.
+    fn resend_commands(&mut self) {}
+
+    fn watch_endpoints(&mut self) {
+        self.send("FOLLOW", json!({"set": true}));
+    }
+
+    fn schedule_timer(&mut self, after: Span, timer: Timer) {
+        let delay = after.clamp(MIN_TIMER_DELAY, MAX_TIMER_DELAY);
+        self.send("TIMER", json!({"afterUs": delay.as_us(), "label": timer.label()}));
+    }
+}
