--- a/fleet/src/import.rs
+++ b/fleet/src/import.rs
@@ -1,7 +1,7 @@
 //! Captured load out of other programs' logs: CSV and JSON lines.
 
 use crate::model::Fleet;
-use otterwinch_traffic_capture::Txn;
+use otterwinch_traffic_capture::RequestRecord;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -92,7 +92,7 @@
 pub fn import(
     from: impl Read,
     reading: &Reading,
-    mut take: impl FnMut(Txn) -> std::io::Result<()>,
+    mut take: impl FnMut(RequestRecord) -> std::io::Result<()>,
 ) -> Result<Imported, String> {
     let mut imported = Imported::default();
     let mut first = None;
@@ -105,7 +105,7 @@
                     at_us
                 });
                 imported.txns += 1;
-                take(Txn { at_us: at_us.saturating_sub(first), ..txn })
+                take(RequestRecord { at_us: at_us.saturating_sub(first), ..txn })
                     .map_err(|e| format!("it can't be written: {e}"))
             }
             Err(fault) => {
@@ -182,7 +182,7 @@
 }
 
 /// One row: its time in microseconds, and the rest.
-fn one(field: Field, reading: &Reading) -> Result<(i64, Txn), String> {
+fn one(field: Field, reading: &Reading) -> Result<(i64, RequestRecord), String> {
     let columns = &reading.columns;
     let needed = |name: &str| field(name).ok_or_else(|| format!("'{name}' is missing"));
     let at = needed(&columns.at)?;
@@ -227,7 +227,17 @@
             .ok_or_else(|| format!("'{}' is no number of tries: '{text}'", columns.attempt))?,
     };
     let key = field(&columns.key).map(|key| xxh3_64(key.as_bytes()));
-    Ok((at_us, Txn { at_us: 0, product, hall, work_us, key, attempt }))
+    Ok((
+        at_us,
+        RequestRecord {
+            at_us: 0,
+            request_class: product,
+            zone: hall,
+            work_us,
+            idempotency_key: key,
+            attempt,
+        },
+    ))
 }
 
 fn when(text: &str, unit: Unit) -> Option<i64> {
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -4,7 +4,7 @@
 use crate::draws::stream;
 use crate::make::work;
 use crate::model::Fleet;
-use otterwinch_traffic_capture::{Asked, Piece, Reader, Start, Sum, Txn};
+use otterwinch_traffic_capture::{CaptureHeader, CaptureItem, Demand, LoadReport, Reader, RequestRecord};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -84,7 +84,7 @@
     at_us: i64,
     /// The order of the capture, where two are due at once.
     nth: u64,
-    txn: Txn,
+    txn: RequestRecord,
 }
 
 impl Eq for Waits {}
@@ -109,7 +109,7 @@
     /// The fleet's places of the capture's products and halls.
     products: Vec<Option<usize>>,
     halls: Vec<Option<usize>>,
-    start: Start,
+    start: CaptureHeader,
     waiting: BinaryHeap<Waits>,
     nth: u64,
     latest_us: i64,
@@ -126,11 +126,12 @@
     /// Opens a capture for a fleet. Fails where the capture names nothing that the fleet knows.
     pub fn open(from: R, fleet: &'a Fleet, seed: u64) -> Result<Self, String> {
         let reader = Reader::open(from).map_err(|e| e.to_string())?;
-        let start = reader.start().clone();
-        let products: Vec<_> = start.products.iter().map(|name| fleet.product(name)).collect();
-        let halls: Vec<_> = start.halls.iter().map(|name| fleet.hall(name)).collect();
+        let start = reader.header().clone();
+        let products: Vec<_> = start.request_classes.iter().map(|name| fleet.product(name)).collect();
+        let halls: Vec<_> = start.zones.iter().map(|name| fleet.hall(name)).collect();
         let none = |known: &[Option<usize>]| known.iter().all(Option::is_none);
-        for (what, known, names) in [("product", &products, &start.products), ("hall", &halls, &start.halls)]
+        for (what, known, names) in
+            [("product", &products, &start.request_classes), ("hall", &halls, &start.zones)]
         {
             if none(known) {
                 let names = names.join(", ");
@@ -162,7 +163,7 @@
         &self.heard
     }
 
-    fn take(&mut self, txn: Txn) {
+    fn take(&mut self, txn: RequestRecord) {
         let mut at_us = txn.at_us.saturating_add(self.shift_us);
         if self.latest_us != i64::MIN && at_us < self.latest_us - REORDERED_US {
             let by = self.latest_us - at_us;
@@ -178,18 +179,23 @@
     }
 
     /// Txns of a sum: due at even chance within its interval.
-    fn spread(&mut self, asked: &Asked) {
+    fn spread(&mut self, asked: &Demand) {
         // Forwarders are numbered hall by hall, as the fleet lists them.
-        let of = self.hall_of(asked.forwarder);
+        let of = self.hall_of(asked.proxy);
         let hall = self.halls.iter().position(|hall| *hall == of).unwrap_or(0) as u32;
-        let from = asked.at_us - asked.over_us as i64;
-        let mut times: Vec<i64> = (0..asked.txns.min(1_000_000))
-            .map(|_| from + (self.spread.random::<f64>() * asked.over_us as f64) as i64)
+        let from = asked.at_us - asked.interval_us as i64;
+        let mut times: Vec<i64> = (0..asked.requests.min(1_000_000))
+            .map(|_| from + (self.spread.random::<f64>() * asked.interval_us as f64) as i64)
             .collect();
         times.sort_unstable();
         for at_us in times {
             self.heard.spread += 1;
-            self.take(Txn { at_us, product: asked.product, hall, ..Txn::default() });
+            self.take(RequestRecord {
+                at_us,
+                request_class: asked.request_class,
+                zone: hall,
+                ..RequestRecord::default()
+            });
         }
     }
 
@@ -210,21 +216,23 @@
             }
             match self.reader.next() {
                 None => self.over = true,
-                Some(Piece::Txns(txns)) => txns.into_iter().for_each(|txn| self.take(txn)),
-                Some(Piece::Sums(sums)) => {
+                Some(CaptureItem::Requests(txns)) => txns.into_iter().for_each(|txn| self.take(txn)),
+                Some(CaptureItem::Reports(sums)) => {
                     for sum in sums {
-                        if let Sum::Asked(asked) = sum {
+                        if let LoadReport::Demand(asked) = sum {
                             self.spread(&asked);
                         }
                     }
                 }
-                Some(Piece::Amiss(amiss)) => self.heard.amiss.push(amiss.to_string()),
+                Some(CaptureItem::Corruption(amiss)) => self.heard.amiss.push(amiss.to_string()),
             }
         }
     }
 
     fn due(&mut self, waits: Waits) -> Option<Due> {
-        let Txn { product, hall, work_us, key, attempt, .. } = waits.txn;
+        let RequestRecord {
+            request_class: product, zone: hall, work_us, idempotency_key: key, attempt, ..
+        } = waits.txn;
         if attempt > 0 {
             self.heard.repeats += 1;
             return None;
@@ -232,11 +240,11 @@
         let (named, placed) = (product as usize, hall as usize);
         let mut unknown = |name: &str| *self.heard.unknown.entry(name.to_owned()).or_default() += 1;
         let Some(product) = self.products[named] else {
-            unknown(&self.start.products[named]);
+            unknown(&self.start.request_classes[named]);
             return None;
         };
         let Some(hall) = self.halls[placed] else {
-            unknown(&self.start.halls[placed]);
+            unknown(&self.start.zones[placed]);
             return None;
         };
         let at = waits.at_us as f64 / 1e6;
--- a/fleet/src/make.rs
+++ b/fleet/src/make.rs
@@ -5,7 +5,7 @@
 use crate::model::{Fleet, Work};
 use crate::proto;
 use otterwinch_textproto::Checker;
-use otterwinch_traffic_capture::Txn;
+use otterwinch_traffic_capture::RequestRecord;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Zipf};
 use rand_pcg::Pcg64Mcg;
@@ -139,10 +139,10 @@
     pub fn dues(self) -> impl Iterator<Item = Due> {
         self.map(|txn| Due {
             at: txn.at_us as f64 / 1e6,
-            product: txn.product as usize,
-            hall: txn.hall as usize,
+            product: txn.request_class as usize,
+            hall: txn.zone as usize,
             work: txn.work_us.unwrap_or(0) as f64 / 1e6,
-            key: txn.key,
+            key: txn.idempotency_key,
         })
     }
 
@@ -198,9 +198,9 @@
 }
 
 impl Iterator for Maker {
-    type Item = Txn;
+    type Item = RequestRecord;
 
-    fn next(&mut self) -> Option<Txn> {
+    fn next(&mut self) -> Option<RequestRecord> {
         if self.highest <= 0.0 {
             return None;
         }
@@ -225,12 +225,12 @@
                 }
             }
             let key = self.popular.as_ref().map(|popular| popular.sample(&mut self.keys) as u64);
-            return Some(Txn {
+            return Some(RequestRecord {
                 at_us: (self.at * 1e6) as i64,
-                product: product as u32,
-                hall: hall as u32,
+                request_class: product as u32,
+                zone: hall as u32,
                 work_us: Some((cost * 1e6).round() as u64),
-                key,
+                idempotency_key: key,
                 attempt: 0,
             });
         }
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -5,7 +5,7 @@
 use otterwinch_fleet::make::Maker;
 use otterwinch_fleet::model::{Fleet, Repeats};
 use otterwinch_fleet::{read, read_recipe, Due};
-use otterwinch_traffic_capture::{Asked, Start, Sum, Txn, Writer};
+use otterwinch_traffic_capture::{CaptureHeader, Demand, LoadReport, RequestRecord, Writer};
 use std::collections::BTreeMap;
 
 fn example(name: &str) -> String {
@@ -114,7 +114,7 @@
 fn a_recipe_makes_the_same_load_from_the_same_seed() {
     let fleet = small();
     let recipe = read_recipe("m", &example("loads/minute.make"), &fleet).unwrap();
-    let make = |seed| Maker::new(&fleet, &recipe, seed).collect::<Vec<Txn>>();
+    let make = |seed| Maker::new(&fleet, &recipe, seed).collect::<Vec<RequestRecord>>();
     let txns = make(3);
     assert_eq!(txns, make(3));
     assert_ne!(txns, make(4));
@@ -122,7 +122,7 @@
     assert!((3_000..3_600).contains(&txns.len()), "{}", txns.len());
     let costly = |from: i64, to: i64| {
         let within = txns.iter().filter(|t| (from..to).contains(&t.at_us));
-        within.filter(|t| t.product == 0 && t.work_us > Some(800_000)).count()
+        within.filter(|t| t.request_class == 0 && t.work_us > Some(800_000)).count()
     };
     assert_eq!(costly(0, 25_000_000), 0);
     assert!(costly(25_000_000, 33_000_000) > 0);
@@ -136,34 +136,39 @@
     assert_eq!(told, format!("m:2: burst[0].product: {expected}"));
 }
 
-fn captured(start: &Start, txns: &[Txn], sums: &[Sum]) -> Vec<u8> {
+fn captured(start: &CaptureHeader, txns: &[RequestRecord], sums: &[LoadReport]) -> Vec<u8> {
     let mut file = Vec::new();
     let mut writer = Writer::open(&mut file, start, None).unwrap();
-    txns.iter().for_each(|txn| writer.txn(*txn).unwrap().unwrap());
-    sums.iter().for_each(|sum| writer.sum(sum.clone()).unwrap().unwrap());
-    writer.end().unwrap();
+    txns.iter().for_each(|txn| writer.write_request(*txn).unwrap());
+    sums.iter().for_each(|sum| writer.write_report(sum.clone()).unwrap());
+    writer.finish().unwrap();
     file
 }
 
-fn start(products: &[&str], halls: &[&str]) -> Start {
+fn start(products: &[&str], halls: &[&str]) -> CaptureHeader {
     let own = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    Start { products: own(products), halls: own(halls), ..Start::default() }
+    CaptureHeader { request_classes: own(products), zones: own(halls), ..CaptureHeader::default() }
 }
 
-fn txn(at_s: f64, product: u32) -> Txn {
-    Txn { at_us: (at_s * 1e6) as i64, product, work_us: Some(100_000), ..Txn::default() }
+fn txn(at_s: f64, product: u32) -> RequestRecord {
+    RequestRecord {
+        at_us: (at_s * 1e6) as i64,
+        request_class: product,
+        work_us: Some(100_000),
+        ..RequestRecord::default()
+    }
 }
 
 #[test]
 fn a_capture_with_holes_steps_strangers_and_repeats_is_read_and_told() {
     let fleet = small();
-    let mut txns: Vec<Txn> = (0..400).map(|k| txn(f64::from(k) * 0.01, 0)).collect();
+    let mut txns: Vec<RequestRecord> = (0..400).map(|k| txn(f64::from(k) * 0.01, 0)).collect();
     // A txn written late, a hole of half a minute, then the clock steps back to the beginning.
     txns.push(txn(3.5, 0));
     txns.extend((0..200).map(|k| txn(34.0 + f64::from(k) * 0.01, 1)));
     txns.extend((0..200).map(|k| txn(f64::from(k) * 0.01, 0)));
-    txns.push(Txn { attempt: 1, ..txn(3.0, 0) });
-    txns.push(Txn { work_us: None, ..txn(3.0, 0) });
+    txns.push(RequestRecord { attempt: 1, ..txn(3.0, 0) });
+    txns.push(RequestRecord { work_us: None, ..txn(3.0, 0) });
     let file = captured(&start(&["seat-hold", "parcel"], &["west"]), &txns, &[]);
     let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
     let dues: Vec<Due> = load.by_ref().collect();
@@ -192,8 +197,15 @@
 fn sums_become_txns_spread_over_their_interval_in_the_forwarders_hall() {
     let fleet = small();
     // Forwarders 0 and 1 stand in the east, 2 and 3 in the west.
-    let asked =
-        |forwarder, at_us| Sum::Asked(Asked { at_us, over_us: 1_000_000, forwarder, product: 0, txns: 20 });
+    let asked = |forwarder, at_us| {
+        LoadReport::Demand(Demand {
+            at_us,
+            interval_us: 1_000_000,
+            proxy: forwarder,
+            request_class: 0,
+            requests: 20,
+        })
+    };
     let sums = [asked(0, 1_000_000), asked(3, 1_000_000), asked(3, 2_000_000)];
     let file = captured(&start(&["fare-quote"], &["east", "west"]), &[], &sums);
     let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
@@ -220,8 +232,8 @@
     .unwrap();
     assert_eq!((imported.txns, imported.refused), (2, 4));
     assert_eq!((txns[0].at_us, txns[0].work_us), (0, Some(140_000)));
-    assert_eq!((txns[1].at_us, txns[1].hall, txns[1].work_us), (500_000, 1, None));
-    assert_eq!(txns[0].key, txns[1].key);
+    assert_eq!((txns[1].at_us, txns[1].zone, txns[1].work_us), (500_000, 1, None));
+    assert_eq!(txns[0].idempotency_key, txns[1].idempotency_key);
     assert_eq!(imported.faults.iter().map(|f| f.0).collect::<Vec<_>>(), [3, 4, 6, 7]);
     assert!(imported.faults[0].1.contains("the fleet has no product 'parcel'"), "{:?}", imported.faults);
 }
--- a/traffic-capture/src/lib.rs
+++ b/traffic-capture/src/lib.rs
@@ -1,17 +1,21 @@
-//! Captured load: what came to a fleet, one record a txn, or the coarser sums that a supervisor hears. A file is a row
-//! of blocks, each compressed and with a checksum of its own, so that a file that was cut off reads to its last whole
-//! block and a spoilt block costs itself alone.
+//! Captured traffic: what a fleet was asked, as one record for each request or as the coarser load reports that a
+//! controller gets. A file is a sequence of blocks, each compressed and with a checksum of its own: a truncated file is
+//! readable up to its last complete block, and a corrupt block costs nothing but itself.
 //!
-//! [`Writer`] and [`Reader`] are the two ends; `record.rs` holds the records, `block.rs` a block's bytes, `wire.rs` what
-//! is inside a block. No clock, no thread; bytes come and go through `std::io`.
+//! [`Writer`] and [`Reader`] are the two ends. `records` holds the records, `block` the framing of a block, `payload`
+//! what a block contains, `input` and `block_reader` the reading of blocks, `corruption` what can be wrong with a file.
+//! There is no clock and no thread; bytes pass through `std::io`.
 
 mod block;
+mod block_reader;
+mod corruption;
+mod input;
+mod payload;
 mod reader;
-mod record;
-mod wire;
+mod records;
 mod writer;
 
-pub use block::Kind;
-pub use reader::{Amiss, Piece, Reader};
-pub use record::{Asked, Met, Start, Sum, Txn};
-pub use writer::{Full, Writer};
+pub use corruption::{BlockError, Corruption};
+pub use reader::{CaptureItem, OpenError, Reader};
+pub use records::{CaptureHeader, Demand, EndpointOutcomes, LoadReport, RecordCounts, RequestRecord};
+pub use writer::{WriteError, Writer};
--- a/traffic-capture/src/payload.rs
+++ b/traffic-capture/src/payload.rs
@@ -1,196 +1,262 @@
-//! What is inside a block: protobuf, a column a field, so that like stands beside like and compresses well.
+//! The payload of each kind of block: protobuf, with one column a field where like values then stand side by side and
+//! compress well. The tags and types are stored in files and must not change.
 
-use crate::record::{Asked, Met, Start, Sum, Txn};
+use crate::corruption::BlockError;
+use crate::records::{CaptureHeader, Demand, EndpointOutcomes, LoadReport, RecordCounts, RequestRecord};
 use prost::Message;
+use std::collections::HashMap;
 
 #[derive(Clone, PartialEq, Message)]
-pub struct StartBlock {
+struct HeaderPayload {
     #[prost(string, repeated, tag = "1")]
-    pub products: Vec<String>,
+    request_classes: Vec<String>,
     #[prost(string, repeated, tag = "2")]
-    pub halls: Vec<String>,
+    zones: Vec<String>,
     #[prost(uint64, tag = "3")]
-    pub began_unix_ms: u64,
+    started_unix_ms: u64,
     #[prost(string, tag = "4")]
-    pub source: String,
+    source: String,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct EndBlock {
+struct EndPayload {
     #[prost(uint64, tag = "1")]
-    pub txns: u64,
+    requests: u64,
     #[prost(uint64, tag = "2")]
-    pub sums: u64,
+    reports: u64,
 }
 
-/// Columns of one length. Times are differences from the record before; a figure that may be absent is one more
-/// than it is, and 0 where it is absent.
+/// Columns of equal length, one element a request. The two last columns may be empty instead.
 #[derive(Clone, PartialEq, Message)]
-pub struct TxnBlock {
+struct RequestsPayload {
+    /// The time since the request before; the first counts from 0.
     #[prost(sint64, repeated, tag = "1")]
-    pub gap_us: Vec<i64>,
+    gap_us: Vec<i64>,
     #[prost(uint32, repeated, tag = "2")]
-    pub product: Vec<u32>,
+    request_class: Vec<u32>,
     #[prost(uint32, repeated, tag = "3")]
-    pub hall: Vec<u32>,
+    zone: Vec<u32>,
+    /// See [`encode_optional`].
     #[prost(uint64, repeated, tag = "4")]
-    pub work_us: Vec<u64>,
-    /// Absent where no txn of the block has a key.
+    work_us: Vec<u64>,
+    /// See [`encode_optional`]. Empty where no request of the block has a key.
     #[prost(fixed64, repeated, tag = "5")]
-    pub key: Vec<u64>,
-    /// Absent where all are first tries.
+    idempotency_key: Vec<u64>,
+    /// Empty where all are first attempts.
     #[prost(uint32, repeated, tag = "6")]
-    pub attempt: Vec<u32>,
+    attempt: Vec<u32>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub struct SumBlock {
+struct ReportsPayload {
+    /// The names to which the rows refer.
     #[prost(string, repeated, tag = "1")]
-    pub nodes: Vec<String>,
+    endpoints: Vec<String>,
     #[prost(message, repeated, tag = "2")]
-    pub met: Vec<MetRow>,
+    endpoint_outcomes: Vec<EndpointOutcomesRow>,
     #[prost(message, repeated, tag = "3")]
-    pub asked: Vec<AskedRow>,
+    demand: Vec<DemandRow>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct MetRow {
+struct EndpointOutcomesRow {
     #[prost(sint64, tag = "1")]
-    pub at_us: i64,
+    at_us: i64,
     #[prost(uint64, tag = "2")]
-    pub over_us: u64,
+    interval_us: u64,
     #[prost(uint32, tag = "3")]
-    pub hall: u32,
-    /// The place of its name among the block's nodes.
+    zone: u32,
+    /// The position of its name among the block's endpoints.
     #[prost(uint32, tag = "4")]
-    pub node: u32,
+    endpoint: u32,
     #[prost(uint64, tag = "5")]
-    pub tries: u64,
+    attempts: u64,
     #[prost(uint64, tag = "6")]
-    pub voided: u64,
+    failures: u64,
     #[prost(uint64, tag = "7")]
-    pub took_us: u64,
+    mean_latency_us: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AskedRow {
+struct DemandRow {
     #[prost(sint64, tag = "1")]
-    pub at_us: i64,
+    at_us: i64,
     #[prost(uint64, tag = "2")]
-    pub over_us: u64,
+    interval_us: u64,
     #[prost(uint32, tag = "3")]
-    pub forwarder: u32,
+    proxy: u32,
     #[prost(uint32, tag = "4")]
-    pub product: u32,
+    request_class: u32,
     #[prost(uint64, tag = "5")]
-    pub txns: u64,
+    requests: u64,
 }
 
-pub fn start(start: &Start) -> Vec<u8> {
-    let Start { products, halls, began_unix_ms, source } = start.clone();
-    StartBlock { products, halls, began_unix_ms, source }.encode_to_vec()
+/// Encodes the header of a file.
+pub fn encode_header(header: &CaptureHeader) -> Vec<u8> {
+    let CaptureHeader { request_classes, zones, started_unix_ms, source } = header.clone();
+    HeaderPayload { request_classes, zones, started_unix_ms, source }.encode_to_vec()
 }
 
-pub fn read_start(bytes: &[u8]) -> Result<Start, String> {
-    let StartBlock { products, halls, began_unix_ms, source } =
-        StartBlock::decode(bytes).map_err(|e| e.to_string())?;
-    Ok(Start { products, halls, began_unix_ms, source })
+/// Decodes the header of a file.
+pub fn decode_header(payload: &[u8]) -> Result<CaptureHeader, BlockError> {
+    let HeaderPayload { request_classes, zones, started_unix_ms, source } = HeaderPayload::decode(payload)?;
+    Ok(CaptureHeader { request_classes, zones, started_unix_ms, source })
 }
 
-pub fn txns(txns: &[Txn]) -> Vec<u8> {
-    let mut block = TxnBlock::default();
-    let (keyed, repeated) = (txns.iter().any(|t| t.key.is_some()), txns.iter().any(|t| t.attempt > 0));
-    let mut before = 0;
-    for txn in txns {
-        block.gap_us.push(txn.at_us.wrapping_sub(before));
-        before = txn.at_us;
-        block.product.push(txn.product);
-        block.hall.push(txn.hall);
-        block.work_us.push(txn.work_us.map_or(0, |work| work.saturating_add(1)));
-        if keyed {
-            // A hash of all ones would pass for none; its neighbour serves as well.
-            block.key.push(txn.key.map_or(0, |key| key.saturating_add(1)));
+/// Encodes the counts of an end block.
+pub fn encode_end(counts: RecordCounts) -> Vec<u8> {
+    EndPayload { requests: counts.requests, reports: counts.reports }.encode_to_vec()
+}
+
+/// Decodes the counts of an end block.
+pub fn decode_end(payload: &[u8]) -> Result<RecordCounts, BlockError> {
+    let EndPayload { requests, reports } = EndPayload::decode(payload)?;
+    Ok(RecordCounts { requests, reports })
+}
+
+/// Encodes a block of requests.
+pub fn encode_requests(requests: &[RequestRecord]) -> Vec<u8> {
+    let has_keys = requests.iter().any(|request| request.idempotency_key.is_some());
+    let has_retries = requests.iter().any(|request| request.attempt > 0);
+    let mut columns = RequestsPayload::default();
+    let mut previous_us = 0;
+    for request in requests {
+        columns.gap_us.push(request.at_us.wrapping_sub(previous_us));
+        previous_us = request.at_us;
+        columns.request_class.push(request.request_class);
+        columns.zone.push(request.zone);
+        columns.work_us.push(encode_optional(request.work_us));
+        if has_keys {
+            columns.idempotency_key.push(encode_optional(request.idempotency_key));
         }
-        if repeated {
-            block.attempt.push(txn.attempt);
+        if has_retries {
+            columns.attempt.push(request.attempt);
         }
     }
-    block.encode_to_vec()
+    columns.encode_to_vec()
 }
 
-/// Reads a block of txns, and checks that its columns fit each other and the names that the file opened with.
-pub fn read_txns(bytes: &[u8], start: &Start) -> Result<Vec<Txn>, String> {
-    let block = TxnBlock::decode(bytes).map_err(|e| e.to_string())?;
-    let rows = block.gap_us.len();
-    let whole = [block.product.len(), block.hall.len(), block.work_us.len()];
-    let partly = [block.key.len(), block.attempt.len()];
-    if whole.iter().any(|n| *n != rows) || partly.iter().any(|n| *n != rows && *n != 0) {
-        return Err("its columns are not of one length".into());
-    }
-    let known = |all: &[u32], names: &[String]| all.iter().all(|place| (*place as usize) < names.len());
-    if !known(&block.product, &start.products) || !known(&block.hall, &start.halls) {
-        return Err("it names a product or hall that the file did not open with".into());
-    }
+/// Decodes a block of requests, and checks that its columns fit each other and the header of the file.
+pub fn decode_requests(payload: &[u8], header: &CaptureHeader) -> Result<Vec<RequestRecord>, BlockError> {
+    let columns = RequestsPayload::decode(payload)?;
+    check_column_lengths(&columns)?;
+    check_positions(&columns.request_class, &header.request_classes)?;
+    check_positions(&columns.zone, &header.zones)?;
+    let mut requests = Vec::with_capacity(columns.gap_us.len());
     let mut at_us = 0i64;
-    let row = |k: usize| {
-        at_us = at_us.wrapping_add(block.gap_us[k]);
-        Txn {
+    for (row, gap_us) in columns.gap_us.iter().enumerate() {
+        at_us = at_us.wrapping_add(*gap_us);
+        requests.push(RequestRecord {
             at_us,
-            product: block.product[k],
-            hall: block.hall[k],
-            work_us: block.work_us[k].checked_sub(1),
-            key: block.key.get(k).and_then(|key| key.checked_sub(1)),
-            attempt: block.attempt.get(k).copied().unwrap_or(0),
-        }
-    };
-    Ok((0..rows).map(row).collect())
-}
-
-pub fn sums(sums: &[Sum]) -> Vec<u8> {
-    let mut block = SumBlock::default();
-    let mut places = std::collections::HashMap::<&str, u32>::new();
-    for sum in sums {
-        match sum {
-            Sum::Met(Met { at_us, over_us, hall, node, tries, voided, took_us }) => {
-                let node = *places.entry(node).or_insert_with(|| {
-                    block.nodes.push(node.clone());
-                    block.nodes.len() as u32 - 1
+            request_class: columns.request_class[row],
+            zone: columns.zone[row],
+            work_us: decode_optional(columns.work_us[row]),
+            idempotency_key: columns.idempotency_key.get(row).copied().and_then(decode_optional),
+            attempt: columns.attempt.get(row).copied().unwrap_or(0),
+        });
+    }
+    Ok(requests)
+}
+
+/// A value plus one, or 0 for none. The largest value can't be told from its neighbour, which matters neither to a hash
+/// nor to a length of time.
+fn encode_optional(value: Option<u64>) -> u64 {
+    value.map_or(0, |value| value.saturating_add(1))
+}
+
+fn decode_optional(stored: u64) -> Option<u64> {
+    stored.checked_sub(1)
+}
+
+fn check_column_lengths(columns: &RequestsPayload) -> Result<(), BlockError> {
+    let rows = columns.gap_us.len();
+    let required = [columns.request_class.len(), columns.zone.len(), columns.work_us.len()];
+    let optional = [columns.idempotency_key.len(), columns.attempt.len()];
+    let equal = required.iter().all(|length| *length == rows);
+    if equal && optional.iter().all(|length| *length == rows || *length == 0) {
+        return Ok(());
+    }
+    Err(BlockError::ColumnLengths)
+}
+
+fn check_positions(positions: &[u32], names: &[String]) -> Result<(), BlockError> {
+    if positions.iter().all(|position| (*position as usize) < names.len()) {
+        return Ok(());
+    }
+    Err(BlockError::UnknownName)
+}
+
+/// Encodes a block of load reports.
+pub fn encode_reports(reports: &[LoadReport]) -> Vec<u8> {
+    let mut payload = ReportsPayload::default();
+    let mut positions = HashMap::<&str, u32>::new();
+    for report in reports {
+        match report {
+            LoadReport::EndpointOutcomes(outcomes) => {
+                let position = *positions.entry(&outcomes.endpoint).or_insert_with(|| {
+                    payload.endpoints.push(outcomes.endpoint.clone());
+                    payload.endpoints.len() as u32 - 1
                 });
-                let (at_us, over_us, hall) = (*at_us, *over_us, *hall);
-                let (tries, voided, took_us) = (*tries, *voided, *took_us);
-                block.met.push(MetRow { at_us, over_us, hall, node, tries, voided, took_us });
-            }
-            Sum::Asked(Asked { at_us, over_us, forwarder, product, txns }) => {
-                let (at_us, over_us, forwarder) = (*at_us, *over_us, *forwarder);
-                block.asked.push(AskedRow { at_us, over_us, forwarder, product: *product, txns: *txns });
+                payload.endpoint_outcomes.push(EndpointOutcomesRow::new(outcomes, position));
             }
+            LoadReport::Demand(demand) => payload.demand.push(DemandRow::from(*demand)),
         }
     }
-    block.encode_to_vec()
+    payload.encode_to_vec()
 }
 
-pub fn read_sums(bytes: &[u8], start: &Start) -> Result<Vec<Sum>, String> {
-    let block = SumBlock::decode(bytes).map_err(|e| e.to_string())?;
-    let hall = |hall: u32| (hall as usize) < start.halls.len();
-    let product = |product: u32| (product as usize) < start.products.len();
-    if !block.met.iter().all(|row| hall(row.hall)) || !block.asked.iter().all(|row| product(row.product)) {
-        return Err("it names a product or hall that the file did not open with".into());
+/// Decodes a block of load reports, those of endpoints first, and checks them against the header of the file.
+pub fn decode_reports(payload: &[u8], header: &CaptureHeader) -> Result<Vec<LoadReport>, BlockError> {
+    let payload = ReportsPayload::decode(payload)?;
+    let zones: Vec<u32> = payload.endpoint_outcomes.iter().map(|row| row.zone).collect();
+    let request_classes: Vec<u32> = payload.demand.iter().map(|row| row.request_class).collect();
+    check_positions(&zones, &header.zones)?;
+    check_positions(&request_classes, &header.request_classes)?;
+    let mut reports = Vec::with_capacity(payload.endpoint_outcomes.len() + payload.demand.len());
+    for row in &payload.endpoint_outcomes {
+        let endpoint = payload.endpoints.get(row.endpoint as usize).ok_or(BlockError::UnknownEndpoint)?;
+        reports.push(LoadReport::EndpointOutcomes(row.to_outcomes(endpoint)));
+    }
+    for row in payload.demand {
+        reports.push(LoadReport::Demand(row.into()));
     }
-    let mut sums = Vec::with_capacity(block.met.len() + block.asked.len());
-    for MetRow { at_us, over_us, hall, node, tries, voided, took_us } in block.met {
-        let node = block.nodes.get(node as usize).ok_or("it names a node that it does not list")?.clone();
-        sums.push(Sum::Met(Met { at_us, over_us, hall, node, tries, voided, took_us }));
+    Ok(reports)
+}
+
+impl EndpointOutcomesRow {
+    fn new(outcomes: &EndpointOutcomes, endpoint: u32) -> Self {
+        EndpointOutcomesRow {
+            at_us: outcomes.at_us,
+            interval_us: outcomes.interval_us,
+            zone: outcomes.zone,
+            endpoint,
+            attempts: outcomes.attempts,
+            failures: outcomes.failures,
+            mean_latency_us: outcomes.mean_latency_us,
+        }
     }
-    for AskedRow { at_us, over_us, forwarder, product, txns } in block.asked {
-        sums.push(Sum::Asked(Asked { at_us, over_us, forwarder, product, txns }));
+
+    fn to_outcomes(self, endpoint: &str) -> EndpointOutcomes {
+        EndpointOutcomes {
+            at_us: self.at_us,
+            interval_us: self.interval_us,
+            zone: self.zone,
+            endpoint: endpoint.to_owned(),
+            attempts: self.attempts,
+            failures: self.failures,
+            mean_latency_us: self.mean_latency_us,
+        }
     }
-    Ok(sums)
 }
 
-pub fn end(txns: u64, sums: u64) -> Vec<u8> {
-    EndBlock { txns, sums }.encode_to_vec()
+impl From<Demand> for DemandRow {
+    fn from(Demand { at_us, interval_us, proxy, request_class, requests }: Demand) -> Self {
+        DemandRow { at_us, interval_us, proxy, request_class, requests }
+    }
 }
 
-pub fn read_end(bytes: &[u8]) -> Result<(u64, u64), String> {
-    EndBlock::decode(bytes).map(|end| (end.txns, end.sums)).map_err(|e| e.to_string())
+impl From<DemandRow> for Demand {
+    fn from(DemandRow { at_us, interval_us, proxy, request_class, requests }: DemandRow) -> Self {
+        Demand { at_us, interval_us, proxy, request_class, requests }
+    }
 }
--- a/traffic-capture/src/reader.rs
+++ b/traffic-capture/src/reader.rs
@@ -1,248 +1,157 @@
-//! The reading end: one block at a time, so that memory does not grow with the file. What can't be read is named with
-//! its place and passed over.
-
-use crate::block::{head, unpack, Kind, HEAD, MAGIC, MARK};
-use crate::record::{Start, Sum, Txn};
-use crate::wire;
-use std::fmt;
+//! Reads a capture block by block, so that memory does not grow with the file. What can't be read is reported with its
+//! offset and skipped.
+
+use crate::block::{BlockKind, FILE_MAGIC, HEADER_BYTES, VERSIONLESS_MAGIC};
+use crate::block_reader::{read_block, Block, NextBlock};
+use crate::corruption::{BlockError, Corruption};
+use crate::input::Input;
+use crate::payload;
+use crate::records::{CaptureHeader, LoadReport, RecordCounts, RequestRecord};
 use std::io::{self, Read};
 
-/// What a file yields, in its order.
+/// What a file yields, in the order of the file.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
-    Txns(Vec<Txn>),
-    Sums(Vec<Sum>),
-    Amiss(Amiss),
-}
-
-/// What could not be read, with the byte of the file at which it begins.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Amiss {
-    /// A block was passed over.
-    Spoilt { at: u64, why: String },
-    /// Bytes that are no block were passed over.
-    Strange { at: u64, bytes: u64 },
-    /// The file ends here without its end block: what came after the last whole block is missing.
-    CutOff { at: u64, within_a_block: bool },
-    /// The end block counts other records than were read.
-    Miscounted { txns: (u64, u64), sums: (u64, u64) },
+pub enum CaptureItem {
+    /// The requests of one block.
+    Requests(Vec<RequestRecord>),
+    /// The load reports of one block.
+    Reports(Vec<LoadReport>),
+    /// A part of the file that could not be read.
+    Corruption(Corruption),
 }
 
-impl fmt::Display for Amiss {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Amiss::Spoilt { at, why } => write!(f, "the block at byte {at} is left out: {why}"),
-            Amiss::Strange { at, bytes } => {
-                write!(f, "{bytes} bytes at byte {at} are no block and are left out")
-            }
-            Amiss::CutOff { at, within_a_block: true } => {
-                write!(f, "the file was cut off within the block at byte {at}; what came later is missing")
-            }
-            Amiss::CutOff { at, .. } => {
-                write!(f, "the file ends at byte {at} without its end: more may be missing")
-            }
-            Amiss::Miscounted { txns, sums } => {
-                write!(f, "{} of {} txns and {} of {} sums could be read", txns.0, txns.1, sums.0, sums.1)
-            }
-        }
-    }
+/// Why a file can't be opened.
+#[derive(Debug, thiserror::Error)]
+pub enum OpenError {
+    /// The input failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The file is something else.
+    #[error("no captured load: it does not begin with OTWLOAD1")]
+    NotACapture,
+    /// The file was written by a newer version.
+    #[error("captured load of a newer version than this program reads")]
+    NewerVersion,
+    /// The first block is corrupt, truncated or not a header.
+    #[error("its first block, which names request classes and zones, can't be read")]
+    UnreadableHeader,
+    /// The first block is intact but its payload is not a valid header.
+    #[error(transparent)]
+    InvalidHeader(#[from] BlockError),
 }
 
+/// Reads one file.
 pub struct Reader<R: Read> {
-    from: R,
-    /// What was read and not yet used, and where in the file it stands.
-    window: Vec<u8>,
-    at: u64,
-    start: Start,
-    read: (u64, u64),
-    ended: bool,
-    done: bool,
+    input: Input<R>,
+    header: CaptureHeader,
+    /// Records that could be read so far.
+    read: RecordCounts,
+    /// The end block was read.
+    end_block_seen: bool,
+    /// Nothing more will be read.
+    finished: bool,
 }
 
-/// A block's kind and what is inside; a kind that this version does not know has none.
-type Block = Result<(Option<Kind>, Vec<u8>), Amiss>;
-
-/// How much is read at a time.
-const STEP: usize = 64 << 10;
-
 impl<R: Read> Reader<R> {
-    /// Opens a file; fails where it is none of ours, or its first block can't be read.
-    pub fn open(from: R) -> io::Result<Self> {
-        let start = Start::default();
-        let mut reader =
-            Reader { from, window: Vec::new(), at: 0, start, read: (0, 0), ended: false, done: false };
-        let unfit = |why: String| io::Error::new(io::ErrorKind::InvalidData, why);
-        reader.fill(MAGIC.len() + HEAD)?;
-        if !reader.window.starts_with(MAGIC) {
-            let newer = reader.window.starts_with(&MAGIC[..7]);
-            return Err(unfit(if newer {
-                "captured load of a newer version than this program reads".into()
-            } else {
-                "no captured load: it does not begin with OTWLOAD1".into()
-            }));
+    /// Opens a file and reads its header.
+    pub fn open(source: R) -> Result<Self, OpenError> {
+        let mut input = Input::new(source);
+        input.fill(FILE_MAGIC.len() + HEADER_BYTES)?;
+        if !input.buffered().starts_with(FILE_MAGIC) {
+            let newer = input.buffered().starts_with(VERSIONLESS_MAGIC);
+            return Err(if newer { OpenError::NewerVersion } else { OpenError::NotACapture });
         }
-        reader.pass(MAGIC.len());
-        let opens = match reader.block()? {
-            Some(Ok((Some(Kind::Start), inside))) => wire::read_start(&inside).map_err(unfit)?,
-            _ => return Err(unfit("its first block, which names products and halls, can't be read".into())),
+        input.consume(FILE_MAGIC.len());
+        let NextBlock::Block(Block { kind: Some(BlockKind::Header), payload, .. }) = read_block(&mut input)?
+        else {
+            return Err(OpenError::UnreadableHeader);
         };
-        reader.start = opens;
-        Ok(reader)
+        Ok(Reader {
+            input,
+            header: payload::decode_header(&payload)?,
+            read: RecordCounts::default(),
+            end_block_seen: false,
+            finished: false,
+        })
     }
 
-    pub fn start(&self) -> &Start {
-        &self.start
+    /// The header of the file.
+    pub fn header(&self) -> &CaptureHeader {
+        &self.header
     }
 
-    /// Reads until the window holds so many bytes; tells whether it does.
-    fn fill(&mut self, bytes: usize) -> io::Result<bool> {
-        while self.window.len() < bytes {
-            let had = self.window.len();
-            self.window.resize(had + STEP.max(bytes - had), 0);
-            let got = loop {
-                match self.from.read(&mut self.window[had..]) {
-                    Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                    got => break got,
+    /// Reads the next item; `None` at the end of the file, an error where the input fails.
+    pub fn read(&mut self) -> io::Result<Option<CaptureItem>> {
+        while !self.finished {
+            let item = match read_block(&mut self.input)? {
+                NextBlock::Block(block) => self.decode(&block),
+                NextBlock::Corrupt(corruption) => {
+                    self.finished = matches!(corruption, Corruption::TruncatedBlock { .. });
+                    Some(CaptureItem::Corruption(corruption))
                 }
+                NextBlock::EndOfFile => self.finish(),
             };
-            match got {
-                Ok(got) => self.window.truncate(had + got),
-                Err(e) => {
-                    self.window.truncate(had);
-                    return Err(e);
-                }
-            }
-            if self.window.len() == had {
-                return Ok(false);
+            if item.is_some() {
+                return Ok(item);
             }
         }
-        Ok(true)
-    }
-
-    fn pass(&mut self, bytes: usize) {
-        self.window.drain(..bytes);
-        self.at += bytes as u64;
+        Ok(None)
     }
 
-    /// The next block: nothing at the end of the file, an `Amiss` where it can't be had.
-    fn block(&mut self) -> io::Result<Option<Block>> {
-        if !self.fill(HEAD)? {
-            if self.window.is_empty() {
-                return Ok(None);
-            }
-            return Ok(Some(Err(self.cut_off(true))));
-        }
-        let Some(head) = head(&self.window) else { return self.strange().map(Some) };
-        if !self.fill(HEAD + head.stored)? {
-            return Ok(Some(Err(self.cut_off(true))));
+    fn finish(&mut self) -> Option<CaptureItem> {
+        self.finished = true;
+        if self.end_block_seen {
+            return None;
         }
-        let at = self.at;
-        let inside = unpack(&head, &self.window[HEAD..HEAD + head.stored]);
-        self.pass(HEAD + head.stored);
-        Ok(Some(match inside {
-            Ok(inside) => Ok((head.kind, inside)),
-            Err(why) => Err(Amiss::Spoilt { at, why }),
-        }))
+        Some(CaptureItem::Corruption(Corruption::MissingEnd { offset: self.input.offset() }))
     }
 
-    fn cut_off(&mut self, within_a_block: bool) -> Amiss {
-        self.done = true;
-        Amiss::CutOff { at: self.at, within_a_block }
+    /// What a block contributes: nothing where its kind is unknown, or where it is an end block that counts right.
+    fn decode(&mut self, block: &Block) -> Option<CaptureItem> {
+        let decoded = match block.kind? {
+            BlockKind::Header => Err(BlockError::RepeatedHeader),
+            BlockKind::Requests => self.decode_requests(&block.payload).map(Some),
+            BlockKind::Reports => self.decode_reports(&block.payload).map(Some),
+            BlockKind::End => self.decode_end(&block.payload),
+        };
+        decoded.unwrap_or_else(|source| {
+            Some(CaptureItem::Corruption(Corruption::CorruptBlock { offset: block.offset, source }))
+        })
     }
 
-    /// Finds the next head behind bytes that are none.
-    fn strange(&mut self) -> io::Result<Block> {
-        let (at, mut passed) = (self.at, 0);
-        loop {
-            // The first byte was looked at already.
-            let found =
-                self.window.windows(HEAD).skip(1).position(|w| w.starts_with(&MARK) && head(w).is_some());
-            if let Some(found) = found {
-                self.pass(found + 1);
-                passed += found as u64 + 1;
-                return Ok(Err(Amiss::Strange { at, bytes: passed }));
-            }
-            let keep = self.window.len().min(HEAD - 1);
-            let seen = self.window.len() - keep;
-            self.pass(seen);
-            passed += seen as u64;
-            let had = self.window.len();
-            if !self.fill(had + 1)? {
-                self.pass(had);
-                return Ok(Err(Amiss::Strange { at, bytes: passed + had as u64 }));
-            }
-            // What was kept may now be the beginning of a head.
-            if head(&self.window).is_some() {
-                return Ok(Err(Amiss::Strange { at, bytes: passed }));
-            }
-        }
+    fn decode_requests(&mut self, payload: &[u8]) -> Result<CaptureItem, BlockError> {
+        let requests = payload::decode_requests(payload, &self.header)?;
+        self.read.requests += requests.len() as u64;
+        Ok(CaptureItem::Requests(requests))
     }
 
-    fn understood(&mut self, kind: Kind, inside: &[u8], at: u64) -> Option<Piece> {
-        let spoilt = |why| Some(Piece::Amiss(Amiss::Spoilt { at, why }));
-        match kind {
-            Kind::Txns => match wire::read_txns(inside, &self.start) {
-                Ok(txns) => {
-                    self.read.0 += txns.len() as u64;
-                    Some(Piece::Txns(txns))
-                }
-                Err(why) => spoilt(why),
-            },
-            Kind::Sums => match wire::read_sums(inside, &self.start) {
-                Ok(sums) => {
-                    self.read.1 += sums.len() as u64;
-                    Some(Piece::Sums(sums))
-                }
-                Err(why) => spoilt(why),
-            },
-            Kind::End => {
-                self.ended = true;
-                let (txns, sums) = match wire::read_end(inside) {
-                    Ok(counts) => counts,
-                    Err(why) => return spoilt(why),
-                };
-                let told = (txns, sums) == self.read;
-                let (txns, sums) = ((self.read.0, txns), (self.read.1, sums));
-                (!told).then_some(Piece::Amiss(Amiss::Miscounted { txns, sums }))
-            }
-            Kind::Start => spoilt("a file opens once".into()),
-        }
+    fn decode_reports(&mut self, payload: &[u8]) -> Result<CaptureItem, BlockError> {
+        let reports = payload::decode_reports(payload, &self.header)?;
+        self.read.reports += reports.len() as u64;
+        Ok(CaptureItem::Reports(reports))
     }
 
-    /// The next piece, or what the file's medium said instead of bytes.
-    pub fn read(&mut self) -> io::Result<Option<Piece>> {
-        while !self.done {
-            let at = self.at;
-            match self.block()? {
-                None => {
-                    self.done = true;
-                    if !self.ended {
-                        return Ok(Some(Piece::Amiss(self.cut_off(false))));
-                    }
-                }
-                Some(Err(amiss)) => return Ok(Some(Piece::Amiss(amiss))),
-                Some(Ok((None, _))) => {}
-                Some(Ok((Some(kind), inside))) => {
-                    if let Some(piece) = self.understood(kind, &inside, at) {
-                        return Ok(Some(piece));
-                    }
-                }
-            }
+    fn decode_end(&mut self, payload: &[u8]) -> Result<Option<CaptureItem>, BlockError> {
+        self.end_block_seen = true;
+        let expected = payload::decode_end(payload)?;
+        if expected == self.read {
+            return Ok(None);
         }
-        Ok(None)
+        Ok(Some(CaptureItem::Corruption(Corruption::CountMismatch { read: self.read, expected })))
     }
 }
 
-/// A medium that fails ends the reading as a file that was cut off does.
+/// Yields the items of a file. An input that fails ends the file, with a [`Corruption`] that says so.
 impl<R: Read> Iterator for Reader<R> {
-    type Item = Piece;
+    type Item = CaptureItem;
 
-    fn next(&mut self) -> Option<Piece> {
+    fn next(&mut self) -> Option<CaptureItem> {
         match self.read() {
-            Ok(piece) => piece,
-            Err(e) => {
-                self.done = true;
-                Some(Piece::Amiss(Amiss::Spoilt { at: self.at, why: format!("it can't be read: {e}") }))
+            Ok(item) => item,
+            Err(error) => {
+                self.finished = true;
+                let offset = self.input.offset();
+                Some(CaptureItem::Corruption(Corruption::CorruptBlock { offset, source: error.into() }))
             }
         }
     }
--- a/traffic-capture/src/records.rs
+++ b/traffic-capture/src/records.rs
@@ -1,56 +1,83 @@
-//! The records, as a program holds them.
+//! The records of a capture, as a program holds them.
 
-/// What a file opens with. Records name products and halls by their places in these lists.
+/// What a file begins with. Records name request classes and zones by their positions in these lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Start {
-    pub products: Vec<String>,
-    pub halls: Vec<String>,
-    /// Unix time of the moment from which records count, in milliseconds; 0 where that means nothing.
-    pub began_unix_ms: u64,
-    /// Who wrote it, in words.
+pub struct CaptureHeader {
+    /// The names of the request classes.
+    pub request_classes: Vec<String>,
+    /// The names of the zones.
+    pub zones: Vec<String>,
+    /// The Unix time from which records count, in milliseconds; 0 where it has no meaning.
+    pub started_unix_ms: u64,
+    /// Which program or person wrote the file, as text.
     pub source: String,
 }
 
-/// One txn, as it came to the fleet.
+/// One request, as it reached the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Txn {
-    /// When it was due, in microseconds from the file's beginning. Clocks that step back make it fall.
+pub struct RequestRecord {
+    /// When it arrived, in microseconds from the start of the capture. It decreases where the clock was set back.
     pub at_us: i64,
-    pub product: u32,
-    pub hall: u32,
+    /// The position of its request class.
+    pub request_class: u32,
+    /// The position of its zone.
+    pub zone: u32,
     /// Work on a core of speed 1, in microseconds, where it is known.
     pub work_us: Option<u64>,
-    /// What its repeats have in common, as a hash; none where it carries no reference.
-    pub key: Option<u64>,
-    /// 0 for the first try, 1 for the first repeat.
+    /// A hash that all attempts of the request share; `None` where it carries no reference.
+    pub idempotency_key: Option<u64>,
+    /// 0 for the first attempt, 1 for the first retry.
     pub attempt: u32,
 }
 
-/// What forwarders of one hall met at one node over an interval.
+/// What the proxies of one zone met at one endpoint over an interval.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Met {
+pub struct EndpointOutcomes {
+    /// The end of the interval, in microseconds from the start of the capture.
     pub at_us: i64,
-    pub over_us: u64,
-    pub hall: u32,
-    pub node: String,
-    pub tries: u64,
-    pub voided: u64,
-    /// The mean time of those that were answered, in microseconds.
-    pub took_us: u64,
+    /// The length of the interval, in microseconds.
+    pub interval_us: u64,
+    /// The position of the proxies' zone.
+    pub zone: u32,
+    /// The name of the endpoint.
+    pub endpoint: String,
+    /// Attempts that ended.
+    pub attempts: u64,
+    /// Those of them that failed without an answer.
+    pub failures: u64,
+    /// The mean latency of those that were answered, in microseconds.
+    pub mean_latency_us: u64,
 }
 
-/// Txns of one product that reached one forwarder over an interval.
+/// Requests of one class that reached one proxy over an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct Demand {
+    /// The end of the interval, in microseconds from the start of the capture.
     pub at_us: i64,
-    pub over_us: u64,
-    pub forwarder: u32,
-    pub product: u32,
-    pub txns: u64,
+    /// The length of the interval, in microseconds.
+    pub interval_us: u64,
+    /// The number of the proxy.
+    pub proxy: u32,
+    /// The position of the request class.
+    pub request_class: u32,
+    /// How many requests arrived.
+    pub requests: u64,
 }
 
+/// A load report: figures of an interval instead of single requests.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Sum {
-    Met(Met),
-    Asked(Asked),
+pub enum LoadReport {
+    /// What one endpoint did.
+    EndpointOutcomes(EndpointOutcomes),
+    /// What one proxy was asked.
+    Demand(Demand),
+}
+
+/// How many records a file holds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RecordCounts {
+    /// Single requests.
+    pub requests: u64,
+    /// Load reports.
+    pub reports: u64,
 }
--- a/traffic-capture/src/writer.rs
+++ b/traffic-capture/src/writer.rs
@@ -1,114 +1,142 @@
-//! The writing end: gathers records into blocks.
+//! Writes a capture: gathers records into blocks.
 
-use crate::block::{pack, Kind, MAGIC};
-use crate::record::{Start, Sum, Txn};
-use crate::wire;
+use crate::block::{encode_block, BlockKind, FILE_MAGIC};
+use crate::payload;
+use crate::records::{CaptureHeader, LoadReport, RecordCounts, RequestRecord};
 use std::io::{self, Write};
 
-/// Records that make a block. A writer that dies loses no more than these.
-const TXNS: usize = 4096;
-const SUMS: usize = 2048;
+/// Records that make a block. A writer that is killed loses no more than these.
+const REQUESTS_PER_BLOCK: usize = 4096;
+const REPORTS_PER_BLOCK: usize = 2048;
 
-/// A file's bytes have reached what was allowed; it was ended whole.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+/// Why a record was not written.
+#[derive(Debug, thiserror::Error)]
+pub enum WriteError {
+    /// The file has reached its largest size. What was not yet written is dropped; [`Writer::finish`] still makes a
+    /// complete file of what was.
+    #[error("the capture has reached its largest size")]
+    SizeLimitReached,
+    /// The output failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
 
-/// Writes one file. What is not ended by [`Writer::end`] reads as cut off.
+/// Writes one file. A file without [`Writer::finish`] reads as truncated.
 ///
 /// ```
-/// use otterwinch_traffic_capture::{Piece, Reader, Start, Txn, Writer};
-/// let start = Start { products: vec!["quote".into()], halls: vec!["north".into()], ..Start::default() };
+/// use otterwinch_traffic_capture::{CaptureHeader, CaptureItem, Reader, RequestRecord, Writer};
+/// let request_classes = vec!["quote".into()];
+/// let header = CaptureHeader { request_classes, zones: vec!["north".into()], ..CaptureHeader::default() };
 /// let mut file = Vec::new();
-/// let mut writer = Writer::open(&mut file, &start, None).unwrap();
-/// writer.txn(Txn { at_us: 5, work_us: Some(200_000), ..Txn::default() }).unwrap();
-/// writer.end().unwrap();
+/// let mut writer = Writer::open(&mut file, &header, None).unwrap();
+/// let request = RequestRecord { at_us: 5, work_us: Some(200_000), ..RequestRecord::default() };
+/// writer.write_request(request).unwrap();
+/// writer.finish().unwrap();
 /// let mut reader = Reader::open(file.as_slice()).unwrap();
-/// assert_eq!(reader.start(), &start);
-/// assert!(matches!(reader.next(), Some(Piece::Txns(txns)) if txns[0].work_us == Some(200_000)));
+/// assert_eq!(reader.header(), &header);
+/// assert!(matches!(reader.next(), Some(CaptureItem::Requests(read)) if read[0].work_us == Some(200_000)));
 /// assert!(reader.next().is_none());
 /// ```
 pub struct Writer<W: Write> {
-    to: W,
-    txns: Vec<Txn>,
-    sums: Vec<Sum>,
-    written: (u64, u64),
-    bytes: u64,
-    most: Option<u64>,
+    output: W,
+    /// Records that are not yet in a block.
+    requests: Vec<RequestRecord>,
+    reports: Vec<LoadReport>,
+    written: RecordCounts,
+    bytes_written: u64,
+    max_bytes: Option<u64>,
 }
 
 impl<W: Write> Writer<W> {
-    /// Opens a file of at most so many bytes; none is no limit.
-    pub fn open(to: W, start: &Start, most: Option<u64>) -> io::Result<Self> {
-        let (txns, sums) = (Vec::with_capacity(TXNS), Vec::new());
-        let mut writer = Writer { to, txns, sums, written: (0, 0), bytes: 0, most };
-        writer.put(MAGIC)?;
-        writer.put(&pack(Kind::Start, &wire::start(start)))?;
+    /// Begins a file of at most `max_bytes`; `None` is no limit.
+    pub fn open(output: W, header: &CaptureHeader, max_bytes: Option<u64>) -> io::Result<Self> {
+        let mut writer = Writer {
+            output,
+            requests: Vec::with_capacity(REQUESTS_PER_BLOCK),
+            reports: Vec::new(),
+            written: RecordCounts::default(),
+            bytes_written: 0,
+            max_bytes,
+        };
+        writer.write_bytes(FILE_MAGIC)?;
+        writer.write_bytes(&encode_block(BlockKind::Header, &payload::encode_header(header)))?;
         Ok(writer)
     }
 
-    fn put(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.bytes += bytes.len() as u64;
-        self.to.write_all(bytes)
+    /// How many bytes were written, without the records that are not yet in a block.
+    pub fn bytes_written(&self) -> u64 {
+        self.bytes_written
     }
 
-    /// How much was written so far, without what is still gathered.
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    /// Adds a request; the error [`WriteError::SizeLimitReached`] says that no further record fits.
+    pub fn write_request(&mut self, request: RequestRecord) -> Result<(), WriteError> {
+        self.requests.push(request);
+        if self.requests.len() >= REQUESTS_PER_BLOCK {
+            return self.flush();
+        }
+        Ok(())
     }
 
-    /// Takes a txn; `Full` where no further record fits. What was taken before is in the file then.
-    pub fn txn(&mut self, txn: Txn) -> io::Result<Result<(), Full>> {
-        self.txns.push(txn);
-        if self.txns.len() >= TXNS {
+    /// Adds a load report; the error [`WriteError::SizeLimitReached`] says that no further record fits.
+    pub fn write_report(&mut self, report: LoadReport) -> Result<(), WriteError> {
+        self.reports.push(report);
+        if self.reports.len() >= REPORTS_PER_BLOCK {
             return self.flush();
         }
-        Ok(Ok(()))
+        Ok(())
     }
 
-    pub fn sum(&mut self, sum: Sum) -> io::Result<Result<(), Full>> {
-        self.sums.push(sum);
-        if self.sums.len() >= SUMS {
-            return self.flush();
+    /// Writes all records so far, as blocks that are smaller than they might be: for a writer that must not lose much
+    /// if it is killed.
+    pub fn flush(&mut self) -> Result<(), WriteError> {
+        if !self.requests.is_empty() {
+            self.write_records(BlockKind::Requests, &payload::encode_requests(&self.requests))?;
+            self.written.requests += self.requests.len() as u64;
+            self.requests.clear();
+        }
+        if !self.reports.is_empty() {
+            self.write_records(BlockKind::Reports, &payload::encode_reports(&self.reports))?;
+            self.written.reports += self.reports.len() as u64;
+            self.reports.clear();
         }
-        Ok(Ok(()))
+        self.output.flush()?;
+        Ok(())
     }
 
-    /// Writes what is gathered as blocks of its own, smaller than they might be: for a writer that must not lose
-    /// much if it dies.
-    pub fn flush(&mut self) -> io::Result<Result<(), Full>> {
-        for (kind, count) in [(Kind::Txns, self.txns.len()), (Kind::Sums, self.sums.len())] {
-            if count == 0 {
-                continue;
-            }
-            let inside = if kind == Kind::Txns { wire::txns(&self.txns) } else { wire::sums(&self.sums) };
-            let block = pack(kind, &inside);
-            // Room is kept for the end block, so that a full file is a whole one.
-            let last = pack(Kind::End, &wire::end(u64::MAX, u64::MAX)).len();
-            if self.most.is_some_and(|most| self.bytes + (block.len() + last) as u64 > most) {
-                self.txns.clear();
-                self.sums.clear();
-                return Ok(Err(Full));
-            }
-            self.put(&block)?;
-            if kind == Kind::Txns {
-                self.written.0 += count as u64;
-                self.txns.clear();
-            } else {
-                self.written.1 += count as u64;
-                self.sums.clear();
-            }
+    /// Writes the remaining records and the end block, and returns how many records the file holds.
+    pub fn finish(mut self) -> io::Result<RecordCounts> {
+        match self.flush() {
+            // The end block counts what was written, not what was dropped.
+            Ok(()) | Err(WriteError::SizeLimitReached) => {}
+            Err(WriteError::Io(error)) => return Err(error),
         }
-        self.to.flush()?;
-        Ok(Ok(()))
+        self.write_bytes(&encode_block(BlockKind::End, &payload::encode_end(self.written)))?;
+        self.output.flush()?;
+        Ok(self.written)
+    }
+
+    /// Writes a block of records, or drops all that are not yet written where it does not fit.
+    fn write_records(&mut self, kind: BlockKind, payload: &[u8]) -> Result<(), WriteError> {
+        let block = encode_block(kind, payload);
+        if !self.has_room_for(block.len()) {
+            self.requests.clear();
+            self.reports.clear();
+            return Err(WriteError::SizeLimitReached);
+        }
+        self.write_bytes(&block)?;
+        Ok(())
+    }
+
+    /// Whether a block fits and leaves room for the end block.
+    fn has_room_for(&self, block_bytes: usize) -> bool {
+        let largest_counts = RecordCounts { requests: u64::MAX, reports: u64::MAX };
+        let end_block = encode_block(BlockKind::End, &payload::encode_end(largest_counts));
+        let needed = self.bytes_written + (block_bytes + end_block.len()) as u64;
+        self.max_bytes.is_none_or(|max_bytes| needed <= max_bytes)
     }
 
-    /// Writes the rest and the mark of a whole file; tells what the file holds, txns and sums.
-    pub fn end(mut self) -> io::Result<(u64, u64)> {
-        // Full: what did not fit was given up, and the end block says so by its counts.
-        let _ = self.flush()?;
-        let (txns, sums) = self.written;
-        self.put(&pack(Kind::End, &wire::end(txns, sums)))?;
-        self.to.flush()?;
-        Ok((txns, sums))
+    fn write_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.bytes_written += bytes.len() as u64;
+        self.output.write_all(bytes)
     }
 }
