--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -9,7 +9,7 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Fleet, Repeats};
+use otterwinch_fleet::model::{Fleet, Idempotency};
 use otterwinch_fleet::Due;
 use otterwinch_simulation::tally::{End, Tally};
 use rand::RngExt;
@@ -105,7 +105,7 @@
 
 /// A txn from its due time to its end, with as many tries as its client makes.
 async fn txn(shared: Arc<Shared>, due: Due, at: Instant) {
-    let product = &shared.fleet.products[due.product];
+    let product = &shared.fleet.request_classes[due.product];
     let clients = &shared.fleet.clients;
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
     let (expires, mut tries) = (at + span(product.expiry), 0);
@@ -136,10 +136,10 @@
             Came::Declined => End::Declined,
             Came::NeverRan | Came::Voided => End::Voided,
         };
-        let may = match product.repeats {
-            Repeats::InquiryLike => true,
-            Repeats::Referenced => never_ran || at.elapsed() < span(product.discard),
-            Repeats::OnceOnly => never_ran,
+        let may = match product.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithIdempotencyKey => never_ran || at.elapsed() < span(product.discard),
+            Idempotency::NotIdempotent => never_ran,
         };
         let (from, to) = (span(clients.wait.0), span(clients.wait.1));
         let again = Instant::now() + from + (to - from).mul_f64(wait);
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Group, Topples, WarmUp};
+use otterwinch_fleet::model::{Group, OverloadCollapse, WarmUp};
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::future::pending;
@@ -47,7 +47,7 @@
     connection_work: f64,
     works_on: bool,
     warm_up: Option<WarmUp>,
-    topples: Option<Topples>,
+    topples: Option<OverloadCollapse>,
     state: Mutex<State>,
     waiting: AtomicU32,
     open: AtomicU32,
@@ -107,14 +107,14 @@
             connection_work: group.connection_work,
             works_on: group.works_on,
             warm_up: group.warm_up,
-            topples: group.topples,
+            topples: group.overload_collapse,
             state: Mutex::new(state),
             waiting: AtomicU32::new(0),
             open: AtomicU32::new(0),
             counts: Counts::default(),
         });
         let serving = Mutex::new(Some(tokio::spawn(serve(listener, shared.clone()))));
-        Ok(Node { name, hall: group.hall, group: place, address, shared, net: net.clone(), serving })
+        Ok(Node { name, hall: group.zone, group: place, address, shared, net: net.clone(), serving })
     }
 
     pub fn counts(&self) -> &Counts {
--- a/emulator/src/plane.rs
+++ b/emulator/src/plane.rs
@@ -3,7 +3,7 @@
 //! use it.
 
 use crate::forwarder::Forwarder;
-use otterwinch_fleet::model::Supervisors;
+use otterwinch_fleet::model::ControlPlane;
 use otterwinch_simulation::control::{Command, Plane};
 use otterwinch_simulation::table::Version;
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
 impl Between {
     /// Opens a channel to the forwarders; marks that were applied are told through the receiver.
     pub fn open(
-        told: &Supervisors,
+        told: &ControlPlane,
         products: usize,
         forwarders: Arc<Vec<Forwarder>>,
     ) -> (Arc<Between>, mpsc::UnboundedReceiver<Applied>) {
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -113,7 +113,7 @@
             halls: nodes.iter().map(|node| node.hall).collect(),
         });
         let (mut forwarders, mut fronts) = (Vec::new(), Vec::new());
-        for (hall, told) in fleet.halls.iter().enumerate() {
+        for (hall, told) in fleet.zones.iter().enumerate() {
             let given = match steering {
                 Steering::Fixed { weights, levels } => {
                     let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
@@ -123,17 +123,17 @@
                 _ => None,
             };
             let mut front = Vec::new();
-            for _ in 0..told.forwarders {
+            for _ in 0..told.proxies {
                 let told = Told {
                     number: forwarders.len() as u32,
                     hall,
-                    products: fleet.products.len(),
-                    again: fleet.forwarders.again,
-                    idle: span(fleet.forwarders.idle),
-                    line: span(fleet.forwarders.line),
+                    products: fleet.request_classes.len(),
+                    again: fleet.proxies.again,
+                    idle: span(fleet.proxies.idle),
+                    line: span(fleet.proxies.line),
                     ways: fleet.network.ways[hall].iter().map(|way| span(*way)).collect(),
                 };
-                let standing = fleet.forwarders.standing;
+                let standing = fleet.proxies.standing;
                 let forwarder =
                     Forwarder::start(&net, told, known.clone(), standing, given.clone(), seed).await?;
                 front.push(forwarder.address.clone());
@@ -157,7 +157,7 @@
             seats: Arc::default(),
             standings,
         };
-        let count = if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.supervisors.count };
+        let count = if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.control_plane.count };
         let mut seats = Vec::new();
         for k in 0..count {
             seats.push(rig.seat(k, steering).await?);
@@ -172,7 +172,7 @@
     async fn seat(&self, k: u32, steering: &Steering) -> io::Result<Seat> {
         let fleet = &self.fleet;
         let (between, applied) =
-            Between::open(&fleet.supervisors, fleet.products.len(), self.forwarders.clone());
+            Between::open(&fleet.control_plane, fleet.request_classes.len(), self.forwarders.clone());
         let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let seed = self.seed.wrapping_add(u64::from(k) + 1);
         let Steering::Program { path, folder } = steering else {
@@ -194,8 +194,8 @@
         let list = List::start(&self.net, self.entries(&all)).await?;
         let relay_names = Names {
             nodes: names.iter().cloned().zip(0..).collect(),
-            products: fleet.products.iter().map(|p| p.name.clone()).collect(),
-            halls: fleet.halls.iter().map(|h| h.name.clone()).collect(),
+            products: fleet.request_classes.iter().map(|p| p.name.clone()).collect(),
+            halls: fleet.zones.iter().map(|h| h.name.clone()).collect(),
         };
         let relay = Relay::start(&self.net, between.clone(), applied, relay_names).await?;
         let listen = free_address()?;
@@ -212,7 +212,7 @@
                 log.display()
             ))
         })?;
-        let count = fleet.supervisors.count;
+        let count = fleet.control_plane.count;
         let collects =
             word::collect(fleet.clone(), listen, names, self.forwarders.clone(), move |f| f % count == k);
         let collects = Aborts(tokio::spawn(collects));
@@ -225,9 +225,9 @@
         }
         let seat = &self.seats[forwarder as usize % self.seats.len()];
         let hall = self.forwarders[forwarder as usize].told.hall;
-        let told = &self.fleet.halls[hall];
+        let told = &self.fleet.zones[hall];
         let whole = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * 0.6;
-        let rate = whole * told.clients / f64::from(told.forwarders);
+        let rate = whole * told.clients / f64::from(told.proxies);
         match seat {
             Seat::Inside { words, between } => {
                 between.joins(forwarder);
@@ -293,7 +293,7 @@
                 .find(|n| n.name == told.name)
                 .map(|n| n.address.clone())
                 .unwrap_or_default(),
-            site: self.fleet.halls[told.hall as usize].name.clone(),
+            site: self.fleet.zones[told.hall as usize].name.clone(),
             health: match told.standing {
                 EndpointState::Ready => "active",
                 EndpointState::Draining => "leaving",
@@ -319,7 +319,7 @@
             }
         }
         let (told, entries) = (self.told(nodes), self.entries(nodes));
-        let (seats, late) = (self.seats.clone(), span(self.fleet.supervisors.list_late));
+        let (seats, late) = (self.seats.clone(), span(self.fleet.control_plane.list_late));
         tokio::spawn(async move {
             sleep(late).await;
             for seat in seats.iter() {
--- a/emulator/src/word.rs
+++ b/emulator/src/word.rs
@@ -21,13 +21,13 @@
     seed: u64,
 ) -> Value {
     let us = |span: otterwinch::time::Span| span.as_us();
-    let told = &fleet.supervisors;
-    let products: Vec<Value> = fleet.products.iter().map(|product| {
-        json!({"name": product.name, "promiseUs": us(product.sla), "importance": product.revenue})
+    let told = &fleet.control_plane;
+    let products: Vec<Value> = fleet.request_classes.iter().map(|product| {
+        json!({"name": product.name, "promiseUs": us(product.latency_objective), "importance": product.priority_weight})
     }).collect();
-    let halls: Vec<&str> = fleet.halls.iter().map(|hall| hall.name.as_str()).collect();
-    let forwarders: u32 = fleet.halls.iter().map(|hall| hall.forwarders).sum();
-    let crossing = if told.crossing_costs && fleet.halls.len() > 1 { 0.04 } else { 0.0 };
+    let halls: Vec<&str> = fleet.zones.iter().map(|hall| hall.name.as_str()).collect();
+    let forwarders: u32 = fleet.zones.iter().map(|hall| hall.proxies).sum();
+    let crossing = if told.crossing_costs && fleet.zones.len() > 1 { 0.04 } else { 0.0 };
     json!({"name": name, "listen": listen, "discovery": list, "seed": format!("{seed:x}"),
         "relay": {"address": relay}, "known": known,
         "limits": {"sockets": 1024, "memory_mb": 192},
@@ -35,7 +35,7 @@
             "familyInfo": {"proxyCount": forwarders, "channelRate": told.lines_per_s,
                 "fixedCost": told.head_lines, "mostWaiting": told.most_waiting,
                 "transitMaxUs": us(told.message) * 2, "reportEveryUs": us(told.report_every),
-                "initialSet": fleet.forwarders.standing, "throttleBy": "fraction"},
+                "initialSet": fleet.proxies.standing, "throttleBy": "fraction"},
             "guarantees": {"drainGraceUs": us(told.drain_grace), "coldUs": us(told.cold_for)},
             "replicasOfMe": told.count}})
 }
@@ -81,8 +81,8 @@
     mine: impl Fn(u32) -> bool,
 ) {
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
-    let (every, late) = (span(fleet.supervisors.report_every), span(fleet.supervisors.report_late));
-    let mut links: Vec<Option<TcpStream>> = fleet.halls.iter().map(|_| None).collect();
+    let (every, late) = (span(fleet.control_plane.report_every), span(fleet.control_plane.report_late));
+    let mut links: Vec<Option<TcpStream>> = fleet.zones.iter().map(|_| None).collect();
     let mut next = Instant::now() + every;
     loop {
         sleep_until(next).await;
@@ -91,7 +91,7 @@
         sleep(late).await;
         let interval = every.as_secs_f64() * 1e3;
         for (hall, link) in links.iter_mut().enumerate() {
-            let name = &fleet.halls[hall].name;
+            let name = &fleet.zones[hall].name;
             let told = async {
                 if link.is_none() {
                     let mut to = TcpStream::connect(&supervisor).await?;
@@ -108,7 +108,7 @@
                 for (forwarder, product, txns) in &report.asked {
                     if forwarders[*forwarder as usize].told.hall == hall {
                         let demand = json!({"msg": "demand", "node": forwarder,
-                            "route": fleet.products[*product].name, "total": txns, "errors": 0,
+                            "route": fleet.request_classes[*product].name, "total": txns, "errors": 0,
                             "interval": interval});
                         frame(to, &demand).await?;
                     }
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -29,8 +29,8 @@
     c.unique("product", told.product.iter().map(|product| product.name.as_str()));
     let named: Vec<String> = told.hall.iter().map(|hall| hall.name.clone()).collect();
 
-    let mut halls: Vec<Hall> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
-    let forwarders: u32 = halls.iter().map(|hall| hall.forwarders).sum();
+    let mut halls: Vec<Zone> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
+    let forwarders: u32 = halls.iter().map(|hall| hall.proxies).sum();
     c.at("hall").unless(forwarders <= MOST_FORWARDERS, || {
         format!("{forwarders} forwarders in all are not allowed: {MOST_FORWARDERS} at most")
     });
@@ -45,7 +45,7 @@
     });
     c.at("group")
         .unless(nodes > 0 || groups.is_empty(), || "no group has a node: one has a count above 0".into());
-    let mut products: Vec<Product> =
+    let mut products: Vec<RequestClass> =
         (0..).zip(&told.product).map(|(k, p)| product(&c.nth("product", k), p)).collect();
     part_of_one(products.iter_mut().map(|product| &mut product.share), || {
         c.at("product").fault("no product has a share: at least one has a share above 0");
@@ -57,7 +57,17 @@
     let clients = clients(&c.at("clients"), &told.clients.unwrap_or_default());
     let forwarders = forwarding(&c.at("forwarders"), &told.forwarders.unwrap_or_default());
     let goal = goal(&c.at("goal"), &told.goal.unwrap_or_default());
-    Fleet { name, network, halls, groups, products, clients, forwarders, supervisors, goal }
+    Fleet {
+        name,
+        network,
+        zones: halls,
+        groups,
+        request_classes: products,
+        clients,
+        proxies: forwarders,
+        control_plane: supervisors,
+        goal,
+    }
 }
 
 /// Makes parts that were given against each other parts of 1.
@@ -71,7 +81,7 @@
     }
 }
 
-fn hall(c: &Checker, told: &proto::Hall) -> Hall {
+fn hall(c: &Checker, told: &proto::Hall) -> Zone {
     let forwarders =
         c.at("forwarders").needed(told.forwarders, "how many forwarders stand in this hall, 1 to 2,000");
     let forwarders = if told.forwarders.is_some() {
@@ -80,7 +90,7 @@
         1
     };
     let clients = c.at("clients").within(told.clients.unwrap_or(1.0), 0.0..=1_000.0, "parts of the clients");
-    Hall { name: c.at("name").name(&told.name), forwarders, clients }
+    Zone { name: c.at("name").name(&told.name), proxies: forwarders, clients }
 }
 
 fn network(c: &Checker, told: &proto::Network, halls: &[String]) -> Network {
@@ -139,7 +149,7 @@
         let multiple =
             if t.multiple.is_some() { c.at("multiple").within(multiple, 1.0..=100.0, "times") } else { 1.0 };
         let over = if t.over_s.is_some() { c.at("over_s").within(over, 0.1..=60.0, "s") } else { 1.0 };
-        Topples { multiple, over: Span::secs(over) }
+        OverloadCollapse { multiple, over: Span::secs(over) }
     });
     c.at("topples").unless(topples.is_none() || warm_up.is_some(), || {
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
@@ -147,7 +157,7 @@
     let started = told.started_s.map(|s| Span::secs(c.at("started_s").within(s, 0.0..=86_400.0, "s")));
     Group {
         name: c.at("name").name(&told.name),
-        hall: c.at("hall").place(&told.hall, halls, "hall"),
+        zone: c.at("hall").place(&told.hall, halls, "hall"),
         count,
         cores,
         speed,
@@ -156,7 +166,7 @@
         connections,
         connection_work: price / 1e3,
         warm_up,
-        topples,
+        overload_collapse: topples,
         works_on: told.works_on,
         started,
     }
@@ -177,7 +187,7 @@
     Speed::Between(from, c.at("to").within(to, from..=100.0, "of speed"))
 }
 
-fn product(c: &Checker, told: &proto::Product) -> Product {
+fn product(c: &Checker, told: &proto::Product) -> RequestClass {
     let time = |field: &str, value: Option<f64>, least: f64, what: &str| match value {
         Some(value) => c.at(field).within(value, least..=LONGEST_MS, "ms"),
         None => {
@@ -188,29 +198,29 @@
     let sla = time("sla_ms", told.sla_ms, 1.0, "the time in which an answer is wanted");
     let expiry = time("expiry_ms", told.expiry_ms, sla, "the time after which the client gives up");
     let repeats = match told.repeats() {
-        proto::Repeats::InquiryLike => Repeats::InquiryLike,
-        proto::Repeats::Referenced => Repeats::Referenced,
-        proto::Repeats::OnceOnly => Repeats::OnceOnly,
+        proto::Repeats::InquiryLike => Idempotency::Idempotent,
+        proto::Repeats::Referenced => Idempotency::WithIdempotencyKey,
+        proto::Repeats::OnceOnly => Idempotency::NotIdempotent,
         proto::Repeats::Unspecified => {
             c.at("repeats").fault("is missing: INQUIRY_LIKE, REFERENCED or ONCE_ONLY");
-            Repeats::OnceOnly
+            Idempotency::NotIdempotent
         }
     };
-    c.at("discard_s").unless(told.discard_s.is_none() || repeats == Repeats::Referenced, || {
+    c.at("discard_s").unless(told.discard_s.is_none() || repeats == Idempotency::WithIdempotencyKey, || {
         "only a REFERENCED product's repeats are dropped: leave this out".into()
     });
     let part = |field: &str, value: Option<f64>, absent: f64| {
         c.at(field).within(value.unwrap_or(absent), 0.0..=1.0, "of the whole")
     };
-    Product {
+    RequestClass {
         name: c.at("name").name(&told.name),
         share: c.at("share").within(told.share.unwrap_or(1.0), 0.0..=1_000.0, "parts of the txns"),
         work: work(&c.at("work"), told.work.as_ref()),
-        sla: ms(sla),
+        latency_objective: ms(sla),
         expiry: ms(expiry),
-        revenue: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
+        priority_weight: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
         late_part: part("late_part", told.late_part, 0.0),
-        repeats,
+        idempotency: repeats,
         discard: Span::secs(c.at("discard_s").within(told.discard_s.unwrap_or(0.0), 0.0..=600.0, "s")),
         floor: part("floor", told.floor, 0.1),
     }
@@ -252,9 +262,9 @@
     }
 }
 
-fn forwarding(c: &Checker, told: &proto::Forwarders) -> Forwarders {
+fn forwarding(c: &Checker, told: &proto::Forwarders) -> Proxies {
     let line = c.at("line_us").within(told.line_us.unwrap_or(0.0), 0.0..=10_000.0, "microseconds");
-    Forwarders {
+    Proxies {
         idle: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
         again: told.again() != proto::Again::Never,
         line: Span::secs(line / 1e6),
@@ -262,7 +272,7 @@
     }
 }
 
-fn supervisors(c: &Checker, told: &proto::Supervisors, longest: Span) -> Supervisors {
+fn supervisors(c: &Checker, told: &proto::Supervisors, longest: Span) -> ControlPlane {
     let time = |field: &str, value: Option<f64>, absent: f64, bounds: std::ops::RangeInclusive<f64>| {
         ms(c.at(field).within(value.unwrap_or(absent), bounds, "ms"))
     };
@@ -270,7 +280,7 @@
     let lines_per_s = c.at("lines_per_s").within(lines_per_s, 10.0..=1e7, "lines a second");
     let most_waiting = told.most_waiting.unwrap_or(lines_per_s);
     let cold_for = told.cold_for_s.unwrap_or(longest.as_secs());
-    Supervisors {
+    ControlPlane {
         count: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
         report_every: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
         report_late: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
--- a/fleet/src/import.rs
+++ b/fleet/src/import.rs
@@ -196,10 +196,10 @@
             format!("the fleet has no {what} '{name}' (it has {}); name it with --as", names.join(", "))
         })
     };
-    let products = reading.fleet.products.iter().map(|p| p.name.as_str()).collect();
+    let products = reading.fleet.request_classes.iter().map(|p| p.name.as_str()).collect();
     let product = known(needed(&columns.product)?, products, "product")?;
     // A log of one hall need not say so in each line.
-    let halls: Vec<&str> = reading.fleet.halls.iter().map(|h| h.name.as_str()).collect();
+    let halls: Vec<&str> = reading.fleet.zones.iter().map(|h| h.name.as_str()).collect();
     let hall = match field(&columns.hall) {
         Some(name) => known(name, halls, "hall")?,
         None if halls.len() == 1 => 0,
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -127,8 +127,8 @@
     pub fn open(from: R, fleet: &'a Fleet, seed: u64) -> Result<Self, String> {
         let reader = Reader::open(from).map_err(|e| e.to_string())?;
         let start = reader.start().clone();
-        let products: Vec<_> = start.products.iter().map(|name| fleet.product(name)).collect();
-        let halls: Vec<_> = start.halls.iter().map(|name| fleet.hall(name)).collect();
+        let products: Vec<_> = start.products.iter().map(|name| fleet.request_class(name)).collect();
+        let halls: Vec<_> = start.halls.iter().map(|name| fleet.zone(name)).collect();
         let none = |known: &[Option<usize>]| known.iter().all(Option::is_none);
         for (what, known, names) in [("product", &products, &start.products), ("hall", &halls, &start.halls)]
         {
@@ -195,8 +195,8 @@
 
     fn hall_of(&self, forwarder: u32) -> Option<usize> {
         let mut first = 0;
-        self.fleet.halls.iter().position(|hall| {
-            first += hall.forwarders;
+        self.fleet.zones.iter().position(|hall| {
+            first += hall.proxies;
             forwarder < first
         })
     }
@@ -250,7 +250,7 @@
             Some(us) => us as f64 / 1e6,
             None => {
                 self.heard.drawn += 1;
-                work(&self.fleet.products[product].work, &mut self.work)
+                work(&self.fleet.request_classes[product].work, &mut self.work)
             }
         };
         (self.last, self.heard.until) = (Some(at), at);
@@ -295,7 +295,7 @@
 
 impl Summary {
     pub fn of(fleet: &Fleet) -> Self {
-        let (products, halls) = (fleet.products.len(), fleet.halls.len());
+        let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
         Summary {
             by_product: vec![0; products],
             by_hall: vec![0; halls],
--- a/fleet/src/make.rs
+++ b/fleet/src/make.rs
@@ -69,8 +69,8 @@
     c.at("burst").unless(told.burst.len() <= MOST_BURSTS, || {
         format!("{} bursts are not allowed: {MOST_BURSTS} at most", told.burst.len())
     });
-    let products: Vec<String> = fleet.products.iter().map(|p| p.name.clone()).collect();
-    let halls: Vec<String> = fleet.halls.iter().map(|h| h.name.clone()).collect();
+    let products: Vec<String> = fleet.request_classes.iter().map(|p| p.name.clone()).collect();
+    let halls: Vec<String> = fleet.zones.iter().map(|h| h.name.clone()).collect();
     let burst = |(k, told): (usize, &proto::Burst)| {
         let c = c.nth("burst", k);
         let named = |field: &str, name: &str, known: &[String], what| {
@@ -155,8 +155,8 @@
     fn place(&mut self, rate: f64) -> (usize, usize) {
         let mut drawn = self.places.random::<f64>() * rate;
         let mut last = (0, 0);
-        for product in 0..self.fleet.products.len() {
-            for hall in 0..self.fleet.halls.len() {
+        for product in 0..self.fleet.request_classes.len() {
+            for hall in 0..self.fleet.zones.len() {
                 let part = part(&self.fleet, &self.recipe, self.at, product, hall);
                 drawn -= part * self.recipe.txns_per_s;
                 if part > 0.0 {
@@ -174,13 +174,13 @@
 /// The part of the rate that a product and hall have at a moment.
 fn part(fleet: &Fleet, recipe: &Recipe, at: f64, product: usize, hall: usize) -> f64 {
     let touching = recipe.bursts.iter().filter(|burst| burst.touches(at, product, hall));
-    fleet.products[product].share
-        * fleet.halls[hall].clients
+    fleet.request_classes[product].share
+        * fleet.zones[hall].clients
         * touching.map(|burst| burst.times).product::<f64>()
 }
 
 fn recipe_rate(fleet: &Fleet, recipe: &Recipe, at: f64) -> f64 {
-    let (products, halls) = (fleet.products.len(), fleet.halls.len());
+    let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
     let parts = (0..products).flat_map(|p| (0..halls).map(move |h| (p, h)));
     parts.map(|(p, h)| part(fleet, recipe, at, p, h)).sum::<f64>() * recipe.txns_per_s
 }
@@ -216,7 +216,7 @@
                 continue;
             }
             let (product, hall) = self.place(rate);
-            let mut cost = work(&self.fleet.products[product].work, &mut self.work);
+            let mut cost = work(&self.fleet.request_classes[product].work, &mut self.work);
             let bursts = self.recipe.bursts.iter().filter(|b| b.touches(self.at, product, hall));
             for burst in bursts {
                 let [costly, factor] = [(); 2].map(|()| self.work.random::<f64>());
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -7,12 +7,12 @@
 pub struct Fleet {
     pub name: String,
     pub network: Network,
-    pub halls: Vec<Hall>,
+    pub zones: Vec<Zone>,
     pub groups: Vec<Group>,
-    pub products: Vec<Product>,
+    pub request_classes: Vec<RequestClass>,
     pub clients: Clients,
-    pub forwarders: Forwarders,
-    pub supervisors: Supervisors,
+    pub proxies: Proxies,
+    pub control_plane: ControlPlane,
     pub goal: Goal,
 }
 
@@ -25,9 +25,9 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hall {
+pub struct Zone {
     pub name: String,
-    pub forwarders: u32,
+    pub proxies: u32,
     /// Its part of all clients; all halls sum to 1.
     pub clients: f64,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
     pub name: String,
-    pub hall: usize,
+    pub zone: usize,
     pub count: u32,
     pub cores: u32,
     pub speed: Speed,
@@ -45,7 +45,7 @@
     /// Work of a new connection, in seconds on a core of speed 1.
     pub connection_work: f64,
     pub warm_up: Option<WarmUp>,
-    pub topples: Option<Topples>,
+    pub overload_collapse: Option<OverloadCollapse>,
     pub works_on: bool,
     /// How long before the load begins; long ago where it isn't told.
     pub started: Option<Span>,
@@ -91,30 +91,30 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Topples {
+pub struct OverloadCollapse {
     pub multiple: f64,
     pub over: Span,
 }
 
 /// What a repeat may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    InquiryLike,
-    Referenced,
-    OnceOnly,
+pub enum Idempotency {
+    Idempotent,
+    WithIdempotencyKey,
+    NotIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Product {
+pub struct RequestClass {
     pub name: String,
     /// Its part of all txns; all products sum to 1.
     pub share: f64,
     pub work: Work,
-    pub sla: Span,
+    pub latency_objective: Span,
     pub expiry: Span,
-    pub revenue: f64,
+    pub priority_weight: f64,
     pub late_part: f64,
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     pub discard: Span,
     pub floor: f64,
 }
@@ -148,7 +148,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Forwarders {
+pub struct Proxies {
     pub idle: Span,
     /// One more try by themselves where the first never ran.
     pub again: bool,
@@ -157,7 +157,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Supervisors {
+pub struct ControlPlane {
     pub count: u32,
     pub report_every: Span,
     pub report_late: Span,
@@ -178,26 +178,26 @@
 }
 
 impl Fleet {
-    pub fn nodes(&self) -> u32 {
+    pub fn endpoint_count(&self) -> u32 {
         self.groups.iter().map(|group| group.count).sum()
     }
 
     /// Seconds of work a second that all nodes of a hall do when warm.
-    pub fn hall_capacity(&self, hall: usize) -> f64 {
-        let of_hall = self.groups.iter().filter(|group| group.hall == hall);
+    pub fn zone_capacity(&self, zone: usize) -> f64 {
+        let of_hall = self.groups.iter().filter(|group| group.zone == zone);
         of_hall.map(|g| f64::from(g.count * g.cores) * g.speed.mean()).sum()
     }
 
     pub fn capacity(&self) -> f64 {
-        (0..self.halls.len()).map(|hall| self.hall_capacity(hall)).sum()
+        (0..self.zones.len()).map(|zone| self.zone_capacity(zone)).sum()
     }
 
-    pub fn hall(&self, name: &str) -> Option<usize> {
-        self.halls.iter().position(|hall| hall.name == name)
+    pub fn zone(&self, name: &str) -> Option<usize> {
+        self.zones.iter().position(|zone| zone.name == name)
     }
 
-    pub fn product(&self, name: &str) -> Option<usize> {
-        self.products.iter().position(|product| product.name == name)
+    pub fn request_class(&self, name: &str) -> Option<usize> {
+        self.request_classes.iter().position(|request_class| request_class.name == name)
     }
 
     pub fn group(&self, name: &str) -> Option<usize> {
@@ -206,6 +206,9 @@
 
     /// Seconds of work that a txn of the described mix costs on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
-        self.products.iter().map(|product| product.share * product.work.moments().0).sum()
+        self.request_classes
+            .iter()
+            .map(|request_class| request_class.share * request_class.work.moments().0)
+            .sum()
     }
 }
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -3,7 +3,7 @@
 use otterwinch_fleet::import::{import, Columns, Form, Reading, Unit};
 use otterwinch_fleet::load::{Load, Summary};
 use otterwinch_fleet::make::Maker;
-use otterwinch_fleet::model::{Fleet, Repeats};
+use otterwinch_fleet::model::{Fleet, Idempotency};
 use otterwinch_fleet::{read, read_recipe, Due};
 use otterwinch_traffic_capture::{Asked, Start, Sum, Txn, Writer};
 use std::collections::BTreeMap;
@@ -37,11 +37,11 @@
 #[test]
 fn defaults_and_parts_are_filled_in() {
     let fleet = small();
-    assert_eq!(fleet.products[0].share, 0.5);
-    assert_eq!(fleet.halls[1].clients, 0.5);
+    assert_eq!(fleet.request_classes[0].share, 0.5);
+    assert_eq!(fleet.zones[1].clients, 0.5);
     assert_eq!(fleet.groups[0].weight, 2.0);
-    assert_eq!(fleet.products[2].repeats, Repeats::OnceOnly);
-    assert_eq!(fleet.supervisors.cold_for.as_secs(), 10.0);
+    assert_eq!(fleet.request_classes[2].idempotency, Idempotency::NotIdempotent);
+    assert_eq!(fleet.control_plane.cold_for.as_secs(), 10.0);
     assert_eq!(fleet.network.ways[0][1].as_us(), 800);
 }
 
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -5,7 +5,7 @@
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::{Moment, Span};
-use otterwinch_fleet::model::Supervisors;
+use otterwinch_fleet::model::ControlPlane;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -148,7 +148,7 @@
 }
 
 impl Plane {
-    pub fn new(told: &Supervisors, products: usize) -> Self {
+    pub fn new(told: &ControlPlane, products: usize) -> Self {
         let (lines_per_s, head) = (told.lines_per_s, told.head_lines);
         let channel = Channel { lines_per_s, head, free: 0, most: 0.0, lines: 0.0, messages: 0 };
         let (tables, barred) = (BTreeMap::new(), BTreeSet::new());
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -2,20 +2,20 @@
 
 use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
-use otterwinch_fleet::model::{Fleet, Repeats};
+use otterwinch_fleet::model::{Fleet, Idempotency};
 
 pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
-    let told = &fleet.supervisors;
-    let product = |p: &otterwinch_fleet::model::Product| RequestClass {
-        latency_objective: p.sla,
-        priority_weight: p.revenue,
+    let told = &fleet.control_plane;
+    let product = |p: &otterwinch_fleet::model::RequestClass| RequestClass {
+        latency_objective: p.latency_objective,
+        priority_weight: p.priority_weight,
         zone_local: false,
-        writes: p.repeats != Repeats::InquiryLike,
+        writes: p.idempotency != Idempotency::Idempotent,
     };
     ControllerConfig {
-        request_classes: fleet.products.iter().map(product).collect(),
+        request_classes: fleet.request_classes.iter().map(product).collect(),
         polls_endpoint_list: false,
-        cross_zone_costs: told.crossing_costs && fleet.halls.len() > 1,
+        cross_zone_costs: told.crossing_costs && fleet.zones.len() > 1,
         admission: AdmissionMode::Fraction,
         proxy_ejects_after_failures: 0,
         shards: 0,
@@ -23,9 +23,9 @@
         lease: Span::ZERO,
         settle_time: Span::ZERO,
         report_interval: told.report_every,
-        proxy_count: fleet.halls.iter().map(|hall| hall.forwarders).sum(),
+        proxy_count: fleet.zones.iter().map(|hall| hall.proxies).sum(),
         min_endpoint_connections: fleet.groups.iter().map(|group| group.connections).min().unwrap_or(0),
-        initial_table_size: fleet.forwarders.standing,
+        initial_table_size: fleet.proxies.standing,
         channel_rate: told.lines_per_s,
         message_overhead_lines: told.head_lines,
         max_queued_lines: told.most_waiting,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -283,7 +283,7 @@
                 group.waiting = u32::MAX;
             }
             if plan.without.cold {
-                (group.warm_up, group.topples) = (None, None);
+                (group.warm_up, group.overload_collapse) = (None, None);
             }
             for (k, speed) in speeds(told, place, plan.seed).into_iter().enumerate() {
                 let id: EndpointId = format!("{}-{k}", told.name).into();
@@ -293,7 +293,7 @@
             }
         }
         let places = Rc::new((0..).zip(&nodes).map(|(k, node)| (node.id.clone(), k)).collect());
-        let products = fleet.products.len();
+        let products = fleet.request_classes.len();
         let mut engine = Engine {
             fleet,
             seed: plan.seed,
@@ -304,7 +304,7 @@
             nodes,
             places,
             forwarders: Vec::new(),
-            front: vec![Vec::new(); fleet.halls.len()],
+            front: vec![Vec::new(); fleet.zones.len()],
             supervisors: Vec::new(),
             txns: Vec::new(),
             free_txns: Vec::new(),
@@ -335,8 +335,8 @@
             Steering::Fixed { weights, levels } => Some((weights, levels)),
             Steering::Controller => None,
         };
-        let count = if fixed.is_some() { 0 } else { fleet.supervisors.count };
-        for (hall, told) in fleet.halls.iter().enumerate() {
+        let count = if fixed.is_some() { 0 } else { fleet.control_plane.count };
+        for (hall, told) in fleet.zones.iter().enumerate() {
             let home: Vec<u32> =
                 (0..).zip(&self.nodes).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect();
             let version = fixed.map(|(weights, levels)| {
@@ -344,11 +344,11 @@
                 let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
                 Arc::new(Version { lines, levels: levels.iter().map(level).collect() })
             });
-            for _ in 0..told.forwarders {
+            for _ in 0..told.proxies {
                 let place = self.forwarders.len() as u32;
                 let mut draws = stream(self.seed, "standing", u64::from(place));
                 let standing: Vec<u32> =
-                    home.sample(&mut draws, fleet.forwarders.standing as usize).copied().collect();
+                    home.sample(&mut draws, fleet.proxies.standing as usize).copied().collect();
                 let own = || {
                     let lines = Lines::of(standing.iter().map(|node| (*node, 1.0)));
                     Arc::new(Version { lines, levels: vec![None; products] })
@@ -372,13 +372,13 @@
             let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
             let controller =
                 Controller::start(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
-            let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
+            let (plane, sums) = (Plane::new(&fleet.control_plane, products), Sums::new(products));
             let mut supervisor = Supervisor { controller, plane, sums, gathers: false };
             let listed: Vec<EndpointUpdate> = self.nodes.iter().map(listing).collect();
             supervisor.controller.endpoint_list_replaced(moment(0), &listed);
             self.supervisors.push(supervisor);
             self.asks(k);
-            let every = us(fleet.supervisors.report_every);
+            let every = us(fleet.control_plane.report_every);
             // Supervisors' reports do not fall on one instant.
             self.queue.push(every + Time::from(k) * 7_001, Class::Word, Event::Report(k));
         }
--- a/simulation/src/life.rs
+++ b/simulation/src/life.rs
@@ -7,7 +7,7 @@
 use crate::table::Lines;
 use crate::tally::End;
 use otterwinch::host::RetryPolicy;
-use otterwinch_fleet::model::Repeats;
+use otterwinch_fleet::model::Idempotency;
 use otterwinch_fleet::Due;
 
 impl Engine<'_> {
@@ -46,7 +46,7 @@
         let txn = &mut self.txns[place as usize];
         txn.tries += 1;
         let (nth, tries, life) = (txn.nth, txn.tries, txn.life);
-        let expiry = us(self.fleet.products[txn.product].expiry);
+        let expiry = us(self.fleet.request_classes[txn.product].expiry);
         let (least, most) = self.fleet.clients.patience;
         let patience = least + (most - least) * drawn(seed, nth, tries, PATIENCE);
         txn.give_up = (now + (expiry as f64 * patience) as Time).min(txn.due + expiry);
@@ -281,7 +281,7 @@
         let forwarder = &self.forwarders[txn.forwarder as usize];
         let retry = match forwarder.held.levels[txn.product] {
             Some(level) => level.retry,
-            None if self.fleet.forwarders.again => RetryPolicy::IfNeverRan,
+            None if self.fleet.proxies.again => RetryPolicy::IfNeverRan,
             None => RetryPolicy::Never,
         };
         if retry == RetryPolicy::Never {
@@ -309,11 +309,11 @@
     pub(crate) fn comes_again(&mut self, place: u32, how: End, never_ran: bool, at: Time) {
         let (fleet, clients) = (self.fleet, &self.fleet.clients);
         let txn = &mut self.txns[place as usize];
-        let product = &fleet.products[txn.product];
-        let may = match product.repeats {
-            Repeats::InquiryLike => true,
-            Repeats::Referenced => never_ran || at - txn.due < us(product.discard),
-            Repeats::OnceOnly => never_ran,
+        let product = &fleet.request_classes[txn.product];
+        let may = match product.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithIdempotencyKey => never_ran || at - txn.due < us(product.discard),
+            Idempotency::NotIdempotent => never_ran,
         };
         let (from, to) = (us(clients.wait.0), us(clients.wait.1));
         let wait = from + ((to - from) as f64 * drawn(self.seed, txn.nth, txn.tries, WAIT)) as Time;
--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -3,7 +3,7 @@
 
 use crate::queue::Time;
 use otterwinch::host::{EndpointId, EndpointState};
-use otterwinch_fleet::model::{Group, Topples, WarmUp};
+use otterwinch_fleet::model::{Group, OverloadCollapse, WarmUp};
 use std::collections::VecDeque;
 
 /// Work that came is counted in parts of the toppling span.
@@ -49,7 +49,7 @@
     pub connection_work: f64,
     pub works_on: bool,
     warm_up: Option<WarmUp>,
-    topples: Option<Topples>,
+    topples: Option<OverloadCollapse>,
     came: [f64; PARTS],
     came_part: Time,
     busy_since: Time,
@@ -67,7 +67,7 @@
         Node {
             id,
             group: place,
-            hall: group.hall,
+            hall: group.zone,
             cores: group.cores,
             speed,
             weight: group.weight,
@@ -87,7 +87,7 @@
             connection_work: group.connection_work,
             works_on: group.works_on,
             warm_up: group.warm_up,
-            topples: group.topples,
+            topples: group.overload_collapse,
             came: [0.0; PARTS],
             came_part: 0,
             busy_since: 0,
--- a/simulation/src/tally.rs
+++ b/simulation/src/tally.rs
@@ -162,9 +162,9 @@
 
 impl Tally {
     pub fn new(fleet: &Fleet) -> Self {
-        let (products, halls) = (fleet.products.len(), fleet.halls.len());
-        let sla = |p: &otterwinch_fleet::model::Product| {
-            (p.sla.as_us() as Time, p.expiry.as_us() as Time, p.revenue)
+        let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
+        let sla = |p: &otterwinch_fleet::model::RequestClass| {
+            (p.latency_objective.as_us() as Time, p.expiry.as_us() as Time, p.priority_weight)
         };
         Tally {
             whole: Count::new(),
@@ -173,7 +173,7 @@
             windows: Vec::new(),
             window_s: 1.0,
             shape: (products, halls),
-            slas: fleet.products.iter().map(sla).collect(),
+            slas: fleet.request_classes.iter().map(sla).collect(),
         }
     }
 
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -54,15 +54,15 @@
 
     /// A rough figure, as forwarders give it when they join: the hall's clients spread over its forwarders.
     fn usual_rate(&self, hall: usize) -> f64 {
-        let told = &self.fleet.halls[hall];
+        let told = &self.fleet.zones[hall];
         // Of a fleet that is three fifths full; only its proportions count.
         let whole = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * 0.6;
-        whole * told.clients / f64::from(told.forwarders)
+        whole * told.clients / f64::from(told.proxies)
     }
 
     /// The interval's sums are closed, and on their way.
     pub(crate) fn reports(&mut self, number: u32) {
-        let products = self.fleet.products.len();
+        let products = self.fleet.request_classes.len();
         let supervisor = &mut self.supervisors[number as usize];
         let sums = std::mem::replace(&mut supervisor.sums, Sums::new(products));
         let report = self.reports.iter().position(Option::is_none).unwrap_or_else(|| {
@@ -70,7 +70,7 @@
             self.reports.len() - 1
         });
         self.reports[report] = Some(sums);
-        let told = &self.fleet.supervisors;
+        let told = &self.fleet.control_plane;
         let late = self.now + us(told.report_late);
         self.queue.push(late, Class::Word, Event::Heard { supervisor: number, report: report as u32 });
         self.queue.push(self.now + us(told.report_every), Class::Word, Event::Report(number));
@@ -78,7 +78,7 @@
 
     pub(crate) fn heard(&mut self, number: u32, report: u32) {
         let Some(sums) = self.reports[report as usize].take() else { return };
-        let over = self.fleet.supervisors.report_every;
+        let over = self.fleet.control_plane.report_every;
         let ids: Vec<_> = sums.met.keys().map(|(node, _)| self.nodes[*node as usize].id.clone()).collect();
         self.hears(number, |s, now| {
             for (met, id) in sums.met.values().zip(&ids) {
@@ -106,7 +106,7 @@
         }
         let listings: Vec<EndpointUpdate> = nodes.iter().map(|k| listing(&self.nodes[*k as usize])).collect();
         self.lists.push(listings);
-        let at = self.now + us(self.fleet.supervisors.list_late);
+        let at = self.now + us(self.fleet.control_plane.list_late);
         let list = self.lists.len() as u32 - 1;
         for supervisor in 0..self.supervisors.len() as u32 {
             self.queue.push(at, Class::Word, Event::Listed { supervisor, list });
@@ -139,7 +139,7 @@
                     self.messages.len() as u32 - 1
                 }
             };
-            let at = left + us(self.fleet.supervisors.message);
+            let at = left + us(self.fleet.control_plane.message);
             self.queue.push(at, Class::World, Event::Message(slot));
         }
     }
@@ -162,7 +162,7 @@
             }
             None => {}
         }
-        let still = (us(self.fleet.forwarders.line) as f64 * message.lines) as Time;
+        let still = (us(self.fleet.proxies.line) as f64 * message.lines) as Time;
         forwarder.still_until = forwarder.still_until.max(self.now + still);
         if let Some(number) = message.mark {
             let Message { supervisor, forwarder, stream, .. } = message;
--- a/simulation/tests/play.rs
+++ b/simulation/tests/play.rs
@@ -82,7 +82,7 @@
     let fleet = otterwinch_fleet::read("one", text).unwrap();
     let steering = Steering::Fixed { weights: vec![vec![1.0]], levels: vec![1.0] };
     let outcome = played(&Plan { steering, ..plan(&fleet) }, "for_s: 40000 txns_per_s: 7");
-    let (rate, (work, square)) = (7.0, fleet.products[0].work.moments());
+    let (rate, (work, square)) = (7.0, fleet.request_classes[0].work.moments());
     let expected = work + rate * square / (2.0 * (1.0 - rate * work));
     let measured = outcome.tally.whole.times.mean() / 1e4;
     assert!((measured / expected - 1.0).abs() < 0.03, "{measured} for {expected}");
