--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -116,7 +116,7 @@
             [(); 3].map(|()| draws.random::<f64>())
         };
         let now = Instant::now();
-        let (least, most) = clients.patience;
+        let (least, most) = clients.attempt_timeout_fraction;
         let patience = span(product.expiry).mul_f64(least + (most - least) * patience);
         let give_up = (now + patience).min(expires);
         {
@@ -141,9 +141,9 @@
             Idempotency::WithIdempotencyKey => never_ran || at.elapsed() < span(product.discard),
             Idempotency::NotIdempotent => never_ran,
         };
-        let (from, to) = (span(clients.wait.0), span(clients.wait.1));
+        let (from, to) = (span(clients.retry_wait.0), span(clients.retry_wait.1));
         let again = Instant::now() + from + (to - from).mul_f64(wait);
-        if !may || tries > clients.again || again >= expires {
+        if !may || tries > clients.max_retries || again >= expires {
             break end;
         }
         sleep_until(again).await;
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Group, OverloadCollapse, WarmUp};
+use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::future::pending;
@@ -80,7 +80,7 @@
     /// Starts a node of a group; `started` is when its warm-up began, none is long ago.
     pub async fn start(
         net: &Net,
-        (group, place, k): (&Group, usize, u32),
+        (group, place, k): (&EndpointGroup, usize, u32),
         speed: f64,
         started: Option<Instant>,
         seed: u64,
@@ -102,10 +102,10 @@
             cores: Arc::new(Semaphore::new(group.cores as usize)),
             count: group.cores,
             speed,
-            most_waiting: group.waiting,
-            most_open: group.connections,
+            most_waiting: group.max_queued,
+            most_open: group.max_connections,
             connection_work: group.connection_work,
-            works_on: group.works_on,
+            works_on: group.finishes_abandoned,
             warm_up: group.warm_up,
             topples: group.overload_collapse,
             state: Mutex::new(state),
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -103,7 +103,7 @@
         for (place, group) in fleet.groups.iter().enumerate() {
             for (k, speed) in (0..).zip(speeds(group, place, seed)) {
                 // Before this process began there was no instant; so long ago is warm in any case.
-                let started = group.started.and_then(|ago| now.checked_sub(span(ago)));
+                let started = group.uptime.and_then(|ago| now.checked_sub(span(ago)));
                 nodes.push(Node::start(&net, (group, place, k), speed, started, seed).await?);
             }
         }
@@ -123,17 +123,17 @@
                 _ => None,
             };
             let mut front = Vec::new();
-            for _ in 0..told.proxies {
+            for _ in 0..told.proxy_count {
                 let told = Told {
                     number: forwarders.len() as u32,
                     hall,
                     products: fleet.request_classes.len(),
-                    again: fleet.proxies.again,
-                    idle: span(fleet.proxies.idle),
-                    line: span(fleet.proxies.line),
-                    ways: fleet.network.ways[hall].iter().map(|way| span(*way)).collect(),
+                    again: fleet.proxies.retries_unexecuted,
+                    idle: span(fleet.proxies.idle_timeout),
+                    line: span(fleet.proxies.apply_time_per_line),
+                    ways: fleet.network.zone_latency[hall].iter().map(|way| span(*way)).collect(),
                 };
-                let standing = fleet.proxies.standing;
+                let standing = fleet.proxies.initial_table_size;
                 let forwarder =
                     Forwarder::start(&net, told, known.clone(), standing, given.clone(), seed).await?;
                 front.push(forwarder.address.clone());
@@ -142,7 +142,7 @@
             fronts.push(front);
         }
         let standing = |node: &Node| {
-            let ago = fleet.groups[node.group].started;
+            let ago = fleet.groups[node.group].uptime;
             (EndpointState::Ready, ago.and_then(|ago| now.checked_sub(span(ago))))
         };
         let standings = Mutex::new(nodes.iter().map(standing).collect());
@@ -227,7 +227,7 @@
         let hall = self.forwarders[forwarder as usize].told.hall;
         let told = &self.fleet.zones[hall];
         let whole = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * 0.6;
-        let rate = whole * told.clients / f64::from(told.proxies);
+        let rate = whole * told.client_share / f64::from(told.proxy_count);
         match seat {
             Seat::Inside { words, between } => {
                 between.joins(forwarder);
--- a/emulator/src/word.rs
+++ b/emulator/src/word.rs
@@ -26,7 +26,7 @@
         json!({"name": product.name, "promiseUs": us(product.latency_objective), "importance": product.priority_weight})
     }).collect();
     let halls: Vec<&str> = fleet.zones.iter().map(|hall| hall.name.as_str()).collect();
-    let forwarders: u32 = fleet.zones.iter().map(|hall| hall.proxies).sum();
+    let forwarders: u32 = fleet.zones.iter().map(|hall| hall.proxy_count).sum();
     let crossing = if told.crossing_costs && fleet.zones.len() > 1 { 0.04 } else { 0.0 };
     json!({"name": name, "listen": listen, "discovery": list, "seed": format!("{seed:x}"),
         "relay": {"address": relay}, "known": known,
@@ -35,7 +35,7 @@
             "familyInfo": {"proxyCount": forwarders, "channelRate": told.lines_per_s,
                 "fixedCost": told.head_lines, "mostWaiting": told.most_waiting,
                 "transitMaxUs": us(told.message) * 2, "reportEveryUs": us(told.report_every),
-                "initialSet": fleet.proxies.standing, "throttleBy": "fraction"},
+                "initialSet": fleet.proxies.initial_table_size, "throttleBy": "fraction"},
             "guarantees": {"drainGraceUs": us(told.drain_grace), "coldUs": us(told.cold_for)},
             "replicasOfMe": told.count}})
 }
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -30,14 +30,14 @@
     let named: Vec<String> = told.hall.iter().map(|hall| hall.name.clone()).collect();
 
     let mut halls: Vec<Zone> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
-    let forwarders: u32 = halls.iter().map(|hall| hall.proxies).sum();
+    let forwarders: u32 = halls.iter().map(|hall| hall.proxy_count).sum();
     c.at("hall").unless(forwarders <= MOST_FORWARDERS, || {
         format!("{forwarders} forwarders in all are not allowed: {MOST_FORWARDERS} at most")
     });
-    part_of_one(halls.iter_mut().map(|hall| &mut hall.clients), || {
+    part_of_one(halls.iter_mut().map(|hall| &mut hall.client_share), || {
         c.at("hall").fault("no hall has clients: at least one has clients above 0");
     });
-    let groups: Vec<Group> =
+    let groups: Vec<EndpointGroup> =
         (0..).zip(&told.group).map(|(k, g)| group(&c.nth("group", k), g, &named)).collect();
     let nodes = groups.iter().map(|group| u64::from(group.count)).sum::<u64>();
     c.at("group").unless(nodes <= u64::from(MOST_NODES), || {
@@ -90,7 +90,7 @@
         1
     };
     let clients = c.at("clients").within(told.clients.unwrap_or(1.0), 0.0..=1_000.0, "parts of the clients");
-    Zone { name: c.at("name").name(&told.name), proxies: forwarders, clients }
+    Zone { name: c.at("name").name(&told.name), proxy_count: forwarders, client_share: clients }
 }
 
 fn network(c: &Checker, told: &proto::Network, halls: &[String]) -> Network {
@@ -113,10 +113,10 @@
             (ways[from][to], ways[to][from]) = (time, time);
         }
     }
-    Network { client, ways }
+    Network { client_latency: client, zone_latency: ways }
 }
 
-fn group(c: &Checker, told: &proto::Group, halls: &[String]) -> Group {
+fn group(c: &Checker, told: &proto::Group, halls: &[String]) -> EndpointGroup {
     let needed =
         |field: &str, value: Option<u32>, bounds: std::ops::RangeInclusive<u32>, what: &str| match value {
             Some(value) => c.at(field).count(value, bounds, what),
@@ -155,20 +155,20 @@
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
     });
     let started = told.started_s.map(|s| Span::secs(c.at("started_s").within(s, 0.0..=86_400.0, "s")));
-    Group {
+    EndpointGroup {
         name: c.at("name").name(&told.name),
         zone: c.at("hall").place(&told.hall, halls, "hall"),
         count,
         cores,
         speed,
         weight,
-        waiting,
-        connections,
+        max_queued: waiting,
+        max_connections: connections,
         connection_work: price / 1e3,
         warm_up,
         overload_collapse: topples,
-        works_on: told.works_on,
-        started,
+        finishes_abandoned: told.works_on,
+        uptime: started,
     }
 }
 
@@ -256,19 +256,19 @@
         c.at("patience_from").within(told.patience_from.unwrap_or(1.0), 0.05..=1.0, "of the expiry");
     let most = c.at("patience_to").within(told.patience_to.unwrap_or(1.0), patient..=1.0, "of the expiry");
     Clients {
-        again: c.at("again").count(told.again.unwrap_or(0), 0..=10, "tries more"),
-        wait: (ms(wait_from), ms(wait_to)),
-        patience: (patient, most),
+        max_retries: c.at("again").count(told.again.unwrap_or(0), 0..=10, "tries more"),
+        retry_wait: (ms(wait_from), ms(wait_to)),
+        attempt_timeout_fraction: (patient, most),
     }
 }
 
 fn forwarding(c: &Checker, told: &proto::Forwarders) -> Proxies {
     let line = c.at("line_us").within(told.line_us.unwrap_or(0.0), 0.0..=10_000.0, "microseconds");
     Proxies {
-        idle: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
-        again: told.again() != proto::Again::Never,
-        line: Span::secs(line / 1e6),
-        standing: c.at("standing").count(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
+        idle_timeout: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
+        retries_unexecuted: told.again() != proto::Again::Never,
+        apply_time_per_line: Span::secs(line / 1e6),
+        initial_table_size: c.at("standing").count(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
     }
 }
 
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -196,7 +196,7 @@
     fn hall_of(&self, forwarder: u32) -> Option<usize> {
         let mut first = 0;
         self.fleet.zones.iter().position(|hall| {
-            first += hall.proxies;
+            first += hall.proxy_count;
             forwarder < first
         })
     }
--- a/fleet/src/make.rs
+++ b/fleet/src/make.rs
@@ -175,7 +175,7 @@
 fn part(fleet: &Fleet, recipe: &Recipe, at: f64, product: usize, hall: usize) -> f64 {
     let touching = recipe.bursts.iter().filter(|burst| burst.touches(at, product, hall));
     fleet.request_classes[product].share
-        * fleet.zones[hall].clients
+        * fleet.zones[hall].client_share
         * touching.map(|burst| burst.times).product::<f64>()
 }
 
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -8,7 +8,7 @@
     pub name: String,
     pub network: Network,
     pub zones: Vec<Zone>,
-    pub groups: Vec<Group>,
+    pub groups: Vec<EndpointGroup>,
     pub request_classes: Vec<RequestClass>,
     pub clients: Clients,
     pub proxies: Proxies,
@@ -19,36 +19,36 @@
 /// One-way times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    pub client: Span,
+    pub client_latency: Span,
     /// From hall to hall, a row a hall; within a hall on the diagonal.
-    pub ways: Vec<Vec<Span>>,
+    pub zone_latency: Vec<Vec<Span>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
     pub name: String,
-    pub proxies: u32,
+    pub proxy_count: u32,
     /// Its part of all clients; all halls sum to 1.
-    pub clients: f64,
+    pub client_share: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
+pub struct EndpointGroup {
     pub name: String,
     pub zone: usize,
     pub count: u32,
     pub cores: u32,
     pub speed: Speed,
     pub weight: f64,
-    pub waiting: u32,
-    pub connections: u32,
+    pub max_queued: u32,
+    pub max_connections: u32,
     /// Work of a new connection, in seconds on a core of speed 1.
     pub connection_work: f64,
     pub warm_up: Option<WarmUp>,
     pub overload_collapse: Option<OverloadCollapse>,
-    pub works_on: bool,
+    pub finishes_abandoned: bool,
     /// How long before the load begins; long ago where it isn't told.
-    pub started: Option<Span>,
+    pub uptime: Option<Span>,
 }
 
 /// Seconds of work that one core does in a second.
@@ -141,19 +141,19 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clients {
-    pub again: u32,
-    pub wait: (Span, Span),
+    pub max_retries: u32,
+    pub retry_wait: (Span, Span),
     /// Parts of the expiry.
-    pub patience: (f64, f64),
+    pub attempt_timeout_fraction: (f64, f64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proxies {
-    pub idle: Span,
+    pub idle_timeout: Span,
     /// One more try by themselves where the first never ran.
-    pub again: bool,
-    pub line: Span,
-    pub standing: u32,
+    pub retries_unexecuted: bool,
+    pub apply_time_per_line: Span,
+    pub initial_table_size: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -38,11 +38,11 @@
 fn defaults_and_parts_are_filled_in() {
     let fleet = small();
     assert_eq!(fleet.request_classes[0].share, 0.5);
-    assert_eq!(fleet.zones[1].clients, 0.5);
+    assert_eq!(fleet.zones[1].client_share, 0.5);
     assert_eq!(fleet.groups[0].weight, 2.0);
     assert_eq!(fleet.request_classes[2].idempotency, Idempotency::NotIdempotent);
     assert_eq!(fleet.control_plane.cold_for.as_secs(), 10.0);
-    assert_eq!(fleet.network.ways[0][1].as_us(), 800);
+    assert_eq!(fleet.network.zone_latency[0][1].as_us(), 800);
 }
 
 #[test]
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -12,7 +12,7 @@
 use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
 use otterwinch::time::Span;
 use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Fleet, Group, Speed};
+use otterwinch_fleet::model::{EndpointGroup, Fleet, Speed};
 use otterwinch_fleet::Due;
 use rand::seq::IndexedRandom;
 use rand::RngExt;
@@ -277,10 +277,10 @@
         for (place, told) in fleet.groups.iter().enumerate() {
             let mut group = told.clone();
             if plan.without.connections {
-                (group.connections, group.connection_work) = (u32::MAX, 0.0);
+                (group.max_connections, group.connection_work) = (u32::MAX, 0.0);
             }
             if plan.without.waiting {
-                group.waiting = u32::MAX;
+                group.max_queued = u32::MAX;
             }
             if plan.without.cold {
                 (group.warm_up, group.overload_collapse) = (None, None);
@@ -288,7 +288,7 @@
             for (k, speed) in speeds(told, place, plan.seed).into_iter().enumerate() {
                 let id: EndpointId = format!("{}-{k}", told.name).into();
                 // Older than the play is long ago: a node that started within it is told so.
-                let started = told.started.and_then(|ago| lead.checked_sub(us(ago)));
+                let started = told.uptime.and_then(|ago| lead.checked_sub(us(ago)));
                 nodes.push(Node::new(id, place, &group, speed, started));
             }
         }
@@ -344,11 +344,11 @@
                 let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
                 Arc::new(Version { lines, levels: levels.iter().map(level).collect() })
             });
-            for _ in 0..told.proxies {
+            for _ in 0..told.proxy_count {
                 let place = self.forwarders.len() as u32;
                 let mut draws = stream(self.seed, "standing", u64::from(place));
                 let standing: Vec<u32> =
-                    home.sample(&mut draws, fleet.proxies.standing as usize).copied().collect();
+                    home.sample(&mut draws, fleet.proxies.initial_table_size as usize).copied().collect();
                 let own = || {
                     let lines = Lines::of(standing.iter().map(|node| (*node, 1.0)));
                     Arc::new(Version { lines, levels: vec![None; products] })
@@ -500,7 +500,7 @@
 }
 
 /// The speed of each node of a group, drawn from the seed or as measured.
-pub fn speeds(group: &Group, place: usize, seed: u64) -> Vec<f64> {
+pub fn speeds(group: &EndpointGroup, place: usize, seed: u64) -> Vec<f64> {
     let mut draws = stream(seed, "speeds", place as u64);
     let one = |k: u32| {
         let unit: f64 = draws.random();
--- a/simulation/src/life.rs
+++ b/simulation/src/life.rs
@@ -47,7 +47,7 @@
         txn.tries += 1;
         let (nth, tries, life) = (txn.nth, txn.tries, txn.life);
         let expiry = us(self.fleet.request_classes[txn.product].expiry);
-        let (least, most) = self.fleet.clients.patience;
+        let (least, most) = self.fleet.clients.attempt_timeout_fraction;
         let patience = least + (most - least) * drawn(seed, nth, tries, PATIENCE);
         txn.give_up = (now + (expiry as f64 * patience) as Time).min(txn.due + expiry);
         let unit = drawn(seed, nth, tries, FRONT);
@@ -62,7 +62,7 @@
             return self.comes_again(place, End::Voided, true, now);
         }
         self.queue.push(give_up, Class::World, Event::GiveUp { txn: place, life, tries });
-        let at = now + us(self.fleet.network.client);
+        let at = now + us(self.fleet.network.client_latency);
         self.queue.push(at, Class::World, Event::Try { txn: place, life, tries });
     }
 
@@ -97,7 +97,7 @@
 
     pub(crate) fn way(&self, forwarder: u32, node: u32) -> Time {
         let (from, to) = (self.forwarders[forwarder as usize].hall, self.nodes[node as usize].hall);
-        us(self.fleet.network.ways[from][to])
+        us(self.fleet.network.zone_latency[from][to])
     }
 
     /// The forwarder sends it on, over a connection that is open or over a new one.
@@ -281,7 +281,7 @@
         let forwarder = &self.forwarders[txn.forwarder as usize];
         let retry = match forwarder.held.levels[txn.product] {
             Some(level) => level.retry,
-            None if self.fleet.proxies.again => RetryPolicy::IfNeverRan,
+            None if self.fleet.proxies.retries_unexecuted => RetryPolicy::IfNeverRan,
             None => RetryPolicy::Never,
         };
         if retry == RetryPolicy::Never {
@@ -295,7 +295,7 @@
 
     /// What came of a try reaches the client, a way later. It comes again, or that was it.
     fn client_hears(&mut self, place: u32, how: End, never_ran: bool) {
-        let at = self.now + us(self.fleet.network.client);
+        let at = self.now + us(self.fleet.network.client_latency);
         let txn = &self.txns[place as usize];
         match how {
             End::Settled(_) if at <= txn.give_up => self.ends(place, End::Settled(at - txn.due)),
@@ -315,10 +315,10 @@
             Idempotency::WithIdempotencyKey => never_ran || at - txn.due < us(product.discard),
             Idempotency::NotIdempotent => never_ran,
         };
-        let (from, to) = (us(clients.wait.0), us(clients.wait.1));
+        let (from, to) = (us(clients.retry_wait.0), us(clients.retry_wait.1));
         let wait = from + ((to - from) as f64 * drawn(self.seed, txn.nth, txn.tries, WAIT)) as Time;
         let expires = txn.due + us(product.expiry);
-        if !may || self.without.retries || txn.tries > clients.again || at + wait >= expires {
+        if !may || self.without.retries || txn.tries > clients.max_retries || at + wait >= expires {
             return self.ends(place, how);
         }
         // Nothing limits the wait but the expiry.
@@ -338,7 +338,7 @@
             let attempt = &mut self.attempts[slot as usize];
             attempt.left = true;
             let (node, life, took) = (attempt.node, attempt.life, self.now - attempt.began);
-            let at = self.now + us(self.fleet.network.client) + self.way(number, node);
+            let at = self.now + us(self.fleet.network.client_latency) + self.way(number, node);
             self.queue.push(at, Class::World, Event::Cancelled { attempt: slot, life });
             self.met(number, node, true, took);
         }
--- a/simulation/src/mishap.rs
+++ b/simulation/src/mishap.rs
@@ -116,7 +116,7 @@
     /// Each second: what nodes used is booked, and connections that stand idle are closed.
     pub(crate) fn second(&mut self) {
         self.books();
-        let idle = us(self.fleet.proxies.idle);
+        let idle = us(self.fleet.proxies.idle_timeout);
         let since = self.now.saturating_sub(idle);
         for forwarder in &mut self.forwarders {
             for (node, pool) in &mut forwarder.pools {
--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -3,7 +3,7 @@
 
 use crate::queue::Time;
 use otterwinch::host::{EndpointId, EndpointState};
-use otterwinch_fleet::model::{Group, OverloadCollapse, WarmUp};
+use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
 use std::collections::VecDeque;
 
 /// Work that came is counted in parts of the toppling span.
@@ -63,7 +63,13 @@
 }
 
 impl Node {
-    pub fn new(id: EndpointId, place: usize, group: &Group, speed: f64, started: Option<Time>) -> Self {
+    pub fn new(
+        id: EndpointId,
+        place: usize,
+        group: &EndpointGroup,
+        speed: f64,
+        started: Option<Time>,
+    ) -> Self {
         Node {
             id,
             group: place,
@@ -82,10 +88,10 @@
             waiting: VecDeque::new(),
             busy: 0,
             open: 0,
-            most_waiting: group.waiting,
-            most_open: group.connections,
+            most_waiting: group.max_queued,
+            most_open: group.max_connections,
             connection_work: group.connection_work,
-            works_on: group.works_on,
+            works_on: group.finishes_abandoned,
             warm_up: group.warm_up,
             topples: group.overload_collapse,
             came: [0.0; PARTS],
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -57,7 +57,7 @@
         let told = &self.fleet.zones[hall];
         // Of a fleet that is three fifths full; only its proportions count.
         let whole = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * 0.6;
-        whole * told.clients / f64::from(told.proxies)
+        whole * told.client_share / f64::from(told.proxy_count)
     }
 
     /// The interval's sums are closed, and on their way.
@@ -162,11 +162,11 @@
             }
             None => {}
         }
-        let still = (us(self.fleet.proxies.line) as f64 * message.lines) as Time;
+        let still = (us(self.fleet.proxies.apply_time_per_line) as f64 * message.lines) as Time;
         forwarder.still_until = forwarder.still_until.max(self.now + still);
         if let Some(number) = message.mark {
             let Message { supervisor, forwarder, stream, .. } = message;
-            let at = self.now + still + us(self.fleet.network.client);
+            let at = self.now + still + us(self.fleet.network.client_latency);
             let event = Event::Applied { supervisor, number, forwarder, stream };
             self.queue.push(at, Class::Word, event);
         }
