--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -8,8 +8,8 @@
 use hyper::Request;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{Fleet, Idempotency};
+use otterwinch_fleet::sampling::random_stream;
 use otterwinch_fleet::Due;
 use otterwinch_simulation::tally::{End, Tally};
 use rand::RngExt;
@@ -72,7 +72,7 @@
         fronts,
         begin,
         tally: Mutex::new(Tally::new(fleet)),
-        draws: Mutex::new(stream(seed, "clients", 0)),
+        draws: Mutex::new(random_stream(seed, "clients", 0)),
     });
     watch(Watch(shared.clone()));
     let mut under_way = tokio::task::JoinSet::new();
@@ -108,7 +108,7 @@
     let product = &shared.fleet.request_classes[due.product];
     let clients = &shared.fleet.clients;
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
-    let (expires, mut tries) = (at + span(product.expiry), 0);
+    let (expires, mut tries) = (at + span(product.timeout), 0);
     let end = loop {
         tries += 1;
         let [front, patience, wait] = {
@@ -117,7 +117,7 @@
         };
         let now = Instant::now();
         let (least, most) = clients.attempt_timeout_fraction;
-        let patience = span(product.expiry).mul_f64(least + (most - least) * patience);
+        let patience = span(product.timeout).mul_f64(least + (most - least) * patience);
         let give_up = (now + patience).min(expires);
         {
             let mut tally = shared.tally.lock().expect("no holder panics");
@@ -138,7 +138,7 @@
         };
         let may = match product.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithIdempotencyKey => never_ran || at.elapsed() < span(product.discard),
+            Idempotency::WithIdempotencyKey => never_ran || at.elapsed() < span(product.deduplication_window),
             Idempotency::NotIdempotent => never_ran,
         };
         let (from, to) = (span(clients.retry_wait.0), span(clients.retry_wait.1));
--- a/emulator/src/forwarder.rs
+++ b/emulator/src/forwarder.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use otterwinch::host::RetryPolicy;
-use otterwinch_fleet::draws::stream;
+use otterwinch_fleet::sampling::random_stream;
 use otterwinch_simulation::table::{Lines, Version};
 use rand::seq::IndexedRandom;
 use rand::RngExt;
@@ -100,7 +100,7 @@
         let (listener, address) = net.listen(&format!("forwarder-{}", told.number), None).await?;
         let home: Vec<u32> =
             (0..).zip(&nodes.halls).filter(|(_, h)| **h == told.hall).map(|(k, _)| k).collect();
-        let mut draws = stream(seed, "standing", u64::from(told.number));
+        let mut draws = random_stream(seed, "standing", u64::from(told.number));
         let standing: Vec<u32> = home.sample(&mut draws, standing as usize).copied().collect();
         let bound = given.is_some();
         let own = || {
@@ -111,7 +111,7 @@
             version: given.unwrap_or_else(own),
             bound,
             still_until: Instant::now(),
-            draws: stream(seed, "picks", u64::from(told.number)),
+            draws: random_stream(seed, "picks", u64::from(told.number)),
         };
         let shared = Arc::new(Shared {
             net: net.clone(),
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -56,7 +56,7 @@
     let mut wakes: BinaryHeap<Reverse<(Instant, u64, Timer)>> = BinaryHeap::new();
     let mut asked_for = 0;
     let us = |span: Span| Duration::from_micros(span.as_us().max(0) as u64);
-    let (every, late) = (us(fleet.control_plane.report_every), us(fleet.control_plane.report_late));
+    let (every, late) = (us(fleet.control_plane.report_interval), us(fleet.control_plane.report_delay));
     let mut reports = std::collections::VecDeque::new();
     let mut next_report = Instant::now() + every;
     loop {
--- a/emulator/src/node.rs
+++ b/emulator/src/node.rs
@@ -8,8 +8,8 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
+use otterwinch_fleet::sampling::random_stream;
 use rand::RngExt;
 use std::collections::VecDeque;
 use std::future::pending;
@@ -87,7 +87,7 @@
     ) -> std::io::Result<Node> {
         let name = format!("{}-{k}", group.name);
         let (listener, address) = net.listen(&name, None).await?;
-        let draws = stream(seed, "node", (place as u64) << 32 | u64::from(k));
+        let draws = random_stream(seed, "node", (place as u64) << 32 | u64::from(k));
         let state = State {
             started,
             slow: 1.0,
@@ -179,7 +179,7 @@
         match (state.started, self.warm_up) {
             (Some(started), Some(warm_up)) => {
                 let age = started.elapsed().as_micros() as i64;
-                warm_up.part(otterwinch::time::Span::from_us(age))
+                warm_up.speed_fraction(otterwinch::time::Span::from_us(age))
             }
             _ => 1.0,
         }
@@ -189,13 +189,13 @@
     fn falls_over(&self, state: &mut State, work: f64) -> bool {
         let warmth = self.warmth(state);
         let (Some(topples), true) = (self.topples, warmth < 1.0) else { return false };
-        let over = topples.over.as_secs();
+        let over = topples.window.as_secs();
         let now = Instant::now();
         state.came.push_back((now, work));
         while state.came.front().is_some_and(|came| now - came.0 > Duration::from_secs_f64(over)) {
             state.came.pop_front();
         }
-        let bears = f64::from(self.count) * self.speed * warmth / state.slow * over * topples.multiple;
+        let bears = f64::from(self.count) * self.speed * warmth / state.slow * over * topples.overload_factor;
         state.came.iter().map(|came| came.1).sum::<f64>() > bears
     }
 }
--- a/emulator/src/plane.rs
+++ b/emulator/src/plane.rs
@@ -49,7 +49,7 @@
         let between = Arc::new(Between {
             plane: Mutex::new((Plane::new(told, products), streams)),
             began: Instant::now(),
-            late: Duration::from_micros(told.message.as_us() as u64),
+            late: Duration::from_micros(told.message_delay.as_us() as u64),
             forwarders,
             to,
         });
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -157,7 +157,8 @@
             seats: Arc::default(),
             standings,
         };
-        let count = if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.control_plane.count };
+        let count =
+            if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.control_plane.instances };
         let mut seats = Vec::new();
         for k in 0..count {
             seats.push(rig.seat(k, steering).await?);
@@ -212,7 +213,7 @@
                 log.display()
             ))
         })?;
-        let count = fleet.control_plane.count;
+        let count = fleet.control_plane.instances;
         let collects =
             word::collect(fleet.clone(), listen, names, self.forwarders.clone(), move |f| f % count == k);
         let collects = Aborts(tokio::spawn(collects));
@@ -319,7 +320,7 @@
             }
         }
         let (told, entries) = (self.told(nodes), self.entries(nodes));
-        let (seats, late) = (self.seats.clone(), span(self.fleet.control_plane.list_late));
+        let (seats, late) = (self.seats.clone(), span(self.fleet.control_plane.endpoint_list_delay));
         tokio::spawn(async move {
             sleep(late).await;
             for seat in seats.iter() {
--- a/emulator/src/word.rs
+++ b/emulator/src/word.rs
@@ -27,17 +27,17 @@
     }).collect();
     let halls: Vec<&str> = fleet.zones.iter().map(|hall| hall.name.as_str()).collect();
     let forwarders: u32 = fleet.zones.iter().map(|hall| hall.proxy_count).sum();
-    let crossing = if told.crossing_costs && fleet.zones.len() > 1 { 0.04 } else { 0.0 };
+    let crossing = if told.cross_zone_costs && fleet.zones.len() > 1 { 0.04 } else { 0.0 };
     json!({"name": name, "listen": listen, "discovery": list, "seed": format!("{seed:x}"),
         "relay": {"address": relay}, "known": known,
         "limits": {"sockets": 1024, "memory_mb": 192},
         "settings": {"zones": halls, "classes": products, "charges": {"crossZone": crossing},
-            "familyInfo": {"proxyCount": forwarders, "channelRate": told.lines_per_s,
-                "fixedCost": told.head_lines, "mostWaiting": told.most_waiting,
-                "transitMaxUs": us(told.message) * 2, "reportEveryUs": us(told.report_every),
+            "familyInfo": {"proxyCount": forwarders, "channelRate": told.channel_rate,
+                "fixedCost": told.message_overhead_lines, "mostWaiting": told.max_queued_lines,
+                "transitMaxUs": us(told.message_delay) * 2, "reportEveryUs": us(told.report_interval),
                 "initialSet": fleet.proxies.initial_table_size, "throttleBy": "fraction"},
-            "guarantees": {"drainGraceUs": us(told.drain_grace), "coldUs": us(told.cold_for)},
-            "replicasOfMe": told.count}})
+            "guarantees": {"drainGraceUs": us(told.drain_grace), "coldUs": us(told.slow_start_window)},
+            "replicasOfMe": told.instances}})
 }
 
 /// Sums of one interval, as collectors tell them.
@@ -81,7 +81,7 @@
     mine: impl Fn(u32) -> bool,
 ) {
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
-    let (every, late) = (span(fleet.control_plane.report_every), span(fleet.control_plane.report_late));
+    let (every, late) = (span(fleet.control_plane.report_interval), span(fleet.control_plane.report_delay));
     let mut links: Vec<Option<TcpStream>> = fleet.zones.iter().map(|_| None).collect();
     let mut next = Instant::now() + every;
     loop {
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -52,7 +52,7 @@
     });
 
     let network = network(&c.at("network"), &told.network.clone().unwrap_or_default(), &named);
-    let longest = groups.iter().filter_map(|g| g.warm_up).map(|w| w.over).max().unwrap_or(Span::ZERO);
+    let longest = groups.iter().filter_map(|g| g.warm_up).map(|w| w.duration).max().unwrap_or(Span::ZERO);
     let supervisors = supervisors(&c.at("supervisors"), &told.supervisors.unwrap_or_default(), longest);
     let clients = clients(&c.at("clients"), &told.clients.unwrap_or_default());
     let forwarders = forwarding(&c.at("forwarders"), &told.forwarders.unwrap_or_default());
@@ -140,7 +140,7 @@
         let from =
             if w.from.is_some() { c.at("from").within(from, 0.01..=1.0, "of full speed") } else { 1.0 };
         let over = if w.over_s.is_some() { c.at("over_s").within(over, 0.1..=3_600.0, "s") } else { 1.0 };
-        WarmUp { from, over: Span::secs(over) }
+        WarmUp { initial_speed: from, duration: Span::secs(over) }
     });
     let topples = told.topples.map(|t| {
         let c = c.at("topples");
@@ -149,7 +149,7 @@
         let multiple =
             if t.multiple.is_some() { c.at("multiple").within(multiple, 1.0..=100.0, "times") } else { 1.0 };
         let over = if t.over_s.is_some() { c.at("over_s").within(over, 0.1..=60.0, "s") } else { 1.0 };
-        OverloadCollapse { multiple, over: Span::secs(over) }
+        OverloadCollapse { overload_factor: multiple, window: Span::secs(over) }
     });
     c.at("topples").unless(topples.is_none() || warm_up.is_some(), || {
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
@@ -173,7 +173,7 @@
 }
 
 fn speed(c: &Checker, told: Option<&proto::Speed>) -> Speed {
-    let Some(told) = told else { return Speed::Between(1.0, 1.0) };
+    let Some(told) = told else { return Speed::Uniform(1.0, 1.0) };
     let bounds = 0.01..=100.0;
     if !told.measured.is_empty() {
         c.at("measured").unless(told.from.is_none() && told.to.is_none(), || {
@@ -184,7 +184,7 @@
     }
     let from = c.at("from").within(told.from.unwrap_or(1.0), bounds, "of speed");
     let to = told.to.unwrap_or(from);
-    Speed::Between(from, c.at("to").within(to, from..=100.0, "of speed"))
+    Speed::Uniform(from, c.at("to").within(to, from..=100.0, "of speed"))
 }
 
 fn product(c: &Checker, told: &proto::Product) -> RequestClass {
@@ -217,12 +217,16 @@
         share: c.at("share").within(told.share.unwrap_or(1.0), 0.0..=1_000.0, "parts of the txns"),
         work: work(&c.at("work"), told.work.as_ref()),
         latency_objective: ms(sla),
-        expiry: ms(expiry),
+        timeout: ms(expiry),
         priority_weight: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
-        late_part: part("late_part", told.late_part, 0.0),
+        late_value: part("late_part", told.late_part, 0.0),
         idempotency: repeats,
-        discard: Span::secs(c.at("discard_s").within(told.discard_s.unwrap_or(0.0), 0.0..=600.0, "s")),
-        floor: part("floor", told.floor, 0.1),
+        deduplication_window: Span::secs(c.at("discard_s").within(
+            told.discard_s.unwrap_or(0.0),
+            0.0..=600.0,
+            "s",
+        )),
+        min_admitted: part("floor", told.floor, 0.1),
     }
 }
 
@@ -281,17 +285,21 @@
     let most_waiting = told.most_waiting.unwrap_or(lines_per_s);
     let cold_for = told.cold_for_s.unwrap_or(longest.as_secs());
     ControlPlane {
-        count: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
-        report_every: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
-        report_late: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
-        list_late: time("list_late_ms", told.list_late_ms, 2_000.0, 0.0..=LONGEST_MS),
-        lines_per_s,
-        head_lines: c.at("head_lines").within(told.head_lines.unwrap_or(10.0), 0.0..=10_000.0, "lines"),
-        most_waiting: c.at("most_waiting").within(most_waiting, 10.0..=1e8, "lines"),
-        message: time("message_ms", told.message_ms, 150.0, 0.0..=60_000.0),
+        instances: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
+        report_interval: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
+        report_delay: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
+        endpoint_list_delay: time("list_late_ms", told.list_late_ms, 2_000.0, 0.0..=LONGEST_MS),
+        channel_rate: lines_per_s,
+        message_overhead_lines: c.at("head_lines").within(
+            told.head_lines.unwrap_or(10.0),
+            0.0..=10_000.0,
+            "lines",
+        ),
+        max_queued_lines: c.at("most_waiting").within(most_waiting, 10.0..=1e8, "lines"),
+        message_delay: time("message_ms", told.message_ms, 150.0, 0.0..=60_000.0),
         drain_grace: time("drain_grace_ms", told.drain_grace_ms, 1_500.0, 100.0..=LONGEST_MS),
-        cold_for: Span::secs(c.at("cold_for_s").within(cold_for, 0.0..=3_600.0, "s")),
-        crossing_costs: told.crossing_costs.unwrap_or(true),
+        slow_start_window: Span::secs(c.at("cold_for_s").within(cold_for, 0.0..=3_600.0, "s")),
+        cross_zone_costs: told.crossing_costs.unwrap_or(true),
     }
 }
 
@@ -299,7 +307,7 @@
     let service = told.service.unwrap_or(0.95);
     let each = told.each_product.unwrap_or(0.0);
     Goal {
-        service: c.at("service").within(service, 0.01..=1.0, "of the revenue"),
-        each_product: c.at("each_product").within(each, 0.0..=1.0, "of the revenue"),
+        service_level: c.at("service").within(service, 0.01..=1.0, "of the revenue"),
+        class_service_level: c.at("each_product").within(each, 0.0..=1.0, "of the revenue"),
     }
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -3,14 +3,14 @@
 //!
 //! [`read`] turns the text of a description into a [`model::Fleet`] or names every fault. `model.rs` is a fleet,
 //! `check.rs` the bounds of each figure, `proto/` the schemas, `text.rs` their text. [`load::Load`] reads a capture
-//! for a fleet; `import.rs` makes one from logs and `make.rs` from a recipe. `draws.rs` is chance from a seed.
+//! for a fleet; `import.rs` makes one from logs and `make.rs` from a recipe. `sampling.rs` is chance from a seed.
 
 mod check;
-pub mod draws;
 pub mod import;
 pub mod load;
 pub mod make;
 pub mod model;
+pub mod sampling;
 pub mod scale;
 mod text;
 
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -1,9 +1,9 @@
 //! Captured load made ready for a plan: its names found in the fleet, its clock made to go forward, its holes and
 //! spoilt parts told. One txn at a time, so that memory does not grow with the capture.
 
-use crate::draws::stream;
 use crate::make::work;
 use crate::model::Fleet;
+use crate::sampling::random_stream;
 use otterwinch_traffic_capture::{Asked, Piece, Reader, Start, Sum, Txn};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -137,7 +137,7 @@
                 return Err(format!("the fleet knows no {what} of this load ({names}); name them alike"));
             }
         }
-        let (work, spread) = (stream(seed, "work", 0), stream(seed, "spread", 0));
+        let (work, spread) = (random_stream(seed, "work", 0), random_stream(seed, "spread", 0));
         Ok(Load {
             reader,
             fleet,
--- a/fleet/src/make.rs
+++ b/fleet/src/make.rs
@@ -1,9 +1,9 @@
 //! Load where none was captured: seeded arrivals with a slow wave, bursts and costly txns.
 
-use crate::draws::stream;
 use crate::load::Due;
 use crate::model::{Fleet, Work};
 use crate::proto;
+use crate::sampling::random_stream;
 use otterwinch_textproto::Checker;
 use otterwinch_traffic_capture::Txn;
 use rand::RngExt;
@@ -127,10 +127,10 @@
             recipe: recipe.clone(),
             at: 0.0,
             highest: busiest * (1.0 + recipe.curve.0),
-            arrivals: stream(seed, "arrivals", 0),
-            places: stream(seed, "places", 0),
-            work: stream(seed, "work", 0),
-            keys: stream(seed, "keys", 0),
+            arrivals: random_stream(seed, "arrivals", 0),
+            places: random_stream(seed, "places", 0),
+            work: random_stream(seed, "work", 0),
+            keys: random_stream(seed, "keys", 0),
             popular,
         }
     }
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -54,7 +54,7 @@
 /// Seconds of work that one core does in a second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Speed {
-    Between(f64, f64),
+    Uniform(f64, f64),
     /// One a node, again from the first where there are more nodes.
     Measured(Vec<f64>),
 }
@@ -62,7 +62,7 @@
 impl Speed {
     pub fn mean(&self) -> f64 {
         match self {
-            Speed::Between(from, to) => (from + to) / 2.0,
+            Speed::Uniform(from, to) => (from + to) / 2.0,
             Speed::Measured(each) => each.iter().sum::<f64>() / each.len().max(1) as f64,
         }
     }
@@ -70,8 +70,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    pub from: f64,
-    pub over: Span,
+    pub initial_speed: f64,
+    pub duration: Span,
 }
 
 impl WarmUp {
@@ -80,20 +80,20 @@
     /// ```
     /// use otterwinch::time::Span;
     /// use otterwinch_fleet::model::WarmUp;
-    /// let warm_up = WarmUp { from: 0.25, over: Span::secs(8.0) };
-    /// assert_eq!(warm_up.part(Span::secs(4.0)), 0.625);
-    /// assert_eq!(warm_up.part(Span::secs(60.0)), 1.0);
+    /// let warm_up = WarmUp { initial_speed: 0.25, duration: Span::secs(8.0) };
+    /// assert_eq!(warm_up.speed_fraction(Span::secs(4.0)), 0.625);
+    /// assert_eq!(warm_up.speed_fraction(Span::secs(60.0)), 1.0);
     /// ```
-    pub fn part(&self, age: Span) -> f64 {
-        let grown = (age.as_secs() / self.over.as_secs()).clamp(0.0, 1.0);
-        self.from + (1.0 - self.from) * grown
+    pub fn speed_fraction(&self, age: Span) -> f64 {
+        let grown = (age.as_secs() / self.duration.as_secs()).clamp(0.0, 1.0);
+        self.initial_speed + (1.0 - self.initial_speed) * grown
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCollapse {
-    pub multiple: f64,
-    pub over: Span,
+    pub overload_factor: f64,
+    pub window: Span,
 }
 
 /// What a repeat may do.
@@ -111,12 +111,12 @@
     pub share: f64,
     pub work: Work,
     pub latency_objective: Span,
-    pub expiry: Span,
+    pub timeout: Span,
     pub priority_weight: f64,
-    pub late_part: f64,
+    pub late_value: f64,
     pub idempotency: Idempotency,
-    pub discard: Span,
-    pub floor: f64,
+    pub deduplication_window: Span,
+    pub min_admitted: f64,
 }
 
 /// Seconds of work on a core of speed 1.
@@ -158,23 +158,23 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlPlane {
-    pub count: u32,
-    pub report_every: Span,
-    pub report_late: Span,
-    pub list_late: Span,
-    pub lines_per_s: f64,
-    pub head_lines: f64,
-    pub most_waiting: f64,
-    pub message: Span,
+    pub instances: u32,
+    pub report_interval: Span,
+    pub report_delay: Span,
+    pub endpoint_list_delay: Span,
+    pub channel_rate: f64,
+    pub message_overhead_lines: f64,
+    pub max_queued_lines: f64,
+    pub message_delay: Span,
     pub drain_grace: Span,
-    pub cold_for: Span,
-    pub crossing_costs: bool,
+    pub slow_start_window: Span,
+    pub cross_zone_costs: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    pub service: f64,
-    pub each_product: f64,
+    pub service_level: f64,
+    pub class_service_level: f64,
 }
 
 impl Fleet {
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -1,7 +1,7 @@
 //! More or less of the same load: what a plan calls a multiple of it.
 
-use crate::draws::stream;
 use crate::load::Due;
+use crate::sampling::random_stream;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BinaryHeap;
@@ -54,7 +54,7 @@
 
 impl<I: Iterator<Item = Due>> Scaled<I> {
     pub fn new(load: I, times: f64, seed: u64) -> Self {
-        let draws = stream(seed, "copies", 0);
+        let draws = random_stream(seed, "copies", 0);
         Scaled { load, times, draws, waiting: BinaryHeap::new(), nth: 0, settled: f64::NEG_INFINITY }
     }
 
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -41,7 +41,7 @@
     assert_eq!(fleet.zones[1].client_share, 0.5);
     assert_eq!(fleet.groups[0].weight, 2.0);
     assert_eq!(fleet.request_classes[2].idempotency, Idempotency::NotIdempotent);
-    assert_eq!(fleet.control_plane.cold_for.as_secs(), 10.0);
+    assert_eq!(fleet.control_plane.slow_start_window.as_secs(), 10.0);
     assert_eq!(fleet.network.zone_latency[0][1].as_us(), 800);
 }
 
--- a/simulation/src/control.rs
+++ b/simulation/src/control.rs
@@ -149,7 +149,7 @@
 
 impl Plane {
     pub fn new(told: &ControlPlane, products: usize) -> Self {
-        let (lines_per_s, head) = (told.lines_per_s, told.head_lines);
+        let (lines_per_s, head) = (told.channel_rate, told.message_overhead_lines);
         let channel = Channel { lines_per_s, head, free: 0, most: 0.0, lines: 0.0, messages: 0 };
         let (tables, barred) = (BTreeMap::new(), BTreeSet::new());
         Plane { tables, barred, bound: BTreeMap::new(), joined: BTreeSet::new(), channel, products }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -11,8 +11,8 @@
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
 use otterwinch::time::Span;
-use otterwinch_fleet::draws::stream;
 use otterwinch_fleet::model::{EndpointGroup, Fleet, Speed};
+use otterwinch_fleet::sampling::random_stream;
 use otterwinch_fleet::Due;
 use rand::seq::IndexedRandom;
 use rand::RngExt;
@@ -335,7 +335,7 @@
             Steering::Fixed { weights, levels } => Some((weights, levels)),
             Steering::Controller => None,
         };
-        let count = if fixed.is_some() { 0 } else { fleet.control_plane.count };
+        let count = if fixed.is_some() { 0 } else { fleet.control_plane.instances };
         for (hall, told) in fleet.zones.iter().enumerate() {
             let home: Vec<u32> =
                 (0..).zip(&self.nodes).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect();
@@ -346,7 +346,7 @@
             });
             for _ in 0..told.proxy_count {
                 let place = self.forwarders.len() as u32;
-                let mut draws = stream(self.seed, "standing", u64::from(place));
+                let mut draws = random_stream(self.seed, "standing", u64::from(place));
                 let standing: Vec<u32> =
                     home.sample(&mut draws, fleet.proxies.initial_table_size as usize).copied().collect();
                 let own = || {
@@ -378,7 +378,7 @@
             supervisor.controller.endpoint_list_replaced(moment(0), &listed);
             self.supervisors.push(supervisor);
             self.asks(k);
-            let every = us(fleet.control_plane.report_every);
+            let every = us(fleet.control_plane.report_interval);
             // Supervisors' reports do not fall on one instant.
             self.queue.push(every + Time::from(k) * 7_001, Class::Word, Event::Report(k));
         }
@@ -501,11 +501,11 @@
 
 /// The speed of each node of a group, drawn from the seed or as measured.
 pub fn speeds(group: &EndpointGroup, place: usize, seed: u64) -> Vec<f64> {
-    let mut draws = stream(seed, "speeds", place as u64);
+    let mut draws = random_stream(seed, "speeds", place as u64);
     let one = |k: u32| {
         let unit: f64 = draws.random();
         match &group.speed {
-            Speed::Between(from, to) => from + (to - from) * unit,
+            Speed::Uniform(from, to) => from + (to - from) * unit,
             Speed::Measured(each) => each[k as usize % each.len()],
         }
     };
--- a/simulation/src/life.rs
+++ b/simulation/src/life.rs
@@ -46,7 +46,7 @@
         let txn = &mut self.txns[place as usize];
         txn.tries += 1;
         let (nth, tries, life) = (txn.nth, txn.tries, txn.life);
-        let expiry = us(self.fleet.request_classes[txn.product].expiry);
+        let expiry = us(self.fleet.request_classes[txn.product].timeout);
         let (least, most) = self.fleet.clients.attempt_timeout_fraction;
         let patience = least + (most - least) * drawn(seed, nth, tries, PATIENCE);
         txn.give_up = (now + (expiry as f64 * patience) as Time).min(txn.due + expiry);
@@ -312,12 +312,12 @@
         let product = &fleet.request_classes[txn.product];
         let may = match product.idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithIdempotencyKey => never_ran || at - txn.due < us(product.discard),
+            Idempotency::WithIdempotencyKey => never_ran || at - txn.due < us(product.deduplication_window),
             Idempotency::NotIdempotent => never_ran,
         };
         let (from, to) = (us(clients.retry_wait.0), us(clients.retry_wait.1));
         let wait = from + ((to - from) as f64 * drawn(self.seed, txn.nth, txn.tries, WAIT)) as Time;
-        let expires = txn.due + us(product.expiry);
+        let expires = txn.due + us(product.timeout);
         if !may || self.without.retries || txn.tries > clients.max_retries || at + wait >= expires {
             return self.ends(place, how);
         }
--- a/simulation/src/node.rs
+++ b/simulation/src/node.rs
@@ -109,7 +109,7 @@
     pub fn warmth(&self, now: Time) -> f64 {
         match (self.started, self.warm_up) {
             (Some(started), Some(warm_up)) => {
-                warm_up.part(otterwinch::time::Span::from_us(now.saturating_sub(started) as i64))
+                warm_up.speed_fraction(otterwinch::time::Span::from_us(now.saturating_sub(started) as i64))
             }
             _ => 1.0,
         }
@@ -188,13 +188,13 @@
 
     fn falls_over(&mut self, now: Time, work: f64) -> bool {
         let (Some(topples), true) = (self.topples, self.warmth(now) < 1.0) else { return false };
-        let over = topples.over.as_secs();
+        let over = topples.window.as_secs();
         let part = (now as f64 / 1e6 / over * PARTS as f64) as Time;
         let passed = part.saturating_sub(self.came_part).min(PARTS as Time);
         (1..=passed).for_each(|k| self.came[((part - passed + k) % PARTS as Time) as usize] = 0.0);
         self.came_part = part;
         self.came[(part % PARTS as Time) as usize] += work;
-        let bears = f64::from(self.cores) * self.pace(now) * over * topples.multiple;
+        let bears = f64::from(self.cores) * self.pace(now) * over * topples.overload_factor;
         self.came.iter().sum::<f64>() > bears
     }
 
--- a/simulation/src/tally.rs
+++ b/simulation/src/tally.rs
@@ -164,7 +164,7 @@
     pub fn new(fleet: &Fleet) -> Self {
         let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
         let sla = |p: &otterwinch_fleet::model::RequestClass| {
-            (p.latency_objective.as_us() as Time, p.expiry.as_us() as Time, p.priority_weight)
+            (p.latency_objective.as_us() as Time, p.timeout.as_us() as Time, p.priority_weight)
         };
         Tally {
             whole: Count::new(),
--- a/simulation/src/word.rs
+++ b/simulation/src/word.rs
@@ -71,14 +71,14 @@
         });
         self.reports[report] = Some(sums);
         let told = &self.fleet.control_plane;
-        let late = self.now + us(told.report_late);
+        let late = self.now + us(told.report_delay);
         self.queue.push(late, Class::Word, Event::Heard { supervisor: number, report: report as u32 });
-        self.queue.push(self.now + us(told.report_every), Class::Word, Event::Report(number));
+        self.queue.push(self.now + us(told.report_interval), Class::Word, Event::Report(number));
     }
 
     pub(crate) fn heard(&mut self, number: u32, report: u32) {
         let Some(sums) = self.reports[report as usize].take() else { return };
-        let over = self.fleet.control_plane.report_every;
+        let over = self.fleet.control_plane.report_interval;
         let ids: Vec<_> = sums.met.keys().map(|(node, _)| self.nodes[*node as usize].id.clone()).collect();
         self.hears(number, |s, now| {
             for (met, id) in sums.met.values().zip(&ids) {
@@ -106,7 +106,7 @@
         }
         let listings: Vec<EndpointUpdate> = nodes.iter().map(|k| listing(&self.nodes[*k as usize])).collect();
         self.lists.push(listings);
-        let at = self.now + us(self.fleet.control_plane.list_late);
+        let at = self.now + us(self.fleet.control_plane.endpoint_list_delay);
         let list = self.lists.len() as u32 - 1;
         for supervisor in 0..self.supervisors.len() as u32 {
             self.queue.push(at, Class::Word, Event::Listed { supervisor, list });
@@ -139,7 +139,7 @@
                     self.messages.len() as u32 - 1
                 }
             };
-            let at = left + us(self.fleet.control_plane.message);
+            let at = left + us(self.fleet.control_plane.message_delay);
             self.queue.push(at, Class::World, Event::Message(slot));
         }
     }
