--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioExecutor;
 use otterwinch_fleet::model::{Fleet, Idempotency};
 use otterwinch_fleet::sampling::random_stream;
-use otterwinch_fleet::Due;
+use otterwinch_fleet::ScheduledRequest;
 use otterwinch_simulation::tally::{End, Tally};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -61,7 +61,7 @@
     net: &Net,
     fronts: Fronts,
     begin: Instant,
-    load: impl Iterator<Item = Due>,
+    load: impl Iterator<Item = ScheduledRequest>,
     seed: u64,
     watch: impl FnOnce(Watch),
 ) -> Seen {
@@ -83,7 +83,12 @@
         while under_way.try_join_next().is_some() {}
         if under_way.len() >= MOST_IN_FLIGHT {
             unsent += 1;
-            shared.tally.lock().expect("no holder panics").ended(due.product, due.hall, due.at, End::Voided);
+            shared.tally.lock().expect("no holder panics").ended(
+                due.request_class,
+                due.zone,
+                due.at,
+                End::Voided,
+            );
             continue;
         }
         let lateness = at.elapsed();
@@ -104,8 +109,8 @@
 }
 
 /// A txn from its due time to its end, with as many tries as its client makes.
-async fn txn(shared: Arc<Shared>, due: Due, at: Instant) {
-    let product = &shared.fleet.request_classes[due.product];
+async fn txn(shared: Arc<Shared>, due: ScheduledRequest, at: Instant) {
+    let product = &shared.fleet.request_classes[due.request_class];
     let clients = &shared.fleet.clients;
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
     let (expires, mut tries) = (at + span(product.timeout), 0);
@@ -121,9 +126,9 @@
         let give_up = (now + patience).min(expires);
         {
             let mut tally = shared.tally.lock().expect("no holder panics");
-            tally.tried(due.product, due.hall, (now - shared.begin).as_secs_f64());
+            tally.tried(due.request_class, due.zone, (now - shared.begin).as_secs_f64());
         }
-        let came = match shared.forwarder(due.hall, front) {
+        let came = match shared.forwarder(due.zone, front) {
             None => Came::NeverRan,
             Some(address) => {
                 let asked = shared.ask(&address, &due);
@@ -148,7 +153,7 @@
         }
         sleep_until(again).await;
     };
-    shared.tally.lock().expect("no holder panics").ended(due.product, due.hall, due.at, end);
+    shared.tally.lock().expect("no holder panics").ended(due.request_class, due.zone, due.at, end);
 }
 
 impl Shared {
@@ -159,11 +164,11 @@
         one_of(&fronts[hall]).or_else(|| one_of(&all()))
     }
 
-    async fn ask(&self, address: &str, due: &Due) -> Came {
+    async fn ask(&self, address: &str, due: &ScheduledRequest) -> Came {
         let message = Request::builder()
             .method("POST")
             .uri(format!("http://{address}/txn"))
-            .header(PRODUCT, due.product)
+            .header(PRODUCT, due.request_class)
             .header(WORK_US, format!("{:.0}", due.work * 1e6));
         let message = message.body(Empty::new()).expect("a plain message");
         let answer = match self.client.request(message).await {
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -12,7 +12,7 @@
 use otterwinch::host::{EndpointState, RetryPolicy};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::Due;
+use otterwinch_fleet::ScheduledRequest;
 use otterwinch_simulation::table::{Level, Lines, Version};
 use otterwinch_simulation::{speeds, At, Happening, NodeOutcome};
 use serde_json::json;
@@ -379,7 +379,7 @@
     /// Plays a load and what befalls the fleet meanwhile.
     pub async fn play(
         self: &Arc<Self>,
-        load: impl Iterator<Item = Due>,
+        load: impl Iterator<Item = ScheduledRequest>,
         happenings: &[At],
         watch: impl FnOnce(Watch),
     ) -> io::Result<Played> {
--- a/emulator/tests/rig.rs
+++ b/emulator/tests/rig.rs
@@ -2,9 +2,9 @@
 //! same fleet and load, which shares no code with them but the tables.
 
 use otterwinch_emulator::{in_memory, Net, Played, Rig, Steering};
-use otterwinch_fleet::make::Maker;
+use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::{read_recipe, Due};
+use otterwinch_fleet::{read_load_profile, ScheduledRequest};
 use otterwinch_simulation::{play, At, Happening, Outcome, Plan, Without};
 use std::sync::Arc;
 
@@ -21,9 +21,9 @@
     otterwinch_fleet::read("small.fleet", &text).unwrap()
 }
 
-fn load(fleet: &Fleet, recipe: &str) -> Vec<Due> {
-    let recipe = read_recipe("recipe", recipe, fleet).unwrap();
-    Maker::new(fleet, &recipe, 3).dues().collect()
+fn load(fleet: &Fleet, recipe: &str) -> Vec<ScheduledRequest> {
+    let recipe = read_load_profile("recipe", recipe, fleet).unwrap();
+    LoadGenerator::new(fleet, &recipe, 3).requests().collect()
 }
 
 fn even() -> (Steering, otterwinch_simulation::Steering) {
@@ -32,7 +32,7 @@
     (ours, otterwinch_simulation::Steering::Fixed { weights, levels })
 }
 
-fn stand_in(fleet: &Fleet, steering: &Steering, dues: &[Due], happenings: &[At]) -> Played {
+fn stand_in(fleet: &Fleet, steering: &Steering, dues: &[ScheduledRequest], happenings: &[At]) -> Played {
     in_memory(async {
         let rig = Arc::new(Rig::start(fleet, Net::memory(), 7, steering).await.unwrap());
         rig.settles().await.unwrap();
@@ -43,7 +43,7 @@
 fn replayed(
     fleet: &Fleet,
     steering: otterwinch_simulation::Steering,
-    dues: &[Due],
+    dues: &[ScheduledRequest],
     happenings: &[At],
 ) -> Outcome {
     let happenings = happenings.to_vec();
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -1,7 +1,7 @@
 //! Captured load made ready for a plan: its names found in the fleet, its clock made to go forward, its holes and
 //! spoilt parts told. One txn at a time, so that memory does not grow with the capture.
 
-use crate::make::work;
+use crate::load_profile::work;
 use crate::model::Fleet;
 use crate::sampling::random_stream;
 use otterwinch_traffic_capture::{Asked, Piece, Reader, Start, Sum, Txn};
@@ -21,11 +21,11 @@
 
 /// A txn of a plan. Its product and hall are the fleet's.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Due {
+pub struct ScheduledRequest {
     /// Seconds from the capture's beginning.
     pub at: f64,
-    pub product: usize,
-    pub hall: usize,
+    pub request_class: usize,
+    pub zone: usize,
     /// Seconds of work on a core of speed 1; drawn from the product's where the capture does not know.
     pub work: f64,
     pub key: Option<u64>,
@@ -33,7 +33,7 @@
 
 /// What a capture turned out to hold.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Heard {
+pub struct LoadFindings {
     pub txns: u64,
     /// Repeats that the capture holds and the plan leaves out, since its clients come again by themselves.
     pub repeats: u64,
@@ -54,7 +54,7 @@
     pub until: f64,
 }
 
-impl fmt::Display for Heard {
+impl fmt::Display for LoadFindings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} txns over {:.1} s", self.txns, self.until)?;
         let mut also =
@@ -103,7 +103,7 @@
 }
 
 /// Reads a capture as a plan for a fleet.
-pub struct Load<'a, R: Read> {
+pub struct CapturedLoad<'a, R: Read> {
     reader: Reader<R>,
     fleet: &'a Fleet,
     /// The fleet's places of the capture's products and halls.
@@ -118,11 +118,11 @@
     mean_gap: f64,
     work: Pcg64Mcg,
     spread: Pcg64Mcg,
-    heard: Heard,
+    heard: LoadFindings,
     over: bool,
 }
 
-impl<'a, R: Read> Load<'a, R> {
+impl<'a, R: Read> CapturedLoad<'a, R> {
     /// Opens a capture for a fleet. Fails where the capture names nothing that the fleet knows.
     pub fn open(from: R, fleet: &'a Fleet, seed: u64) -> Result<Self, String> {
         let reader = Reader::open(from).map_err(|e| e.to_string())?;
@@ -138,7 +138,7 @@
             }
         }
         let (work, spread) = (random_stream(seed, "work", 0), random_stream(seed, "spread", 0));
-        Ok(Load {
+        Ok(CapturedLoad {
             reader,
             fleet,
             products,
@@ -152,13 +152,13 @@
             mean_gap: 0.0,
             work,
             spread,
-            heard: Heard::default(),
+            heard: LoadFindings::default(),
             over: false,
         })
     }
 
     /// What was found so far; all of it once the load has ended.
-    pub fn heard(&self) -> &Heard {
+    pub fn findings(&self) -> &LoadFindings {
         &self.heard
     }
 
@@ -223,7 +223,7 @@
         }
     }
 
-    fn due(&mut self, waits: Waits) -> Option<Due> {
+    fn due(&mut self, waits: Waits) -> Option<ScheduledRequest> {
         let Txn { product, hall, work_us, key, attempt, .. } = waits.txn;
         if attempt > 0 {
             self.heard.repeats += 1;
@@ -255,14 +255,14 @@
         };
         (self.last, self.heard.until) = (Some(at), at);
         self.heard.txns += 1;
-        Some(Due { at, product, hall, work, key })
+        Some(ScheduledRequest { at, request_class: product, zone: hall, work, key })
     }
 }
 
-impl<R: Read> Iterator for Load<'_, R> {
-    type Item = Due;
+impl<R: Read> Iterator for CapturedLoad<'_, R> {
+    type Item = ScheduledRequest;
 
-    fn next(&mut self) -> Option<Due> {
+    fn next(&mut self) -> Option<ScheduledRequest> {
         loop {
             self.read_on();
             let waits = self.waiting.pop()?;
@@ -275,7 +275,7 @@
 
 /// What a whole load is like, for the eye.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Summary {
+pub struct LoadSummary {
     pub txns: u64,
     pub seconds: f64,
     /// By product and by hall.
@@ -293,26 +293,26 @@
     second: (u64, u64, f64),
 }
 
-impl Summary {
+impl LoadSummary {
     pub fn of(fleet: &Fleet) -> Self {
         let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
-        Summary {
+        LoadSummary {
             by_product: vec![0; products],
             by_hall: vec![0; halls],
             work_by_product: vec![0.0; products],
             costliest: vec![0.0; products],
-            ..Summary::default()
+            ..LoadSummary::default()
         }
     }
 
-    pub fn add(&mut self, due: &Due) {
+    pub fn add(&mut self, due: &ScheduledRequest) {
         self.txns += 1;
         self.seconds = self.seconds.max(due.at);
-        self.by_product[due.product] += 1;
-        self.by_hall[due.hall] += 1;
+        self.by_product[due.request_class] += 1;
+        self.by_hall[due.zone] += 1;
         self.work += due.work;
-        self.work_by_product[due.product] += due.work;
-        self.costliest[due.product] = self.costliest[due.product].max(due.work);
+        self.work_by_product[due.request_class] += due.work;
+        self.costliest[due.request_class] = self.costliest[due.request_class].max(due.work);
         let second = due.at.max(0.0) as u64;
         if second != self.second.0 {
             self.second = (second, 0, 0.0);
--- a/fleet/src/make.rs
+++ b/fleet/src/load_profile.rs
@@ -1,6 +1,6 @@
 //! Load where none was captured: seeded arrivals with a slow wave, bursts and costly txns.
 
-use crate::load::Due;
+use crate::load::ScheduledRequest;
 use crate::model::{Fleet, Work};
 use crate::proto;
 use crate::sampling::random_stream;
@@ -15,7 +15,7 @@
 
 /// What load to make, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recipe {
+pub struct LoadProfile {
     pub for_s: f64,
     pub txns_per_s: f64,
     /// Depth and period.
@@ -44,7 +44,7 @@
     }
 }
 
-pub(crate) fn recipe(c: &Checker, told: &proto::Make, fleet: &Fleet) -> Recipe {
+pub(crate) fn recipe(c: &Checker, told: &proto::Make, fleet: &Fleet) -> LoadProfile {
     let needed =
         |field: &str, value: Option<f64>, bounds: std::ops::RangeInclusive<f64>, what: &str, unit: &str| {
             match value {
@@ -100,13 +100,13 @@
         (distinct, c.at("skew").within(keys.skew.unwrap_or(0.0), 0.0..=3.0, "of skew"))
     });
     let bursts = told.burst.iter().enumerate().map(burst).collect();
-    Recipe { for_s, txns_per_s, curve: (depth, period), bursts, keys }
+    LoadProfile { for_s, txns_per_s, curve: (depth, period), bursts, keys }
 }
 
 /// Txns in the order of their arrival; the same seed makes the same ones.
-pub struct Maker {
+pub struct LoadGenerator {
     fleet: Fleet,
-    recipe: Recipe,
+    recipe: LoadProfile,
     at: f64,
     /// The highest rate that any moment may have.
     highest: f64,
@@ -117,12 +117,12 @@
     popular: Option<Zipf<f64>>,
 }
 
-impl Maker {
-    pub fn new(fleet: &Fleet, recipe: &Recipe, seed: u64) -> Self {
+impl LoadGenerator {
+    pub fn new(fleet: &Fleet, recipe: &LoadProfile, seed: u64) -> Self {
         let edges = recipe.bursts.iter().map(|burst| burst.at_s).chain([0.0]);
         let busiest = edges.map(|at| recipe_rate(fleet, recipe, at)).fold(0.0, f64::max);
         let popular = recipe.keys.and_then(|(n, skew)| Zipf::new(f64::from(n), skew).ok());
-        Maker {
+        LoadGenerator {
             fleet: fleet.clone(),
             recipe: recipe.clone(),
             at: 0.0,
@@ -136,11 +136,11 @@
     }
 
     /// The same as a plan takes them.
-    pub fn dues(self) -> impl Iterator<Item = Due> {
-        self.map(|txn| Due {
+    pub fn requests(self) -> impl Iterator<Item = ScheduledRequest> {
+        self.map(|txn| ScheduledRequest {
             at: txn.at_us as f64 / 1e6,
-            product: txn.product as usize,
-            hall: txn.hall as usize,
+            request_class: txn.product as usize,
+            zone: txn.hall as usize,
             work: txn.work_us.unwrap_or(0) as f64 / 1e6,
             key: txn.key,
         })
@@ -172,14 +172,14 @@
 }
 
 /// The part of the rate that a product and hall have at a moment.
-fn part(fleet: &Fleet, recipe: &Recipe, at: f64, product: usize, hall: usize) -> f64 {
+fn part(fleet: &Fleet, recipe: &LoadProfile, at: f64, product: usize, hall: usize) -> f64 {
     let touching = recipe.bursts.iter().filter(|burst| burst.touches(at, product, hall));
     fleet.request_classes[product].share
         * fleet.zones[hall].client_share
         * touching.map(|burst| burst.times).product::<f64>()
 }
 
-fn recipe_rate(fleet: &Fleet, recipe: &Recipe, at: f64) -> f64 {
+fn recipe_rate(fleet: &Fleet, recipe: &LoadProfile, at: f64) -> f64 {
     let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
     let parts = (0..products).flat_map(|p| (0..halls).map(move |h| (p, h)));
     parts.map(|(p, h)| part(fleet, recipe, at, p, h)).sum::<f64>() * recipe.txns_per_s
@@ -197,7 +197,7 @@
     (work.from + (work.to - work.from) * plain) * times
 }
 
-impl Iterator for Maker {
+impl Iterator for LoadGenerator {
     type Item = Txn;
 
     fn next(&mut self) -> Option<Txn> {
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -1,6 +1,6 @@
 //! More or less of the same load: what a plan calls a multiple of it.
 
-use crate::load::Due;
+use crate::load::ScheduledRequest;
 use crate::sampling::random_stream;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -14,13 +14,13 @@
 /// time stays, bursts and holes as well. At 1 the load goes through untouched.
 ///
 /// ```
-/// use otterwinch_fleet::{scale::Scaled, Due};
-/// let load = (0..1000).map(|k| Due { at: f64::from(k) / 10.0, ..Due::default() });
-/// let heavier: Vec<Due> = Scaled::new(load, 1.5, 7).collect();
+/// use otterwinch_fleet::{scale::ScaledLoad, ScheduledRequest};
+/// let load = (0..1000).map(|k| ScheduledRequest { at: f64::from(k) / 10.0, ..ScheduledRequest::default() });
+/// let heavier: Vec<ScheduledRequest> = ScaledLoad::new(load, 1.5, 7).collect();
 /// assert!((1400..1600).contains(&heavier.len()));
 /// assert!(heavier.windows(2).all(|pair| pair[0].at <= pair[1].at));
 /// ```
-pub struct Scaled<I> {
+pub struct ScaledLoad<I> {
     load: I,
     times: f64,
     draws: Pcg64Mcg,
@@ -30,7 +30,7 @@
     settled: f64,
 }
 
-struct Waits(Due, u64);
+struct Waits(ScheduledRequest, u64);
 
 impl PartialEq for Waits {
     fn eq(&self, other: &Self) -> bool {
@@ -52,22 +52,22 @@
     }
 }
 
-impl<I: Iterator<Item = Due>> Scaled<I> {
+impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
     pub fn new(load: I, times: f64, seed: u64) -> Self {
         let draws = random_stream(seed, "copies", 0);
-        Scaled { load, times, draws, waiting: BinaryHeap::new(), nth: 0, settled: f64::NEG_INFINITY }
+        ScaledLoad { load, times, draws, waiting: BinaryHeap::new(), nth: 0, settled: f64::NEG_INFINITY }
     }
 
-    fn push(&mut self, due: Due) {
+    fn push(&mut self, due: ScheduledRequest) {
         self.nth += 1;
         self.waiting.push(Waits(due, self.nth));
     }
 }
 
-impl<I: Iterator<Item = Due>> Iterator for Scaled<I> {
-    type Item = Due;
+impl<I: Iterator<Item = ScheduledRequest>> Iterator for ScaledLoad<I> {
+    type Item = ScheduledRequest;
 
-    fn next(&mut self) -> Option<Due> {
+    fn next(&mut self) -> Option<ScheduledRequest> {
         if self.times == 1.0 {
             return self.load.next();
         }
@@ -84,7 +84,7 @@
             for k in 0..copies {
                 let moved = JITTER * (2.0 * self.draws.random::<f64>() - 1.0);
                 let at = if k == 0 { due.at } else { (due.at + moved).max(0.0) };
-                self.push(Due { at, ..due });
+                self.push(ScheduledRequest { at, ..due });
             }
         }
     }
--- a/fleet/src/text.rs
+++ b/fleet/src/text.rs
@@ -1,7 +1,7 @@
 //! Descriptions and recipes out of their text.
 
 use crate::check;
-use crate::make::{self, Recipe};
+use crate::load_profile::{self, LoadProfile};
 use crate::model::Fleet;
 use crate::proto;
 use otterwinch_textproto::{Checker, Faults};
@@ -29,7 +29,7 @@
 }
 
 /// Reads what load to make for a fleet.
-pub fn read_recipe(file: &str, text: &str, fleet: &Fleet) -> Result<Recipe, Faults> {
+pub fn read_load_profile(file: &str, text: &str, fleet: &Fleet) -> Result<LoadProfile, Faults> {
     let (told, source) = otterwinch_textproto::read::<proto::Make>(file, text, &kind("Make"))?;
-    Checker::whole(&source, |c| make::recipe(c, &told, fleet))
+    Checker::whole(&source, |c| load_profile::recipe(c, &told, fleet))
 }
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -1,10 +1,10 @@
 //! Descriptions, recipes and captures as files that operators write.
 
 use otterwinch_fleet::import::{import, Columns, Form, Reading, Unit};
-use otterwinch_fleet::load::{Load, Summary};
-use otterwinch_fleet::make::Maker;
+use otterwinch_fleet::load::{CapturedLoad, LoadSummary};
+use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::{Fleet, Idempotency};
-use otterwinch_fleet::{read, read_recipe, Due};
+use otterwinch_fleet::{read, read_load_profile, ScheduledRequest};
 use otterwinch_traffic_capture::{Asked, Start, Sum, Txn, Writer};
 use std::collections::BTreeMap;
 
@@ -113,8 +113,8 @@
 #[test]
 fn a_recipe_makes_the_same_load_from_the_same_seed() {
     let fleet = small();
-    let recipe = read_recipe("m", &example("loads/minute.make"), &fleet).unwrap();
-    let make = |seed| Maker::new(&fleet, &recipe, seed).collect::<Vec<Txn>>();
+    let recipe = read_load_profile("m", &example("loads/minute.make"), &fleet).unwrap();
+    let make = |seed| LoadGenerator::new(&fleet, &recipe, seed).collect::<Vec<Txn>>();
     let txns = make(3);
     assert_eq!(txns, make(3));
     assert_ne!(txns, make(4));
@@ -131,7 +131,7 @@
 #[test]
 fn a_recipe_that_names_nobody_is_refused() {
     let text = "for_s: 5 txns_per_s: 3\nburst { at_s: 1 for_s: 2 product: 'ferry' }";
-    let told = read_recipe("m", text, &small()).unwrap_err().to_string();
+    let told = read_load_profile("m", text, &small()).unwrap_err().to_string();
     let expected = "there is no product 'ferry'; there are: fare-quote, seat-hold, ticket-issue";
     assert_eq!(told, format!("m:2: burst[0].product: {expected}"));
 }
@@ -165,11 +165,11 @@
     txns.push(Txn { attempt: 1, ..txn(3.0, 0) });
     txns.push(Txn { work_us: None, ..txn(3.0, 0) });
     let file = captured(&start(&["seat-hold", "parcel"], &["west"]), &txns, &[]);
-    let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
-    let dues: Vec<Due> = load.by_ref().collect();
+    let mut load = CapturedLoad::open(file.as_slice(), &fleet, 1).unwrap();
+    let dues: Vec<ScheduledRequest> = load.by_ref().collect();
     assert!(dues.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    assert!(dues.iter().all(|due| due.product == 1 && due.hall == 1 && due.work > 0.0));
-    let heard = load.heard();
+    assert!(dues.iter().all(|due| due.request_class == 1 && due.zone == 1 && due.work > 0.0));
+    let heard = load.findings();
     assert_eq!((heard.txns, heard.repeats, heard.drawn, heard.reordered), (602, 1, 1, 1));
     assert_eq!(heard.unknown, BTreeMap::from([("parcel".to_owned(), 200)]));
     assert_eq!((heard.steps.len(), heard.holes.len()), (1, 1), "{heard}");
@@ -184,7 +184,7 @@
 #[test]
 fn a_capture_that_names_nothing_known_is_refused_plainly() {
     let file = captured(&start(&["parcel"], &["east"]), &[], &[]);
-    let refused = Load::open(file.as_slice(), &small(), 1).err().unwrap();
+    let refused = CapturedLoad::open(file.as_slice(), &small(), 1).err().unwrap();
     assert_eq!(refused, "the fleet knows no product of this load (parcel); name them alike");
 }
 
@@ -196,10 +196,10 @@
         |forwarder, at_us| Sum::Asked(Asked { at_us, over_us: 1_000_000, forwarder, product: 0, txns: 20 });
     let sums = [asked(0, 1_000_000), asked(3, 1_000_000), asked(3, 2_000_000)];
     let file = captured(&start(&["fare-quote"], &["east", "west"]), &[], &sums);
-    let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
-    let mut summary = Summary::of(&fleet);
+    let mut load = CapturedLoad::open(file.as_slice(), &fleet, 1).unwrap();
+    let mut summary = LoadSummary::of(&fleet);
     load.by_ref().for_each(|due| summary.add(&due));
-    assert_eq!((summary.by_hall.clone(), load.heard().spread), (vec![20, 40], 60));
+    assert_eq!((summary.by_hall.clone(), load.findings().spread), (vec![20, 40], 60));
     assert!(summary.busiest.0 >= 40 && summary.seconds < 2.0);
 }
 
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -13,7 +13,7 @@
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{EndpointGroup, Fleet, Speed};
 use otterwinch_fleet::sampling::random_stream;
-use otterwinch_fleet::Due;
+use otterwinch_fleet::ScheduledRequest;
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 use rustc_hash::FxHashMap;
@@ -207,7 +207,7 @@
 }
 
 /// Plays a load, in the order of its times, against a fleet.
-pub fn play(plan: &Plan, load: impl Iterator<Item = Due>) -> Outcome {
+pub fn play(plan: &Plan, load: impl Iterator<Item = ScheduledRequest>) -> Outcome {
     let mut engine = Engine::new(plan);
     engine.run(load)
 }
@@ -392,7 +392,7 @@
         self.queue.push(self.lead + 1_000_000, Class::World, Event::Second);
     }
 
-    fn run(&mut self, mut load: impl Iterator<Item = Due>) -> Outcome {
+    fn run(&mut self, mut load: impl Iterator<Item = ScheduledRequest>) -> Outcome {
         let (mut nth, mut ended_early) = (0, None);
         let mut next = load.next();
         let mut last = self.lead;
--- a/simulation/src/life.rs
+++ b/simulation/src/life.rs
@@ -8,16 +8,16 @@
 use crate::tally::End;
 use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::model::Idempotency;
-use otterwinch_fleet::Due;
+use otterwinch_fleet::ScheduledRequest;
 
 impl Engine<'_> {
     /// It is due: its client sends it.
-    pub(crate) fn comes(&mut self, nth: u64, due: &Due) {
+    pub(crate) fn comes(&mut self, nth: u64, due: &ScheduledRequest) {
         let txn = Txn {
             nth,
             due: self.now,
-            product: due.product,
-            hall: due.hall,
+            product: due.request_class,
+            hall: due.zone,
             work: due.work,
             tries: 0,
             give_up: Time::MAX,
--- a/simulation/tests/play.rs
+++ b/simulation/tests/play.rs
@@ -1,8 +1,8 @@
 //! Whole plays of small fleets.
 
-use otterwinch_fleet::make::Maker;
+use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::{read_recipe, Due};
+use otterwinch_fleet::{read_load_profile, ScheduledRequest};
 use otterwinch_simulation::{play, Happening, Outcome, Plan, Steering, Without};
 
 fn example(name: &str) -> String {
@@ -24,9 +24,9 @@
     Plan { fleet, seed: 7, steering: Steering::Controller, happenings: vec![], without: Without::default() }
 }
 
-fn load(fleet: &Fleet, recipe: &str) -> Vec<Due> {
-    let recipe = read_recipe("recipe", recipe, fleet).unwrap_or_else(|faults| panic!("{faults}"));
-    Maker::new(fleet, &recipe, 3).dues().collect()
+fn load(fleet: &Fleet, recipe: &str) -> Vec<ScheduledRequest> {
+    let recipe = read_load_profile("recipe", recipe, fleet).unwrap_or_else(|faults| panic!("{faults}"));
+    LoadGenerator::new(fleet, &recipe, 3).requests().collect()
 }
 
 fn played(plan: &Plan, recipe: &str) -> Outcome {
