--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -11,7 +11,7 @@
 use otterwinch_fleet::model::{Fleet, Idempotency};
 use otterwinch_fleet::sampling::random_stream;
 use otterwinch_fleet::ScheduledRequest;
-use otterwinch_simulation::tally::{End, Tally};
+use otterwinch_simulation::results::{RequestEnd, Results};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::{Arc, Mutex};
@@ -27,7 +27,7 @@
 /// What the clients saw, and how well they kept their times.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    pub tally: Tally,
+    pub tally: Results,
     /// The latest that a txn was sent after it was due, and the mean.
     pub latest: Duration,
     pub late_mean: Duration,
@@ -40,7 +40,7 @@
     client: Client<Dial, Empty<Bytes>>,
     fronts: Fronts,
     begin: Instant,
-    tally: Mutex<Tally>,
+    tally: Mutex<Results>,
     draws: Mutex<Pcg64Mcg>,
 }
 
@@ -50,7 +50,7 @@
 
 impl Watch {
     /// Reads the counts so far.
-    pub fn tally<T>(&self, read: impl FnOnce(&Tally) -> T) -> T {
+    pub fn tally<T>(&self, read: impl FnOnce(&Results) -> T) -> T {
         read(&self.0.tally.lock().expect("no holder panics"))
     }
 }
@@ -71,7 +71,7 @@
         client,
         fronts,
         begin,
-        tally: Mutex::new(Tally::new(fleet)),
+        tally: Mutex::new(Results::new(fleet)),
         draws: Mutex::new(random_stream(seed, "clients", 0)),
     });
     watch(Watch(shared.clone()));
@@ -83,11 +83,11 @@
         while under_way.try_join_next().is_some() {}
         if under_way.len() >= MOST_IN_FLIGHT {
             unsent += 1;
-            shared.tally.lock().expect("no holder panics").ended(
+            shared.tally.lock().expect("no holder panics").record_end(
                 due.request_class,
                 due.zone,
                 due.at,
-                End::Voided,
+                RequestEnd::Failed,
             );
             continue;
         }
@@ -126,7 +126,7 @@
         let give_up = (now + patience).min(expires);
         {
             let mut tally = shared.tally.lock().expect("no holder panics");
-            tally.tried(due.request_class, due.zone, (now - shared.begin).as_secs_f64());
+            tally.record_attempt(due.request_class, due.zone, (now - shared.begin).as_secs_f64());
         }
         let came = match shared.forwarder(due.zone, front) {
             None => Came::NeverRan,
@@ -137,9 +137,9 @@
         };
         let never_ran = matches!(came, Came::Declined | Came::NeverRan);
         let end = match came {
-            Came::Settled => break End::Settled(at.elapsed().as_micros() as u64),
-            Came::Declined => End::Declined,
-            Came::NeverRan | Came::Voided => End::Voided,
+            Came::Settled => break RequestEnd::Answered(at.elapsed().as_micros() as u64),
+            Came::Declined => RequestEnd::Rejected,
+            Came::NeverRan | Came::Voided => RequestEnd::Failed,
         };
         let may = match product.idempotency {
             Idempotency::Idempotent => true,
@@ -153,7 +153,7 @@
         }
         sleep_until(again).await;
     };
-    shared.tally.lock().expect("no holder panics").ended(due.request_class, due.zone, due.at, end);
+    shared.tally.lock().expect("no holder panics").record_end(due.request_class, due.zone, due.at, end);
 }
 
 impl Shared {
--- a/emulator/src/forwarder.rs
+++ b/emulator/src/forwarder.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::sampling::random_stream;
-use otterwinch_simulation::table::{Lines, Version};
+use otterwinch_simulation::table::{TableSnapshot, WeightedEndpoints};
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,7 +44,7 @@
 }
 
 struct Held {
-    version: Arc<Version>,
+    version: Arc<TableSnapshot>,
     bound: bool,
     still_until: Instant,
     draws: rand_pcg::Pcg64Mcg,
@@ -94,7 +94,7 @@
         told: Told,
         nodes: Arc<Nodes>,
         standing: u32,
-        given: Option<Arc<Version>>,
+        given: Option<Arc<TableSnapshot>>,
         seed: u64,
     ) -> std::io::Result<Forwarder> {
         let (listener, address) = net.listen(&format!("forwarder-{}", told.number), None).await?;
@@ -104,8 +104,8 @@
         let standing: Vec<u32> = home.sample(&mut draws, standing as usize).copied().collect();
         let bound = given.is_some();
         let own = || {
-            let lines = Lines::of(standing.iter().map(|node| (*node, 1.0)));
-            Arc::new(Version { lines, levels: vec![None; told.products] })
+            let lines = WeightedEndpoints::new(standing.iter().map(|node| (*node, 1.0)));
+            Arc::new(TableSnapshot { endpoints: lines, admission: vec![None; told.products] })
         };
         let held = Held {
             version: given.unwrap_or_else(own),
@@ -131,14 +131,15 @@
     }
 
     /// Applies a message: a table that it is put on, or its own less whoever is barred. Tells when it is done.
-    pub fn apply(&self, version: Option<Arc<Version>>, barred: &BTreeSet<u32>, lines: f64) -> Instant {
+    pub fn apply(&self, version: Option<Arc<TableSnapshot>>, barred: &BTreeSet<u32>, lines: f64) -> Instant {
         let mut held = self.shared.held.lock().expect("no holder panics");
         match version {
             Some(version) => (held.version, held.bound) = (version, true),
             None if !held.bound => {
                 let kept = self.standing.iter().filter(|node| !barred.contains(node));
-                let lines = Lines::of(kept.map(|node| (*node, 1.0)));
-                held.version = Arc::new(Version { lines, levels: held.version.levels.clone() });
+                let lines = WeightedEndpoints::new(kept.map(|node| (*node, 1.0)));
+                held.version =
+                    Arc::new(TableSnapshot { endpoints: lines, admission: held.version.admission.clone() });
             }
             None => {}
         }
@@ -165,7 +166,7 @@
 
     /// The nodes that it may pick now.
     pub fn lines(&self) -> usize {
-        self.shared.held.lock().expect("no holder panics").version.lines.len()
+        self.shared.held.lock().expect("no holder panics").version.endpoints.len()
     }
 
     pub fn dies(&self) {
@@ -181,8 +182,9 @@
         let (listener, _) = self.shared.net.listen(&name, Some(&self.address)).await?;
         {
             let mut held = self.shared.held.lock().expect("no holder panics");
-            let lines = Lines::of(self.standing.iter().map(|node| (*node, 1.0)));
-            held.version = Arc::new(Version { lines, levels: vec![None; self.told.products] });
+            let lines = WeightedEndpoints::new(self.standing.iter().map(|node| (*node, 1.0)));
+            held.version =
+                Arc::new(TableSnapshot { endpoints: lines, admission: vec![None; self.told.products] });
             held.bound = false;
         }
         self.shared.pools.lock().expect("no holder panics").clear();
@@ -254,11 +256,11 @@
     }
     let (picked, retry) = {
         let mut held = shared.held.lock().expect("no holder panics");
-        let level = held.version.levels.get(product).copied().flatten();
+        let level = held.version.admission.get(product).copied().flatten();
         let (let_in, pick) = (held.draws.random::<f64>(), held.draws.random::<f64>());
         let usual = if shared.again { RetryPolicy::IfNeverRan } else { RetryPolicy::Never };
-        let picked = held.version.lines.pick(pick);
-        (picked.filter(|_| level.is_none_or(|l| let_in < l.share)), level.map_or(usual, |l| l.retry))
+        let picked = held.version.endpoints.pick(pick);
+        (picked.filter(|_| level.is_none_or(|l| let_in < l.admitted)), level.map_or(usual, |l| l.retry))
     };
     let Some(node) = picked else {
         return plain(StatusCode::TOO_MANY_REQUESTS, Some(DECLINED));
@@ -267,7 +269,7 @@
     if matches!(came, Came::NeverRan) && retry != RetryPolicy::Never {
         let other = {
             let mut held = shared.held.lock().expect("no holder panics");
-            let others = Lines::of(held.version.lines.iter().filter(|line| line.0 != node));
+            let others = WeightedEndpoints::new(held.version.endpoints.iter().filter(|line| line.0 != node));
             others.pick(held.draws.random::<f64>())
         };
         if let Some(other) = other {
--- a/emulator/src/inside.rs
+++ b/emulator/src/inside.rs
@@ -8,7 +8,7 @@
 use otterwinch::host::{EndpointId, EndpointUpdate, Timer};
 use otterwinch::time::{Moment, Span};
 use otterwinch_fleet::model::Fleet;
-use otterwinch_simulation::control::Desk;
+use otterwinch_simulation::control::SimulatedHost;
 use otterwinch_simulation::controller_config;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -52,7 +52,8 @@
     let moment = |at: Instant| Moment::from_us(ORIGIN + (at - began).as_micros() as i64);
     let ids: Vec<EndpointId> = nodes.iter().map(|name| name.as_str().into()).collect();
     let places = Rc::new((0..).zip(&ids).map(|(k, id)| (id.clone(), k)).collect());
-    let mut controller = Controller::start(Desk::new(places), controller_config(&fleet), seed, moment(began));
+    let mut controller =
+        Controller::start(SimulatedHost::new(places), controller_config(&fleet), seed, moment(began));
     let mut wakes: BinaryHeap<Reverse<(Instant, u64, Timer)>> = BinaryHeap::new();
     let mut asked_for = 0;
     let us = |span: Span| Duration::from_micros(span.as_us().max(0) as u64);
@@ -60,7 +61,7 @@
     let mut reports = std::collections::VecDeque::new();
     let mut next_report = Instant::now() + every;
     loop {
-        for (after, timer) in std::mem::take(&mut controller.host().wakes) {
+        for (after, timer) in std::mem::take(&mut controller.host().timers) {
             asked_for += 1;
             wakes.push(Reverse((Instant::now() + us(after), asked_for, timer)));
         }
--- a/emulator/src/plane.rs
+++ b/emulator/src/plane.rs
@@ -4,8 +4,8 @@
 
 use crate::forwarder::Forwarder;
 use otterwinch_fleet::model::ControlPlane;
-use otterwinch_simulation::control::{Command, Plane};
-use otterwinch_simulation::table::Version;
+use otterwinch_simulation::control::{Command, ProxyChannel};
+use otterwinch_simulation::table::TableSnapshot;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,7 +19,7 @@
     at: Instant,
     forwarder: u32,
     stream: u32,
-    version: Option<Arc<Version>>,
+    version: Option<Arc<TableSnapshot>>,
     barred: Arc<BTreeSet<u32>>,
     lines: f64,
     mark: Option<u32>,
@@ -29,7 +29,7 @@
 pub type Applied = (u32, u32, Duration);
 
 pub struct Between {
-    plane: Mutex<(Plane, Vec<u32>)>,
+    plane: Mutex<(ProxyChannel, Vec<u32>)>,
     began: Instant,
     late: Duration,
     forwarders: Arc<Vec<Forwarder>>,
@@ -47,7 +47,7 @@
         let (hears, applied) = mpsc::unbounded_channel();
         let streams = vec![0; forwarders.len()];
         let between = Arc::new(Between {
-            plane: Mutex::new((Plane::new(told, products), streams)),
+            plane: Mutex::new((ProxyChannel::new(told, products), streams)),
             began: Instant::now(),
             late: Duration::from_micros(told.message_delay.as_us() as u64),
             forwarders,
@@ -59,18 +59,18 @@
 
     pub fn joins(&self, forwarder: u32) {
         let (plane, streams) = &mut *self.plane.lock().expect("no holder panics");
-        plane.joined.insert(forwarder);
+        plane.connected.insert(forwarder);
         streams[forwarder as usize] += 1;
     }
 
     pub fn leaves(&self, forwarder: u32) {
         let (plane, streams) = &mut *self.plane.lock().expect("no holder panics");
-        plane.leaves(forwarder);
+        plane.disconnect(forwarder);
         streams[forwarder as usize] += 1;
     }
 
     pub fn has(&self, forwarder: u32) -> bool {
-        self.plane.lock().expect("no holder panics").0.joined.contains(&forwarder)
+        self.plane.lock().expect("no holder panics").0.connected.contains(&forwarder)
     }
 
     /// Takes a moment's commands.
@@ -78,13 +78,13 @@
         let now = Instant::now();
         let now_us = (now - self.began).as_micros() as u64;
         let (plane, streams) = &mut *self.plane.lock().expect("no holder panics");
-        let gathered = plane.take(commands, |f, node| self.forwarders[f as usize].standing.contains(&node));
-        let barred = Arc::new(plane.barred.clone());
+        let gathered = plane.apply(commands, |f, node| self.forwarders[f as usize].standing.contains(&node));
+        let barred = Arc::new(plane.ejected.clone());
         for (forwarder, lines) in gathered.lines {
-            let left = plane.channel.put(now_us, lines);
+            let left = plane.send_queue.enqueue(now_us, lines);
             let at = self.began + Duration::from_micros(left) + self.late;
-            let (version, stream) = (plane.version(forwarder), streams[forwarder as usize]);
-            let (barred, mark) = (barred.clone(), gathered.mark);
+            let (version, stream) = (plane.table_snapshot(forwarder), streams[forwarder as usize]);
+            let (barred, mark) = (barred.clone(), gathered.acknowledgement);
             let message = Message { at, forwarder, stream, version, barred, lines, mark };
             // Only a rig that has ended reads no more.
             let _ = self.to.try_send(message);
@@ -94,7 +94,7 @@
     /// The most lines that ever waited, and all that were sent.
     pub fn lines(&self) -> (f64, f64) {
         let plane = self.plane.lock().expect("no holder panics");
-        (plane.0.channel.most, plane.0.channel.lines)
+        (plane.0.send_queue.max_queued_lines, plane.0.send_queue.sent_lines)
     }
 }
 
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -162,13 +162,13 @@
     let node = || shared.names.nodes.get(change["endpoint"].as_str()?).copied();
     let all = (1u64 << shared.names.products.len()) - 1;
     Some(vec![match change["op"].as_str()? {
-        "put" => Command::Line { tbl: number("table")?, node: node()?, weight: figure("w")? },
+        "put" => Command::SetWeight { table_id: number("table")?, endpoint: node()?, weight: figure("w")? },
         "attach" => {
             let forwarder = number("node").filter(|n| shared.between.has(*n))?;
-            Command::Bind { forwarder, tbl: number("table")? }
+            Command::AssignTable { proxy: forwarder, table_id: number("table")? }
         }
-        "eject" => Command::Withdraw { node: node()?, out: true },
-        "uneject" => Command::Withdraw { node: node()?, out: false },
+        "eject" => Command::SetEjected { endpoint: node()?, ejected: true },
+        "uneject" => Command::SetEjected { endpoint: node()?, ejected: false },
         "gate" => {
             let named = change["routes"].as_array().map(|names| {
                 let place = |name: &Value| shared.names.products.iter().position(|p| name == p.as_str());
@@ -182,9 +182,14 @@
                 _ => return None,
             };
             let (tbl, share) = (number("table")?, figure("admit")?);
-            Command::Level { tbl, products: named.unwrap_or(all), share, retry }
+            Command::SetAdmission {
+                table_id: tbl,
+                request_classes: named.unwrap_or(all),
+                admitted: share,
+                retry,
+            }
         }
-        "fence" => Command::Mark(number("nonce_out")?),
+        "fence" => Command::RequestAcknowledgement(number("nonce_out")?),
         _ => return None,
     }])
 }
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -13,8 +13,8 @@
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::ScheduledRequest;
-use otterwinch_simulation::table::{Level, Lines, Version};
-use otterwinch_simulation::{speeds, At, Happening, NodeOutcome};
+use otterwinch_simulation::table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
+use otterwinch_simulation::{endpoint_speeds, EndpointResult, Fault, ScheduledFault};
 use serde_json::json;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     pub seen: Seen,
-    pub nodes: Vec<NodeOutcome>,
+    pub nodes: Vec<EndpointResult>,
     pub crossed: u64,
     pub attempts: u64,
     /// Lines that waited at most in any supervisor's channel.
@@ -101,7 +101,7 @@
         let now = Instant::now();
         let mut nodes = Vec::new();
         for (place, group) in fleet.groups.iter().enumerate() {
-            for (k, speed) in (0..).zip(speeds(group, place, seed)) {
+            for (k, speed) in (0..).zip(endpoint_speeds(group, place, seed)) {
                 // Before this process began there was no instant; so long ago is warm in any case.
                 let started = group.uptime.and_then(|ago| now.checked_sub(span(ago)));
                 nodes.push(Node::start(&net, (group, place, k), speed, started, seed).await?);
@@ -116,9 +116,13 @@
         for (hall, told) in fleet.zones.iter().enumerate() {
             let given = match steering {
                 Steering::Fixed { weights, levels } => {
-                    let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                    let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
-                    Some(Arc::new(Version { lines, levels: levels.iter().map(level).collect() }))
+                    let lines = WeightedEndpoints::new((0..).zip(weights[hall].iter().copied()));
+                    let level =
+                        |share: &f64| Some(AdmissionLevel { admitted: *share, retry: RetryPolicy::Never });
+                    Some(Arc::new(TableSnapshot {
+                        endpoints: lines,
+                        admission: levels.iter().map(level).collect(),
+                    }))
                 }
                 _ => None,
             };
@@ -332,24 +336,24 @@
         });
     }
 
-    async fn befalls(&self, what: &Happening) -> io::Result<()> {
+    async fn befalls(&self, what: &Fault) -> io::Result<()> {
         let of_hall = |hall: usize| -> Vec<u32> {
             (0..).zip(self.nodes.iter()).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect()
         };
         match what {
-            Happening::Dies(node) => {
+            Fault::Crash(node) => {
                 self.nodes[*node as usize].dies();
                 self.lists(&[*node], EndpointState::Removed, false);
             }
-            Happening::Returns(node) => {
+            Fault::Restart(node) => {
                 self.nodes[*node as usize].returns().await?;
                 self.lists(&[*node], EndpointState::Ready, true);
             }
-            Happening::Drains(node) => self.lists(&[*node], EndpointState::Draining, false),
-            Happening::Slows(node, times) => self.nodes[*node as usize].slows(*times),
-            Happening::Fails(node, part) => self.nodes[*node as usize].fails(*part),
-            Happening::Hangs(node, does) => self.nodes[*node as usize].hangs(*does),
-            Happening::HallLost(hall) => {
+            Fault::Drain(node) => self.lists(&[*node], EndpointState::Draining, false),
+            Fault::SlowDown(node, times) => self.nodes[*node as usize].slows(*times),
+            Fault::FailRequests(node, part) => self.nodes[*node as usize].fails(*part),
+            Fault::Hang(node, does) => self.nodes[*node as usize].hangs(*does),
+            Fault::ZoneOutage(hall) => {
                 let nodes = of_hall(*hall);
                 nodes.iter().for_each(|node| self.nodes[*node as usize].dies());
                 self.lists(&nodes, EndpointState::Removed, false);
@@ -359,7 +363,7 @@
                     self.leaves(forwarder.told.number);
                 }
             }
-            Happening::HallBack(hall) => {
+            Fault::ZoneRecovery(hall) => {
                 let nodes = of_hall(*hall);
                 for node in &nodes {
                     self.nodes[*node as usize].returns().await?;
@@ -380,12 +384,12 @@
     pub async fn play(
         self: &Arc<Self>,
         load: impl Iterator<Item = ScheduledRequest>,
-        happenings: &[At],
+        happenings: &[ScheduledFault],
         watch: impl FnOnce(Watch),
     ) -> io::Result<Played> {
         let begin = Instant::now() + Duration::from_millis(20);
         let mut troubles = tokio::task::JoinSet::new();
-        for At { at, what } in happenings.iter().cloned() {
+        for ScheduledFault { at, fault: what } in happenings.iter().cloned() {
             let rig = self.clone();
             troubles.spawn(async move {
                 sleep_until(begin + Duration::from_secs_f64(at.max(0.0))).await;
@@ -423,15 +427,15 @@
         let node = |(k, node): (usize, &Node)| {
             let counts = node.counts();
             let core_us = f64::from(node.cores()) * seconds.max(1e-3) * 1e6;
-            NodeOutcome {
+            EndpointResult {
                 name: node.name.clone(),
                 group: node.group,
-                hall: node.hall,
+                zone: node.hall,
                 utilisation: (after[k] - before[k]) as f64 / core_us,
-                taken: counts.taken.load(Ordering::Relaxed),
-                turned_away: counts.turned_away.load(Ordering::Relaxed),
-                refused: counts.refused.load(Ordering::Relaxed),
-                toppled: node.toppled(),
+                accepted: counts.taken.load(Ordering::Relaxed),
+                rejected: counts.turned_away.load(Ordering::Relaxed),
+                refused_connections: counts.refused.load(Ordering::Relaxed),
+                collapsed: node.toppled(),
             }
         };
         let attempts: Vec<(u64, u64)> = self.forwarders.iter().map(Forwarder::attempts).collect();
--- a/emulator/tests/rig.rs
+++ b/emulator/tests/rig.rs
@@ -5,7 +5,9 @@
 use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::{read_load_profile, ScheduledRequest};
-use otterwinch_simulation::{play, At, Happening, Outcome, Plan, Without};
+use otterwinch_simulation::{
+    simulate, Fault, LiftedLimits, ScheduledFault, SimulationPlan, SimulationResult,
+};
 use std::sync::Arc;
 
 fn example(name: &str) -> String {
@@ -26,13 +28,18 @@
     LoadGenerator::new(fleet, &recipe, 3).requests().collect()
 }
 
-fn even() -> (Steering, otterwinch_simulation::Steering) {
+fn even() -> (Steering, otterwinch_simulation::TableSource) {
     let (weights, levels) = (vec![vec![1.0; 6]; 2], vec![1.0; 3]);
     let ours = Steering::Fixed { weights: weights.clone(), levels: levels.clone() };
-    (ours, otterwinch_simulation::Steering::Fixed { weights, levels })
+    (ours, otterwinch_simulation::TableSource::Fixed { weights, admitted: levels })
 }
 
-fn stand_in(fleet: &Fleet, steering: &Steering, dues: &[ScheduledRequest], happenings: &[At]) -> Played {
+fn stand_in(
+    fleet: &Fleet,
+    steering: &Steering,
+    dues: &[ScheduledRequest],
+    happenings: &[ScheduledFault],
+) -> Played {
     in_memory(async {
         let rig = Arc::new(Rig::start(fleet, Net::memory(), 7, steering).await.unwrap());
         rig.settles().await.unwrap();
@@ -42,13 +49,19 @@
 
 fn replayed(
     fleet: &Fleet,
-    steering: otterwinch_simulation::Steering,
+    steering: otterwinch_simulation::TableSource,
     dues: &[ScheduledRequest],
-    happenings: &[At],
-) -> Outcome {
+    happenings: &[ScheduledFault],
+) -> SimulationResult {
     let happenings = happenings.to_vec();
-    let plan = Plan { fleet, seed: 7, steering, happenings, without: Without::default() };
-    play(&plan, dues.iter().copied())
+    let plan = SimulationPlan {
+        fleet,
+        seed: 7,
+        table_source: steering,
+        faults: happenings,
+        lifted_limits: LiftedLimits::default(),
+    };
+    simulate(&plan, dues.iter().copied())
 }
 
 #[test]
@@ -58,12 +71,17 @@
         let dues = load(&fleet, &format!("for_s: 240 txns_per_s: {rate}"));
         let (stood, played) =
             (stand_in(&fleet, &ours, &dues, &[]), replayed(&fleet, theirs.clone(), &dues, &[]));
-        let (a, b) = (&stood.seen.tally.whole, &played.tally.whole);
-        assert_eq!((a.asked, b.asked), (dues.len() as u64, dues.len() as u64));
-        assert!((a.service() - b.service()).abs() < 0.05, "{rate}: {} {}", a.service(), b.service());
-        let (p, q) = (a.quantile(0.95), b.quantile(0.95));
+        let (a, b) = (&stood.seen.tally.total, &played.results.total);
+        assert_eq!((a.requests, b.requests), (dues.len() as u64, dues.len() as u64));
+        assert!(
+            (a.service_level() - b.service_level()).abs() < 0.05,
+            "{rate}: {} {}",
+            a.service_level(),
+            b.service_level()
+        );
+        let (p, q) = (a.latency_quantile(0.95), b.latency_quantile(0.95));
         assert!((p / q - 1.0).abs() < 0.1, "{rate}: {p} {q}");
-        for (x, y) in stood.nodes.iter().zip(&played.nodes) {
+        for (x, y) in stood.nodes.iter().zip(&played.endpoints) {
             assert!(
                 (x.utilisation - y.utilisation).abs() < 0.06,
                 "{rate}: {} {}",
@@ -79,10 +97,10 @@
 fn supervisors_inside_bind_steer_and_leave_a_dead_node() {
     let fleet = small(&[]);
     let dues = load(&fleet, "for_s: 40 txns_per_s: 40");
-    let happenings = [Happening::Dies(1).at(10.0)];
+    let happenings = [Fault::Crash(1).at(10.0)];
     let stood = stand_in(&fleet, &Steering::Inside, &dues, &happenings);
-    assert!(stood.nodes[1].taken < stood.nodes[0].taken / 2);
-    let after = stood.seen.tally.service_between(15.0, 40.0);
+    assert!(stood.nodes[1].accepted < stood.nodes[0].accepted / 2);
+    let after = stood.seen.tally.service_level_between(15.0, 40.0);
     assert!(after > 0.95, "{after}");
     assert!(stood.crossed > 0 && stood.most_waiting > 0.0);
 }
@@ -91,9 +109,9 @@
 fn a_connection_limit_is_met_and_what_it_turned_away_never_ran() {
     let (fleet, (ours, _)) = (small(&[("connections: 200", "connections: 3")]), even());
     let stood = stand_in(&fleet, &ours, &load(&fleet, "for_s: 30 txns_per_s: 50"), &[]);
-    let whole = &stood.seen.tally.whole;
-    assert!(stood.nodes.iter().map(|node| node.refused).sum::<u64>() > 50);
-    assert_eq!(whole.settled + whole.late + whole.declined + whole.voided, whole.asked);
+    let whole = &stood.seen.tally.total;
+    assert!(stood.nodes.iter().map(|node| node.refused_connections).sum::<u64>() > 50);
+    assert_eq!(whole.on_time + whole.late + whole.rejected + whole.failed, whole.requests);
 }
 
 #[test]
@@ -104,24 +122,24 @@
     ];
     let (fleet, (ours, _)) = (small(&changes), even());
     let dues = load(&fleet, "for_s: 30 txns_per_s: 50");
-    let happenings = [Happening::Dies(0).at(5.0), Happening::Returns(0).at(12.0)];
+    let happenings = [Fault::Crash(0).at(5.0), Fault::Restart(0).at(12.0)];
     let fixed = stand_in(&fleet, &ours, &dues, &happenings);
-    assert!(fixed.nodes[0].toppled);
+    assert!(fixed.nodes[0].collapsed);
     let steered = stand_in(&fleet, &Steering::Inside, &dues, &happenings);
-    assert!(!steered.nodes[0].toppled);
+    assert!(!steered.nodes[0].collapsed);
 }
 
 #[test]
 fn nodes_that_hang_fail_and_slow_are_met_as_in_the_play() {
     let (fleet, (ours, theirs)) = (small(&[]), even());
     let dues = load(&fleet, "for_s: 120 txns_per_s: 40");
-    for trouble in [Happening::Hangs(0, true), Happening::Fails(0, 0.8), Happening::Slows(0, 8.0)] {
+    for trouble in [Fault::Hang(0, true), Fault::FailRequests(0, 0.8), Fault::SlowDown(0, 8.0)] {
         let happenings = [trouble.clone().at(10.0)];
-        let stood = stand_in(&fleet, &ours, &dues, &happenings).seen.tally.whole;
-        let played = replayed(&fleet, theirs.clone(), &dues, &happenings).tally.whole;
-        let apart = (stood.service() - played.service()).abs();
-        assert!(apart < 0.04, "{trouble:?}: {} {}", stood.service(), played.service());
-        assert!(stood.service() < 0.97);
+        let stood = stand_in(&fleet, &ours, &dues, &happenings).seen.tally.total;
+        let played = replayed(&fleet, theirs.clone(), &dues, &happenings).results.total;
+        let apart = (stood.service_level() - played.service_level()).abs();
+        assert!(apart < 0.04, "{trouble:?}: {} {}", stood.service_level(), played.service_level());
+        assert!(stood.service_level() < 0.97);
     }
 }
 
@@ -129,11 +147,11 @@
 fn a_hall_is_lost_and_comes_back() {
     let fleet = small(&[]);
     let dues = load(&fleet, "for_s: 60 txns_per_s: 28");
-    let happenings = [Happening::HallLost(1).at(10.0), Happening::HallBack(1).at(20.0)];
+    let happenings = [Fault::ZoneOutage(1).at(10.0), Fault::ZoneRecovery(1).at(20.0)];
     let stood = stand_in(&fleet, &Steering::Inside, &dues, &happenings);
-    assert!(stood.seen.tally.service_between(40.0, 60.0) > 0.97);
-    assert!(stood.seen.tally.service_between(14.0, 20.0) > 0.85);
-    assert!(stood.nodes.iter().all(|node| !node.toppled));
+    assert!(stood.seen.tally.service_level_between(40.0, 60.0) > 0.97);
+    assert!(stood.seen.tally.service_level_between(14.0, 20.0) > 0.85);
+    assert!(stood.nodes.iter().all(|node| !node.collapsed));
 }
 
 /// The same on sockets, for a moment: what the paused clock can't show is that real ones carry it.
@@ -146,6 +164,6 @@
         let rig = Arc::new(Rig::start(&fleet, Net::Loopback, 7, &ours).await.unwrap());
         rig.play(dues.iter().copied(), &[], |_| ()).await.unwrap()
     });
-    let whole = &played.seen.tally.whole;
-    assert_eq!((whole.asked, whole.settled + whole.late), (dues.len() as u64, dues.len() as u64));
+    let whole = &played.seen.tally.total;
+    assert_eq!((whole.requests, whole.on_time + whole.late), (dues.len() as u64, dues.len() as u64));
 }
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -6,14 +6,14 @@
 
 pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
     let told = &fleet.control_plane;
-    let product = |p: &otterwinch_fleet::model::RequestClass| RequestClass {
+    let request_class = |p: &otterwinch_fleet::model::RequestClass| RequestClass {
         latency_objective: p.latency_objective,
         priority_weight: p.priority_weight,
         zone_local: false,
         writes: p.idempotency != Idempotency::Idempotent,
     };
     ControllerConfig {
-        request_classes: fleet.request_classes.iter().map(product).collect(),
+        request_classes: fleet.request_classes.iter().map(request_class).collect(),
         polls_endpoint_list: false,
         cross_zone_costs: told.cross_zone_costs && fleet.zones.len() > 1,
         admission: AdmissionMode::Fraction,
@@ -23,7 +23,7 @@
         lease: Span::ZERO,
         settle_time: Span::ZERO,
         report_interval: told.report_interval,
-        proxy_count: fleet.zones.iter().map(|hall| hall.proxy_count).sum(),
+        proxy_count: fleet.zones.iter().map(|zone| zone.proxy_count).sum(),
         min_endpoint_connections: fleet.groups.iter().map(|group| group.max_connections).min().unwrap_or(0),
         initial_table_size: fleet.proxies.initial_table_size,
         channel_rate: told.channel_rate,
--- a/simulation/src/node.rs
+++ b/simulation/src/endpoint.rs
@@ -18,10 +18,10 @@
     TurnedAway,
 }
 
-pub struct Node {
+pub struct Endpoint {
     pub id: EndpointId,
     pub group: usize,
-    pub hall: usize,
+    pub zone: usize,
     pub cores: u32,
     pub speed: f64,
     pub weight: f64,
@@ -30,11 +30,11 @@
     /// It takes connections.
     pub up: bool,
     /// It fell over cold, and stays down until it is started again.
-    pub toppled: bool,
+    pub collapsed: bool,
     /// Its latest start; nothing where that is long past.
     pub started: Option<Time>,
     /// Rises with each start: whoever held a connection to an earlier one holds nothing.
-    pub life: u32,
+    pub incarnation: u32,
     /// Times slower than it should be.
     pub slow: f64,
     /// The part of txns that it fails at once.
@@ -49,7 +49,7 @@
     pub connection_work: f64,
     pub works_on: bool,
     warm_up: Option<WarmUp>,
-    topples: Option<OverloadCollapse>,
+    overload_collapse: Option<OverloadCollapse>,
     came: [f64; PARTS],
     came_part: Time,
     busy_since: Time,
@@ -57,12 +57,12 @@
     pub used: f64,
     /// Core-seconds that there were to use, at the speed that it had.
     pub worked: f64,
-    pub taken: u64,
-    pub turned_away: u64,
-    pub refused: u64,
+    pub accepted: u64,
+    pub rejected: u64,
+    pub refused_connections: u64,
 }
 
-impl Node {
+impl Endpoint {
     pub fn new(
         id: EndpointId,
         place: usize,
@@ -70,18 +70,18 @@
         speed: f64,
         started: Option<Time>,
     ) -> Self {
-        Node {
+        Endpoint {
             id,
             group: place,
-            hall: group.zone,
+            zone: group.zone,
             cores: group.cores,
             speed,
             weight: group.weight,
             standing: EndpointState::Ready,
             up: true,
-            toppled: false,
+            collapsed: false,
             started,
-            life: 0,
+            incarnation: 0,
             slow: 1.0,
             fails: 0.0,
             hangs: false,
@@ -93,15 +93,15 @@
             connection_work: group.connection_work,
             works_on: group.finishes_abandoned,
             warm_up: group.warm_up,
-            topples: group.overload_collapse,
+            overload_collapse: group.overload_collapse,
             came: [0.0; PARTS],
             came_part: 0,
             busy_since: 0,
             used: 0.0,
             worked: 0.0,
-            taken: 0,
-            turned_away: 0,
-            refused: 0,
+            accepted: 0,
+            rejected: 0,
+            refused_connections: 0,
         }
     }
 
@@ -126,7 +126,7 @@
         if room {
             self.open += 1;
         } else {
-            self.refused += 1;
+            self.refused_connections += 1;
         }
         room
     }
@@ -148,18 +148,18 @@
     /// asks `toppled` then.
     pub fn offer(&mut self, now: Time, try_: u32, work: f64) -> Offer {
         if self.falls_over(now, work) {
-            self.toppled = true;
+            self.collapsed = true;
             return Offer::TurnedAway;
         }
         if self.busy < self.cores {
-            self.taken += 1;
+            self.accepted += 1;
             return Offer::Starts(self.start(now, work));
         }
         if self.waiting.len() >= self.most_waiting as usize {
-            self.turned_away += 1;
+            self.rejected += 1;
             return Offer::TurnedAway;
         }
-        self.taken += 1;
+        self.accepted += 1;
         self.waiting.push_back(try_);
         Offer::Waits
     }
@@ -187,14 +187,16 @@
     }
 
     fn falls_over(&mut self, now: Time, work: f64) -> bool {
-        let (Some(topples), true) = (self.topples, self.warmth(now) < 1.0) else { return false };
-        let over = topples.window.as_secs();
+        let (Some(overload_collapse), true) = (self.overload_collapse, self.warmth(now) < 1.0) else {
+            return false;
+        };
+        let over = overload_collapse.window.as_secs();
         let part = (now as f64 / 1e6 / over * PARTS as f64) as Time;
         let passed = part.saturating_sub(self.came_part).min(PARTS as Time);
         (1..=passed).for_each(|k| self.came[((part - passed + k) % PARTS as Time) as usize] = 0.0);
         self.came_part = part;
         self.came[(part % PARTS as Time) as usize] += work;
-        let bears = f64::from(self.cores) * self.pace(now) * over * topples.overload_factor;
+        let bears = f64::from(self.cores) * self.pace(now) * over * overload_collapse.overload_factor;
         self.came.iter().sum::<f64>() > bears
     }
 
@@ -202,16 +204,16 @@
     pub fn die(&mut self, now: Time) -> Vec<u32> {
         self.book(now);
         (self.up, self.busy, self.open) = (false, 0, 0);
-        self.life += 1;
+        self.incarnation += 1;
         self.waiting.drain(..).collect()
     }
 
     /// It is started, cold.
     pub fn come_back(&mut self, now: Time) {
         self.book(now);
-        (self.up, self.toppled, self.started) = (true, false, Some(now));
+        (self.up, self.collapsed, self.started) = (true, false, Some(now));
         (self.slow, self.fails, self.hangs) = (1.0, 0.0, false);
         self.came = [0.0; PARTS];
-        self.life += 1;
+        self.incarnation += 1;
     }
 }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,13 +1,13 @@
 //! A play from its first event to its last: what there is, how it is set up, and which event comes next. The life of a txn
-//! is in `life.rs`, what supervisors hear and order in `word.rs`, what befalls a fleet in `mishap.rs`.
+//! is in `request_lifecycle.rs`, what supervisors hear and order in `control_messages.rs`, what befalls a fleet in `fault_injection.rs`.
 
-use crate::control::{moment, Desk, Plane, Sums, Supervisor};
+use crate::control::{moment, ControlPlaneInstance, ProxyChannel, SimulatedHost, Sums};
 use crate::controller_config::controller_config;
-use crate::happening::At;
-use crate::node::Node;
+use crate::endpoint::Endpoint;
+use crate::fault::ScheduledFault;
 use crate::queue::{Class, Queue, Time};
-use crate::table::{Level, Lines, Version};
-use crate::tally::Tally;
+use crate::results::Results;
+use crate::table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
 use otterwinch::time::Span;
@@ -32,36 +32,36 @@
 
 /// Who writes the tables.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Steering {
+pub enum TableSource {
     /// Supervisors, with the real rules.
     Controller,
     /// Nobody: each hall's forwarders hold these weights, by node, from the beginning to the end, and let in these parts
     /// of the products.
-    Fixed { weights: Vec<Vec<f64>>, levels: Vec<f64> },
+    Fixed { weights: Vec<Vec<f64>>, admitted: Vec<f64> },
 }
 
 /// What is played, but for the load.
 #[derive(Clone, Debug)]
-pub struct Plan<'a> {
+pub struct SimulationPlan<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
-    pub steering: Steering,
-    pub happenings: Vec<At>,
+    pub table_source: TableSource,
+    pub faults: Vec<ScheduledFault>,
     /// What a limit costs is told by a play without it.
-    pub without: Without,
+    pub lifted_limits: LiftedLimits,
 }
 
 /// Limits that a play leaves out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without {
+pub struct LiftedLimits {
     /// Nodes take any number of connections, at no price.
     pub connections: bool,
     /// Clients come once.
     pub retries: bool,
     /// Nodes that started lately are warm.
-    pub cold: bool,
+    pub slow_start: bool,
     /// Waiting rooms have no end.
-    pub waiting: bool,
+    pub queueing: bool,
 }
 
 /// Why a try came back.
@@ -78,37 +78,37 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Event {
-    Try { txn: u32, life: u32, tries: u32 },
+    Try { request: u32, incarnation: u32, attempt_number: u32 },
     AtNode { attempt: u32 },
-    Done { attempt: u32, life: u32 },
+    Done { attempt: u32, incarnation: u32 },
     Back { attempt: u32, came: Came },
-    GiveUp { txn: u32, life: u32, tries: u32 },
-    Again { txn: u32, life: u32 },
-    Cancelled { attempt: u32, life: u32 },
-    Happens(u32),
+    GiveUp { request: u32, incarnation: u32, attempt_number: u32 },
+    Again { request: u32, incarnation: u32 },
+    Cancelled { attempt: u32, incarnation: u32 },
+    InjectFault(u32),
     Second,
-    Wake { supervisor: u32, timer: Timer },
+    Wake { instance: u32, timer: Timer },
     Report(u32),
-    Heard { supervisor: u32, report: u32 },
-    Listed { supervisor: u32, list: u32 },
+    Heard { instance: u32, report: u32 },
+    Listed { instance: u32, list: u32 },
     Message(u32),
-    Applied { supervisor: u32, number: u32, forwarder: u32, stream: u32 },
+    Applied { instance: u32, number: u32, proxy: u32, stream: u32 },
     Gather(u32),
 }
 
-pub(crate) struct Txn {
+pub(crate) struct Request {
     pub nth: u64,
     /// From the play's beginning.
     pub due: Time,
-    pub product: usize,
-    pub hall: usize,
+    pub request_class: usize,
+    pub zone: usize,
     pub work: f64,
-    pub tries: u32,
+    pub attempt_number: u32,
     pub give_up: Time,
-    pub forwarder: u32,
+    pub proxy: u32,
     pub attempt: u32,
     /// Rises when the slot is used again.
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 /// How far a try at a node has come.
@@ -126,12 +126,12 @@
 }
 
 pub(crate) struct Attempt {
-    pub txn: u32,
-    pub txn_life: u32,
-    pub node: u32,
+    pub request: u32,
+    pub request_incarnation: u32,
+    pub endpoint: u32,
     /// The node's life that its connection belongs to.
-    pub node_life: u32,
-    pub forwarder: u32,
+    pub endpoint_incarnation: u32,
+    pub proxy: u32,
     pub work: f64,
     pub began: Time,
     /// It has to open a connection.
@@ -143,20 +143,20 @@
     /// It is the second of a txn at this forwarder.
     pub second: bool,
     pub stage: Stage,
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 pub(crate) struct Pool {
-    pub life: u32,
+    pub incarnation: u32,
     pub idle: Vec<Time>,
 }
 
-pub(crate) struct Forwarder {
-    pub hall: usize,
-    pub supervisor: u32,
+pub(crate) struct Proxy {
+    pub zone: usize,
+    pub instance: u32,
     pub standing: Vec<u32>,
-    pub held: Arc<Version>,
-    pub bound: bool,
+    pub held: Arc<TableSnapshot>,
+    pub assigned: bool,
     pub still_until: Time,
     pub pools: FxHashMap<u32, Pool>,
     pub stream: u32,
@@ -164,50 +164,50 @@
 }
 
 pub(crate) struct Message {
-    pub supervisor: u32,
-    pub forwarder: u32,
+    pub instance: u32,
+    pub proxy: u32,
     pub stream: u32,
     /// The table that it is put on; none where it stays on its own.
-    pub version: Option<Arc<Version>>,
-    pub barred: Rc<BTreeSet<u32>>,
-    pub mark: Option<u32>,
+    pub version: Option<Arc<TableSnapshot>>,
+    pub ejected: Rc<BTreeSet<u32>>,
+    pub acknowledgement: Option<u32>,
     pub lines: f64,
 }
 
 /// What a play came to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
-    pub tally: Tally,
-    pub nodes: Vec<NodeOutcome>,
+pub struct SimulationResult {
+    pub results: Results,
+    pub endpoints: Vec<EndpointResult>,
     pub events: u64,
     /// Tries that went to a node of another hall than their forwarder's, and all tries at nodes.
-    pub crossed: u64,
+    pub cross_zone_attempts: u64,
     pub attempts: u64,
     /// Lines that waited at most in any supervisor's channel, and all that were sent.
-    pub most_waiting: f64,
-    pub lines: f64,
+    pub max_queued_lines: f64,
+    pub sent_lines: f64,
     /// Seconds of load.
-    pub seconds: f64,
+    pub load_seconds: f64,
     /// Why it was ended early, if it was.
     pub ended_early: Option<String>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeOutcome {
+pub struct EndpointResult {
     pub name: String,
     pub group: usize,
-    pub hall: usize,
+    pub zone: usize,
     /// Of its cores' time, the part in use.
     pub utilisation: f64,
-    pub taken: u64,
-    pub turned_away: u64,
+    pub accepted: u64,
+    pub rejected: u64,
     /// Connections that it did not take.
-    pub refused: u64,
-    pub toppled: bool,
+    pub refused_connections: u64,
+    pub collapsed: bool,
 }
 
 /// Plays a load, in the order of its times, against a fleet.
-pub fn play(plan: &Plan, load: impl Iterator<Item = ScheduledRequest>) -> Outcome {
+pub fn simulate(plan: &SimulationPlan, load: impl Iterator<Item = ScheduledRequest>) -> SimulationResult {
     let mut engine = Engine::new(plan);
     engine.run(load)
 }
@@ -215,43 +215,43 @@
 pub(crate) struct Engine<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
-    pub without: Without,
+    pub lifted_limits: LiftedLimits,
     pub now: Time,
     pub lead: Time,
     pub queue: Queue<Event>,
-    pub nodes: Vec<Node>,
+    pub endpoints: Vec<Endpoint>,
     /// Nodes by their ids.
     pub places: Rc<FxHashMap<EndpointId, u32>>,
-    pub forwarders: Vec<Forwarder>,
+    pub proxies: Vec<Proxy>,
     /// Forwarders that are up, by hall.
     pub front: Vec<Vec<u32>>,
-    pub supervisors: Vec<Supervisor>,
-    pub txns: Vec<Txn>,
-    pub free_txns: Vec<u32>,
+    pub instances: Vec<ControlPlaneInstance>,
+    pub requests: Vec<Request>,
+    pub free_requests: Vec<u32>,
     pub attempts: Vec<Attempt>,
     pub free_attempts: Vec<u32>,
-    pub happenings: Vec<At>,
+    pub faults: Vec<ScheduledFault>,
     pub reports: Vec<Option<Sums>>,
     pub lists: Vec<Vec<EndpointUpdate>>,
     pub messages: Vec<Option<Message>>,
     pub free_messages: Vec<u32>,
-    pub tally: Tally,
+    pub results: Results,
     /// Core-seconds by node: since the load began, and booked so far.
     pub used: Vec<f64>,
     pub booked: Vec<f64>,
     /// The last txn has come.
     pub loaded: bool,
     pub events: u64,
-    pub crossed: u64,
+    pub cross_zone_attempts: u64,
     pub tried: u64,
     pub in_flight: usize,
 }
 
 /// A draw of 0 to 1 for one purpose of one try: it does not hang on what else was drawn.
-pub(crate) fn drawn(seed: u64, nth: u64, tries: u32, purpose: u8) -> f64 {
+pub(crate) fn drawn(seed: u64, nth: u64, attempt_number: u32, purpose: u8) -> f64 {
     let mut bytes = [0; 13];
     bytes[..8].copy_from_slice(&nth.to_le_bytes());
-    bytes[8..12].copy_from_slice(&tries.to_le_bytes());
+    bytes[8..12].copy_from_slice(&attempt_number.to_le_bytes());
     bytes[12] = purpose;
     (xxh3_64_with_seed(&bytes, seed) >> 11) as f64 / (1u64 << 53) as f64
 }
@@ -270,97 +270,101 @@
 }
 
 impl<'a> Engine<'a> {
-    fn new(plan: &Plan<'a>) -> Self {
+    fn new(plan: &SimulationPlan<'a>) -> Self {
         let fleet = plan.fleet;
-        let lead = if plan.steering == Steering::Controller { LEAD } else { 0 };
-        let mut nodes = Vec::new();
+        let lead = if plan.table_source == TableSource::Controller { LEAD } else { 0 };
+        let mut endpoints = Vec::new();
         for (place, told) in fleet.groups.iter().enumerate() {
             let mut group = told.clone();
-            if plan.without.connections {
+            if plan.lifted_limits.connections {
                 (group.max_connections, group.connection_work) = (u32::MAX, 0.0);
             }
-            if plan.without.waiting {
+            if plan.lifted_limits.queueing {
                 group.max_queued = u32::MAX;
             }
-            if plan.without.cold {
+            if plan.lifted_limits.slow_start {
                 (group.warm_up, group.overload_collapse) = (None, None);
             }
-            for (k, speed) in speeds(told, place, plan.seed).into_iter().enumerate() {
+            for (k, speed) in endpoint_speeds(told, place, plan.seed).into_iter().enumerate() {
                 let id: EndpointId = format!("{}-{k}", told.name).into();
                 // Older than the play is long ago: a node that started within it is told so.
                 let started = told.uptime.and_then(|ago| lead.checked_sub(us(ago)));
-                nodes.push(Node::new(id, place, &group, speed, started));
+                endpoints.push(Endpoint::new(id, place, &group, speed, started));
             }
         }
-        let places = Rc::new((0..).zip(&nodes).map(|(k, node)| (node.id.clone(), k)).collect());
-        let products = fleet.request_classes.len();
+        let places = Rc::new((0..).zip(&endpoints).map(|(k, endpoint)| (endpoint.id.clone(), k)).collect());
+        let request_classes = fleet.request_classes.len();
         let mut engine = Engine {
             fleet,
             seed: plan.seed,
-            without: plan.without,
+            lifted_limits: plan.lifted_limits,
             now: 0,
             lead,
             queue: Queue::default(),
-            nodes,
+            endpoints,
             places,
-            forwarders: Vec::new(),
+            proxies: Vec::new(),
             front: vec![Vec::new(); fleet.zones.len()],
-            supervisors: Vec::new(),
-            txns: Vec::new(),
-            free_txns: Vec::new(),
+            instances: Vec::new(),
+            requests: Vec::new(),
+            free_requests: Vec::new(),
             attempts: Vec::new(),
             free_attempts: Vec::new(),
-            happenings: plan.happenings.clone(),
+            faults: plan.faults.clone(),
             reports: Vec::new(),
             lists: Vec::new(),
             messages: Vec::new(),
             free_messages: Vec::new(),
-            tally: Tally::new(fleet),
+            results: Results::new(fleet),
             used: Vec::new(),
             booked: Vec::new(),
             loaded: false,
             events: 0,
-            crossed: 0,
+            cross_zone_attempts: 0,
             tried: 0,
             in_flight: 0,
         };
-        (engine.used, engine.booked) = (vec![0.0; engine.nodes.len()], vec![0.0; engine.nodes.len()]);
-        engine.set_up(products, &plan.steering);
+        (engine.used, engine.booked) = (vec![0.0; engine.endpoints.len()], vec![0.0; engine.endpoints.len()]);
+        engine.set_up(request_classes, &plan.table_source);
         engine
     }
 
-    fn set_up(&mut self, products: usize, steering: &Steering) {
+    fn set_up(&mut self, request_classes: usize, table_source: &TableSource) {
         let fleet = self.fleet;
-        let fixed = match steering {
-            Steering::Fixed { weights, levels } => Some((weights, levels)),
-            Steering::Controller => None,
+        let fixed = match table_source {
+            TableSource::Fixed { weights, admitted } => Some((weights, admitted)),
+            TableSource::Controller => None,
         };
         let count = if fixed.is_some() { 0 } else { fleet.control_plane.instances };
-        for (hall, told) in fleet.zones.iter().enumerate() {
-            let home: Vec<u32> =
-                (0..).zip(&self.nodes).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect();
-            let version = fixed.map(|(weights, levels)| {
-                let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
-                Arc::new(Version { lines, levels: levels.iter().map(level).collect() })
+        for (zone, told) in fleet.zones.iter().enumerate() {
+            let home: Vec<u32> = (0..)
+                .zip(&self.endpoints)
+                .filter(|(_, endpoint)| endpoint.zone == zone)
+                .map(|(k, _)| k)
+                .collect();
+            let version = fixed.map(|(weights, admitted)| {
+                let endpoints = WeightedEndpoints::new((0..).zip(weights[zone].iter().copied()));
+                let level =
+                    |admitted: &f64| Some(AdmissionLevel { admitted: *admitted, retry: RetryPolicy::Never });
+                Arc::new(TableSnapshot { endpoints, admission: admitted.iter().map(level).collect() })
             });
             for _ in 0..told.proxy_count {
-                let place = self.forwarders.len() as u32;
+                let place = self.proxies.len() as u32;
                 let mut draws = random_stream(self.seed, "standing", u64::from(place));
                 let standing: Vec<u32> =
                     home.sample(&mut draws, fleet.proxies.initial_table_size as usize).copied().collect();
                 let own = || {
-                    let lines = Lines::of(standing.iter().map(|node| (*node, 1.0)));
-                    Arc::new(Version { lines, levels: vec![None; products] })
+                    let endpoints = WeightedEndpoints::new(standing.iter().map(|endpoint| (*endpoint, 1.0)));
+                    Arc::new(TableSnapshot { endpoints, admission: vec![None; request_classes] })
                 };
                 let held = version.clone().unwrap_or_else(own);
-                self.front[hall].push(place);
-                self.forwarders.push(Forwarder {
-                    hall,
-                    supervisor: if count > 0 { place % count } else { NONE },
+                self.front[zone].push(place);
+                self.proxies.push(Proxy {
+                    zone,
+                    instance: if count > 0 { place % count } else { NONE },
                     standing,
                     held,
-                    bound: version.is_some(),
+                    assigned: version.is_some(),
                     still_until: 0,
                     pools: FxHashMap::default(),
                     stream: 0,
@@ -370,43 +374,48 @@
         }
         for k in 0..count {
             let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
-            let controller =
-                Controller::start(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
-            let (plane, sums) = (Plane::new(&fleet.control_plane, products), Sums::new(products));
-            let mut supervisor = Supervisor { controller, plane, sums, gathers: false };
-            let listed: Vec<EndpointUpdate> = self.nodes.iter().map(listing).collect();
-            supervisor.controller.endpoint_list_replaced(moment(0), &listed);
-            self.supervisors.push(supervisor);
+            let controller = Controller::start(
+                SimulatedHost::new(self.places.clone()),
+                controller_config(fleet),
+                seed,
+                moment(0),
+            );
+            let (channel, sums) =
+                (ProxyChannel::new(&fleet.control_plane, request_classes), Sums::new(request_classes));
+            let mut instance = ControlPlaneInstance { controller, channel, sums, gathers: false };
+            let listed: Vec<EndpointUpdate> = self.endpoints.iter().map(listing).collect();
+            instance.controller.endpoint_list_replaced(moment(0), &listed);
+            self.instances.push(instance);
             self.asks(k);
             let every = us(fleet.control_plane.report_interval);
             // Supervisors' reports do not fall on one instant.
             self.queue.push(every + Time::from(k) * 7_001, Class::Word, Event::Report(k));
         }
-        for k in 0..self.forwarders.len() as u32 {
+        for k in 0..self.proxies.len() as u32 {
             self.joins(k, true);
         }
-        for k in 0..self.happenings.len() as u32 {
-            let at = self.lead + (self.happenings[k as usize].at.max(0.0) * 1e6) as Time;
-            self.queue.push(at, Class::World, Event::Happens(k));
+        for k in 0..self.faults.len() as u32 {
+            let at = self.lead + (self.faults[k as usize].at.max(0.0) * 1e6) as Time;
+            self.queue.push(at, Class::World, Event::InjectFault(k));
         }
         self.queue.push(self.lead + 1_000_000, Class::World, Event::Second);
     }
 
-    fn run(&mut self, mut load: impl Iterator<Item = ScheduledRequest>) -> Outcome {
+    fn run(&mut self, mut load: impl Iterator<Item = ScheduledRequest>) -> SimulationResult {
         let (mut nth, mut ended_early) = (0, None);
         let mut next = load.next();
         let mut last = self.lead;
         loop {
             // A txn that is due before anything else happens begins its life; else the next thing happens.
             let at = self.queue.next_at();
-            if let Some(txn) = next.as_ref() {
-                let due = self.lead + (txn.at.max(0.0) * 1e6) as Time;
+            if let Some(request) = next.as_ref() {
+                let due = self.lead + (request.at.max(0.0) * 1e6) as Time;
                 if at.is_none_or(|at| due <= at) {
                     last = last.max(due);
                     self.now = self.now.max(due);
                     nth += 1;
                     self.events += 1;
-                    self.comes(nth, txn);
+                    self.comes(nth, request);
                     next = load.next();
                     if next.is_none() {
                         // What is worked on after the last txn was due is no part of how full the fleet was.
@@ -433,74 +442,78 @@
             self.events += 1;
             self.happens(event);
         }
-        self.outcome(last, ended_early)
+        self.result(last, ended_early)
     }
 
     fn happens(&mut self, event: Event) {
         match event {
-            Event::Try { txn, life, tries } => self.tries(txn, life, tries),
+            Event::Try { request, incarnation, attempt_number } => {
+                self.attempt_arrives(request, incarnation, attempt_number)
+            }
             Event::AtNode { attempt } => self.reaches(attempt),
-            Event::Done { attempt, life } => self.done(attempt, life),
+            Event::Done { attempt, incarnation } => self.done(attempt, incarnation),
             Event::Back { attempt, came } => self.comes_back(attempt, came),
-            Event::GiveUp { txn, life, tries } => self.gives_up(txn, life, tries),
-            Event::Again { txn, life } => {
-                if self.txns[txn as usize].life == life {
-                    self.sends(txn);
+            Event::GiveUp { request, incarnation, attempt_number } => {
+                self.gives_up(request, incarnation, attempt_number)
+            }
+            Event::Again { request, incarnation } => {
+                if self.requests[request as usize].incarnation == incarnation {
+                    self.sends(request);
                 }
             }
-            Event::Cancelled { attempt, life } => self.cancelled(attempt, life),
-            Event::Happens(k) => self.befalls(k),
+            Event::Cancelled { attempt, incarnation } => self.cancelled(attempt, incarnation),
+            Event::InjectFault(k) => self.inject_fault(k),
             Event::Second => self.second(),
-            Event::Wake { supervisor, timer } => {
-                self.hears(supervisor, |s, now| s.controller.timer_fired(now, timer))
+            Event::Wake { instance, timer } => {
+                self.hears(instance, |s, now| s.controller.timer_fired(now, timer))
             }
-            Event::Report(supervisor) => self.reports(supervisor),
-            Event::Heard { supervisor, report } => self.heard(supervisor, report),
-            Event::Listed { supervisor, list } => {
+            Event::Report(instance) => self.reports(instance),
+            Event::Heard { instance, report } => self.heard(instance, report),
+            Event::Listed { instance, list } => {
                 let listings = self.lists[list as usize].clone();
-                self.hears(supervisor, |s, now| s.controller.endpoints_updated(now, &listings));
+                self.hears(instance, |s, now| s.controller.endpoints_updated(now, &listings));
             }
             Event::Message(message) => self.arrives(message),
-            Event::Applied { supervisor, number, forwarder, stream } => {
-                if self.forwarders[forwarder as usize].stream == stream {
-                    self.hears(supervisor, |s, now| s.controller.acknowledged(now, number, forwarder));
+            Event::Applied { instance, number, proxy, stream } => {
+                if self.proxies[proxy as usize].stream == stream {
+                    self.hears(instance, |s, now| s.controller.acknowledged(now, number, proxy));
                 }
             }
-            Event::Gather(supervisor) => self.gathers(supervisor),
+            Event::Gather(instance) => self.gathers(instance),
         }
     }
 
-    fn outcome(&mut self, last: Time, ended_early: Option<String>) -> Outcome {
-        let seconds = (last - self.lead) as f64 / 1e6;
+    fn result(&mut self, last: Time, ended_early: Option<String>) -> SimulationResult {
+        let load_seconds = (last - self.lead) as f64 / 1e6;
         let until = last.max(self.lead + 1);
-        let node = |k: usize, node: &mut Node| NodeOutcome {
-            name: node.id.to_string(),
-            group: node.group,
-            hall: node.hall,
-            utilisation: self.used[k] / (f64::from(node.cores) * (until - self.lead) as f64 / 1e6),
-            taken: node.taken,
-            turned_away: node.turned_away,
-            refused: node.refused,
-            toppled: node.toppled,
+        let endpoint = |k: usize, endpoint: &mut Endpoint| EndpointResult {
+            name: endpoint.id.to_string(),
+            group: endpoint.group,
+            zone: endpoint.zone,
+            utilisation: self.used[k] / (f64::from(endpoint.cores) * (until - self.lead) as f64 / 1e6),
+            accepted: endpoint.accepted,
+            rejected: endpoint.rejected,
+            refused_connections: endpoint.refused_connections,
+            collapsed: endpoint.collapsed,
         };
-        let nodes = self.nodes.iter_mut().enumerate().map(|(k, n)| node(k, n)).collect();
-        let channels = || self.supervisors.iter().map(|s| &s.plane.channel);
-        Outcome {
-            most_waiting: channels().map(|channel| channel.most).fold(0.0, f64::max),
-            lines: channels().map(|channel| channel.lines).sum(),
-            tally: self.tally.clone(),
-            nodes,
+        let endpoints = self.endpoints.iter_mut().enumerate().map(|(k, n)| endpoint(k, n)).collect();
+        let send_queues = || self.instances.iter().map(|s| &s.channel.send_queue);
+        SimulationResult {
+            max_queued_lines: send_queues().map(|send_queue| send_queue.max_queued_lines).fold(0.0, f64::max),
+            sent_lines: send_queues().map(|send_queue| send_queue.sent_lines).sum(),
+            results: self.results.clone(),
+            endpoints,
             events: self.events,
-            crossed: self.crossed,
+            cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.tried,
-            seconds,
+            load_seconds,
             ended_early,
         }
     }
 }
 
 /// The speed of each node of a group, drawn from the seed or as measured.
-pub fn speeds(group: &EndpointGroup, place: usize, seed: u64) -> Vec<f64> {
+pub fn endpoint_speeds(group: &EndpointGroup, place: usize, seed: u64) -> Vec<f64> {
     let mut draws = random_stream(seed, "speeds", place as u64);
     let one = |k: u32| {
         let unit: f64 = draws.random();
@@ -513,12 +526,12 @@
 }
 
 /// What the list says of a node.
-pub(crate) fn listing(node: &Node) -> EndpointUpdate {
+pub(crate) fn listing(endpoint: &Endpoint) -> EndpointUpdate {
     EndpointUpdate {
-        id: node.id.clone(),
-        zone: node.hall as u32,
-        weight: node.weight,
-        state: node.standing,
-        started: node.started.map(moment),
+        id: endpoint.id.clone(),
+        zone: endpoint.zone as u32,
+        weight: endpoint.weight,
+        state: endpoint.standing,
+        started: endpoint.started.map(moment),
     }
 }
--- a/simulation/src/happening.rs
+++ b/simulation/src/fault.rs
@@ -2,34 +2,34 @@
 
 /// Nodes are named by their places: groups in the fleet's order, one node after the other.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happening {
+pub enum Fault {
     /// Its process ends; the list says so later.
-    Dies(u32),
+    Crash(u32),
     /// It is started again, cold.
-    Returns(u32),
+    Restart(u32),
     /// The list says that it wants nothing new.
-    Drains(u32),
+    Drain(u32),
     /// It is slower than it should be by this factor; 1 ends that.
-    Slows(u32, f64),
+    SlowDown(u32, f64),
     /// It fails this part of its txns at once; 0 ends that.
-    Fails(u32, f64),
+    FailRequests(u32, f64),
     /// It takes txns and answers none; false ends that.
-    Hangs(u32, bool),
+    Hang(u32, bool),
     /// All of a hall's nodes and forwarders are gone, and its clients come to the other halls' forwarders.
-    HallLost(usize),
+    ZoneOutage(usize),
     /// The hall's forwarders are back and its nodes are started, cold.
-    HallBack(usize),
+    ZoneRecovery(usize),
 }
 
 /// A happening and its time, in seconds from the load's beginning.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At {
+pub struct ScheduledFault {
     pub at: f64,
-    pub what: Happening,
+    pub fault: Fault,
 }
 
-impl Happening {
-    pub fn at(self, at: f64) -> At {
-        At { at, what: self }
+impl Fault {
+    pub fn at(self, at: f64) -> ScheduledFault {
+        ScheduledFault { at, fault: self }
     }
 }
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -1,22 +1,24 @@
 //! An event-driven play of a described fleet under a load: clients, forwarders, nodes, the list, and supervisors that run
 //! the real rules through their `Host`. No thread and no clock; the same plan and load give the same bytes.
 //!
-//! [`play`] is the one entry. `engine.rs` holds what there is and which event comes next, `life.rs` the life of a txn,
-//! `word.rs` what supervisors hear and order, `mishap.rs` what befalls a fleet. `queue.rs` orders events, `node.rs` is a
-//! node, `table.rs` what forwarders hold, `control.rs` a supervisor, `tally.rs` what it came to.
+//! [`play`] is the one entry. `engine.rs` holds what there is and which event comes next, `request_lifecycle.rs` the life of a txn,
+//! `control_messages.rs` what supervisors hear and order, `fault_injection.rs` what befalls a fleet. `queue.rs` orders events, `endpoint.rs` is a
+//! node, `table.rs` what forwarders hold, `control.rs` a supervisor, `results.rs` what it came to.
 
 pub mod control;
+mod control_messages;
 mod controller_config;
+mod endpoint;
 mod engine;
-mod happening;
-mod life;
-mod mishap;
-mod node;
+mod fault;
+mod fault_injection;
 pub mod queue;
+mod request_lifecycle;
+pub mod results;
 pub mod table;
-pub mod tally;
-mod word;
 
 pub use controller_config::controller_config;
-pub use engine::{play, speeds, NodeOutcome, Outcome, Plan, Steering, Without};
-pub use happening::{At, Happening};
+pub use engine::{
+    endpoint_speeds, simulate, EndpointResult, LiftedLimits, SimulationPlan, SimulationResult, TableSource,
+};
+pub use fault::{Fault, ScheduledFault};
