--- a/emulator/src/forwarder.rs
+++ b/emulator/src/forwarder.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::sampling::random_stream;
-use otterwinch_simulation::table::{TableSnapshot, WeightedEndpoints};
+use otterwinch_simulation::route_table::{TableSnapshot, WeightedEndpoints};
 use rand::seq::IndexedRandom;
 use rand::RngExt;
 use std::collections::{BTreeMap, BTreeSet};
--- a/emulator/src/plane.rs
+++ b/emulator/src/plane.rs
@@ -4,8 +4,9 @@
 
 use crate::forwarder::Forwarder;
 use otterwinch_fleet::model::ControlPlane;
-use otterwinch_simulation::control::{Command, ProxyChannel};
-use otterwinch_simulation::table::TableSnapshot;
+use otterwinch_simulation::proxy_channel::ProxyChannel;
+use otterwinch_simulation::route_table::TableSnapshot;
+use otterwinch_simulation::simulated_host::Command;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -59,7 +60,7 @@
 
     pub fn joins(&self, forwarder: u32) {
         let (plane, streams) = &mut *self.plane.lock().expect("no holder panics");
-        plane.connected.insert(forwarder);
+        plane.connect(forwarder);
         streams[forwarder as usize] += 1;
     }
 
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use otterwinch::host::RetryPolicy;
-use otterwinch_simulation::control::Command;
+use otterwinch_simulation::simulated_host::Command;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -13,7 +13,7 @@
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::ScheduledRequest;
-use otterwinch_simulation::table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
+use otterwinch_simulation::route_table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
 use otterwinch_simulation::{endpoint_speeds, EndpointResult, Fault, ScheduledFault};
 use serde_json::json;
 use std::io;
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -1,9 +1,9 @@
 //! What supervisors hear, and what becomes of their commands: sums late, the list later, messages one after the other.
 
-use crate::control::{moment, ControlPlaneInstance, Sums};
+use crate::control_plane_instance::{moment, ControlPlaneInstance, Sums};
 use crate::engine::*;
 use crate::queue::{Class, Time};
-use crate::table::{TableSnapshot, WeightedEndpoints};
+use crate::route_table::{TableSnapshot, WeightedEndpoints};
 use otterwinch::host::EndpointUpdate;
 use otterwinch::time::{Moment, Span};
 use std::rc::Rc;
@@ -38,7 +38,7 @@
             return;
         }
         let rate = self.usual_rate(zone);
-        self.instances[instance as usize].channel.connected.insert(number);
+        self.instances[instance as usize].channel.connect(number);
         self.hears(instance, |s, now| s.controller.proxy_joined(now, number, zone as u32, rate, fresh));
     }
 
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,13 +1,15 @@
 //! A play from its first event to its last: what there is, how it is set up, and which event comes next. The life of a txn
 //! is in `request_lifecycle.rs`, what supervisors hear and order in `control_messages.rs`, what befalls a fleet in `fault_injection.rs`.
 
-use crate::control::{moment, ControlPlaneInstance, ProxyChannel, SimulatedHost, Sums};
+use crate::control_plane_instance::{moment, ControlPlaneInstance, Sums};
 use crate::controller_config::controller_config;
 use crate::endpoint::Endpoint;
 use crate::fault::ScheduledFault;
+use crate::proxy_channel::ProxyChannel;
 use crate::queue::{Class, Queue, Time};
 use crate::results::Results;
-use crate::table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
+use crate::route_table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
+use crate::simulated_host::SimulatedHost;
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
 use otterwinch::time::Span;
--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -3,19 +3,21 @@
 //!
 //! [`play`] is the one entry. `engine.rs` holds what there is and which event comes next, `request_lifecycle.rs` the life of a txn,
 //! `control_messages.rs` what supervisors hear and order, `fault_injection.rs` what befalls a fleet. `queue.rs` orders events, `endpoint.rs` is a
-//! node, `table.rs` what forwarders hold, `control.rs` a supervisor, `results.rs` what it came to.
+//! node, `route_table.rs` what forwarders hold, `control_plane_instance.rs` a supervisor, `results.rs` what it came to.
 
-pub mod control;
 mod control_messages;
+pub mod control_plane_instance;
 mod controller_config;
 mod endpoint;
 mod engine;
 mod fault;
 mod fault_injection;
+pub mod proxy_channel;
 pub mod queue;
 mod request_lifecycle;
 pub mod results;
-pub mod table;
+pub mod route_table;
+pub mod simulated_host;
 
 pub use controller_config::controller_config;
 pub use engine::{
--- a/simulation/src/control.rs
+++ b/simulation/src/proxy_channel.rs
@@ -1,117 +1,12 @@
-//! A supervisor in a play: the real rules, the plane that their commands go through, and the sums that they hear.
+//! The channel between a control-plane instance and its proxies.
 
 use crate::queue::Time;
-use crate::table::{AdmissionLevel, RouteTable, TableSnapshot};
-use otterwinch::controller::Controller;
-use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
-use otterwinch::time::{Moment, Span};
+use crate::route_table::{AdmissionLevel, RouteTable, TableSnapshot};
+use crate::simulated_host::Command;
 use otterwinch_fleet::model::ControlPlane;
-use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
-use std::rc::Rc;
 use std::sync::Arc;
 
-/// Moments count from here, so that a node that started before the play has a time to have started at.
-const ORIGIN: i64 = 1_000_000_000_000;
-
-pub fn moment(at: Time) -> Moment {
-    Moment::from_us(ORIGIN + at as i64)
-}
-
-/// What the rules order in a moment, and the wake-ups that they ask for.
-#[derive(Default)]
-pub struct SimulatedHost {
-    pub commands: Vec<Command>,
-    pub timers: Vec<(Span, Timer)>,
-    places: Rc<FxHashMap<EndpointId, u32>>,
-}
-
-/// A command, its node by its place.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Command {
-    SetWeight { table_id: u32, endpoint: u32, weight: f64 },
-    AssignTable { proxy: u32, table_id: u32 },
-    SetEjected { endpoint: u32, ejected: bool },
-    SetAdmission { table_id: u32, request_classes: RequestClassSet, admitted: f64, retry: RetryPolicy },
-    RequestAcknowledgement(u32),
-}
-
-impl SimulatedHost {
-    pub fn new(places: Rc<FxHashMap<EndpointId, u32>>) -> Self {
-        SimulatedHost { places, ..SimulatedHost::default() }
-    }
-}
-
-impl Host for SimulatedHost {
-    fn set_endpoint_weight(&mut self, table_id: u32, server: &EndpointId, weight: f64) {
-        if let Some(endpoint) = self.places.get(server).copied() {
-            self.commands.push(Command::SetWeight { table_id, endpoint, weight });
-        }
-    }
-    fn assign_table(&mut self, proxy: u32, table_id: u32) {
-        self.commands.push(Command::AssignTable { proxy, table_id });
-    }
-    fn eject_endpoint(&mut self, server: &EndpointId) {
-        if let Some(endpoint) = self.places.get(server).copied() {
-            self.commands.push(Command::SetEjected { endpoint, ejected: true });
-        }
-    }
-    fn restore_endpoint(&mut self, server: &EndpointId) {
-        if let Some(endpoint) = self.places.get(server).copied() {
-            self.commands.push(Command::SetEjected { endpoint, ejected: false });
-        }
-    }
-    fn forget_endpoint(&mut self, _server: &EndpointId) {}
-    fn set_admission(
-        &mut self,
-        table_id: u32,
-        request_classes: RequestClassSet,
-        admitted: f64,
-        retry: RetryPolicy,
-    ) {
-        self.commands.push(Command::SetAdmission { table_id, request_classes, admitted, retry });
-    }
-    fn request_acknowledgement(&mut self, number: u32) {
-        self.commands.push(Command::RequestAcknowledgement(number));
-    }
-    // Calls to the relay are not lost in these plays, and the list follows without being asked.
-    fn resend_commands(&mut self) {}
-    fn watch_endpoints(&mut self) {}
-    fn schedule_timer(&mut self, after: Span, timer: Timer) {
-        self.timers.push((after, timer));
-    }
-}
-
-/// Sums of what forwarders of one hall met at one node.
-#[derive(Clone, Copy, Default)]
-pub struct EndpointOutcomes {
-    pub attempts: u32,
-    pub failed: u32,
-    pub latency_us: u64,
-}
-
-/// What a supervisor will be told of an interval.
-#[derive(Default)]
-pub struct Sums {
-    /// By hall and node; a sum that was never touched is not there.
-    pub met: BTreeMap<(u32, u32), EndpointOutcomes>,
-    pub demand: Vec<u32>,
-}
-
-impl Sums {
-    pub fn new(request_classes: usize) -> Self {
-        Sums { met: BTreeMap::new(), demand: vec![0; request_classes] }
-    }
-}
-
-pub struct ControlPlaneInstance {
-    pub controller: Controller<SimulatedHost>,
-    pub channel: ProxyChannel,
-    pub sums: Sums,
-    /// Commands of this instant wait to be gathered.
-    pub gathers: bool,
-}
-
 /// What stands between a supervisor and its forwarders: tables, who is on which, who is barred, and the channel.
 pub struct ProxyChannel {
     pub tables: BTreeMap<u32, RouteTable>,
@@ -180,6 +75,10 @@
         self.tables.entry(table_id).or_insert_with(|| RouteTable::new(request_classes))
     }
 
+    pub fn connect(&mut self, proxy: u32) {
+        self.connected.insert(proxy);
+    }
+
     pub fn disconnect(&mut self, proxy: u32) {
         self.connected.remove(&proxy);
         self.assigned.remove(&proxy);
--- a/simulation/src/request_lifecycle.rs
+++ b/simulation/src/request_lifecycle.rs
@@ -5,7 +5,7 @@
 use crate::engine::*;
 use crate::queue::{Class, Time};
 use crate::results::RequestEnd;
-use crate::table::WeightedEndpoints;
+use crate::route_table::WeightedEndpoints;
 use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::model::Idempotency;
 use otterwinch_fleet::ScheduledRequest;
--- a/simulation/src/table.rs
+++ b/simulation/src/route_table.rs
@@ -27,7 +27,7 @@
     /// The line that a draw of 0 to 1 falls on.
     ///
     /// ```
-    /// use otterwinch_simulation::table::WeightedEndpoints;
+    /// use otterwinch_simulation::route_table::WeightedEndpoints;
     /// let endpoints = WeightedEndpoints::new([(7, 1.0), (8, 3.0), (9, 0.0)].into_iter());
     /// assert_eq!([0.0, 0.24, 0.26, 0.99].map(|u| endpoints.pick(u)), [Some(7), Some(7), Some(8), Some(8)]);
     /// ```
