--- a/emulator/src/rig.rs
+++ b/emulator/src/rig.rs
@@ -12,9 +12,9 @@
 use otterwinch::host::{EndpointState, RetryPolicy};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::Due;
-use otterwinch_simulation::table::{Level, Lines, Version};
-use otterwinch_simulation::{speeds, At, Happening, NodeOutcome};
+use otterwinch_fleet::ScheduledRequest;
+use otterwinch_simulation::route_table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
+use otterwinch_simulation::{endpoint_speeds, EndpointResult, Fault, ScheduledFault};
 use serde_json::json;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 pub struct Played {
     pub seen: Seen,
-    pub nodes: Vec<NodeOutcome>,
+    pub nodes: Vec<EndpointResult>,
     pub crossed: u64,
     pub attempts: u64,
     /// Lines that waited at most in any supervisor's channel.
@@ -101,9 +101,9 @@
         let now = Instant::now();
         let mut nodes = Vec::new();
         for (place, group) in fleet.groups.iter().enumerate() {
-            for (k, speed) in (0..).zip(speeds(group, place, seed)) {
+            for (k, speed) in (0..).zip(endpoint_speeds(group, place, seed)) {
                 // Before this process began there was no instant; so long ago is warm in any case.
-                let started = group.started.and_then(|ago| now.checked_sub(span(ago)));
+                let started = group.uptime.and_then(|ago| now.checked_sub(span(ago)));
                 nodes.push(Node::start(&net, (group, place, k), speed, started, seed).await?);
             }
         }
@@ -113,27 +113,31 @@
             halls: nodes.iter().map(|node| node.hall).collect(),
         });
         let (mut forwarders, mut fronts) = (Vec::new(), Vec::new());
-        for (hall, told) in fleet.halls.iter().enumerate() {
+        for (hall, told) in fleet.zones.iter().enumerate() {
             let given = match steering {
                 Steering::Fixed { weights, levels } => {
-                    let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                    let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
-                    Some(Arc::new(Version { lines, levels: levels.iter().map(level).collect() }))
+                    let lines = WeightedEndpoints::new((0..).zip(weights[hall].iter().copied()));
+                    let level =
+                        |share: &f64| Some(AdmissionLevel { admitted: *share, retry: RetryPolicy::Never });
+                    Some(Arc::new(TableSnapshot {
+                        endpoints: lines,
+                        admission: levels.iter().map(level).collect(),
+                    }))
                 }
                 _ => None,
             };
             let mut front = Vec::new();
-            for _ in 0..told.forwarders {
+            for _ in 0..told.proxy_count {
                 let told = Told {
                     number: forwarders.len() as u32,
                     hall,
-                    products: fleet.products.len(),
-                    again: fleet.forwarders.again,
-                    idle: span(fleet.forwarders.idle),
-                    line: span(fleet.forwarders.line),
-                    ways: fleet.network.ways[hall].iter().map(|way| span(*way)).collect(),
+                    products: fleet.request_classes.len(),
+                    again: fleet.proxies.retries_unexecuted,
+                    idle: span(fleet.proxies.idle_timeout),
+                    line: span(fleet.proxies.apply_time_per_line),
+                    ways: fleet.network.zone_latency[hall].iter().map(|way| span(*way)).collect(),
                 };
-                let standing = fleet.forwarders.standing;
+                let standing = fleet.proxies.initial_table_size;
                 let forwarder =
                     Forwarder::start(&net, told, known.clone(), standing, given.clone(), seed).await?;
                 front.push(forwarder.address.clone());
@@ -142,7 +146,7 @@
             fronts.push(front);
         }
         let standing = |node: &Node| {
-            let ago = fleet.groups[node.group].started;
+            let ago = fleet.groups[node.group].uptime;
             (EndpointState::Ready, ago.and_then(|ago| now.checked_sub(span(ago))))
         };
         let standings = Mutex::new(nodes.iter().map(standing).collect());
@@ -157,7 +161,8 @@
             seats: Arc::default(),
             standings,
         };
-        let count = if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.supervisors.count };
+        let count =
+            if matches!(steering, Steering::Fixed { .. }) { 0 } else { fleet.control_plane.instances };
         let mut seats = Vec::new();
         for k in 0..count {
             seats.push(rig.seat(k, steering).await?);
@@ -172,7 +177,7 @@
     async fn seat(&self, k: u32, steering: &Steering) -> io::Result<Seat> {
         let fleet = &self.fleet;
         let (between, applied) =
-            Between::open(&fleet.supervisors, fleet.products.len(), self.forwarders.clone());
+            Between::open(&fleet.control_plane, fleet.request_classes.len(), self.forwarders.clone());
         let names: Vec<String> = self.nodes.iter().map(|node| node.name.clone()).collect();
         let seed = self.seed.wrapping_add(u64::from(k) + 1);
         let Steering::Program { path, folder } = steering else {
@@ -194,8 +199,8 @@
         let list = List::start(&self.net, self.entries(&all)).await?;
         let relay_names = Names {
             nodes: names.iter().cloned().zip(0..).collect(),
-            products: fleet.products.iter().map(|p| p.name.clone()).collect(),
-            halls: fleet.halls.iter().map(|h| h.name.clone()).collect(),
+            products: fleet.request_classes.iter().map(|p| p.name.clone()).collect(),
+            halls: fleet.zones.iter().map(|h| h.name.clone()).collect(),
         };
         let relay = Relay::start(&self.net, between.clone(), applied, relay_names).await?;
         let listen = free_address()?;
@@ -212,7 +217,7 @@
                 log.display()
             ))
         })?;
-        let count = fleet.supervisors.count;
+        let count = fleet.control_plane.instances;
         let collects =
             word::collect(fleet.clone(), listen, names, self.forwarders.clone(), move |f| f % count == k);
         let collects = Aborts(tokio::spawn(collects));
@@ -225,9 +230,9 @@
         }
         let seat = &self.seats[forwarder as usize % self.seats.len()];
         let hall = self.forwarders[forwarder as usize].told.hall;
-        let told = &self.fleet.halls[hall];
+        let told = &self.fleet.zones[hall];
         let whole = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * 0.6;
-        let rate = whole * told.clients / f64::from(told.forwarders);
+        let rate = whole * told.client_share / f64::from(told.proxy_count);
         match seat {
             Seat::Inside { words, between } => {
                 between.joins(forwarder);
@@ -293,7 +298,7 @@
                 .find(|n| n.name == told.name)
                 .map(|n| n.address.clone())
                 .unwrap_or_default(),
-            site: self.fleet.halls[told.hall as usize].name.clone(),
+            site: self.fleet.zones[told.hall as usize].name.clone(),
             health: match told.standing {
                 EndpointState::Ready => "active",
                 EndpointState::Draining => "leaving",
@@ -319,7 +324,7 @@
             }
         }
         let (told, entries) = (self.told(nodes), self.entries(nodes));
-        let (seats, late) = (self.seats.clone(), span(self.fleet.supervisors.list_late));
+        let (seats, late) = (self.seats.clone(), span(self.fleet.control_plane.endpoint_list_delay));
         tokio::spawn(async move {
             sleep(late).await;
             for seat in seats.iter() {
@@ -331,24 +336,24 @@
         });
     }
 
-    async fn befalls(&self, what: &Happening) -> io::Result<()> {
+    async fn befalls(&self, what: &Fault) -> io::Result<()> {
         let of_hall = |hall: usize| -> Vec<u32> {
             (0..).zip(self.nodes.iter()).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect()
         };
         match what {
-            Happening::Dies(node) => {
+            Fault::Crash(node) => {
                 self.nodes[*node as usize].dies();
                 self.lists(&[*node], EndpointState::Removed, false);
             }
-            Happening::Returns(node) => {
+            Fault::Restart(node) => {
                 self.nodes[*node as usize].returns().await?;
                 self.lists(&[*node], EndpointState::Ready, true);
             }
-            Happening::Drains(node) => self.lists(&[*node], EndpointState::Draining, false),
-            Happening::Slows(node, times) => self.nodes[*node as usize].slows(*times),
-            Happening::Fails(node, part) => self.nodes[*node as usize].fails(*part),
-            Happening::Hangs(node, does) => self.nodes[*node as usize].hangs(*does),
-            Happening::HallLost(hall) => {
+            Fault::Drain(node) => self.lists(&[*node], EndpointState::Draining, false),
+            Fault::SlowDown(node, times) => self.nodes[*node as usize].slows(*times),
+            Fault::FailRequests(node, part) => self.nodes[*node as usize].fails(*part),
+            Fault::Hang(node, does) => self.nodes[*node as usize].hangs(*does),
+            Fault::ZoneOutage(hall) => {
                 let nodes = of_hall(*hall);
                 nodes.iter().for_each(|node| self.nodes[*node as usize].dies());
                 self.lists(&nodes, EndpointState::Removed, false);
@@ -358,7 +363,7 @@
                     self.leaves(forwarder.told.number);
                 }
             }
-            Happening::HallBack(hall) => {
+            Fault::ZoneRecovery(hall) => {
                 let nodes = of_hall(*hall);
                 for node in &nodes {
                     self.nodes[*node as usize].returns().await?;
@@ -378,13 +383,13 @@
     /// Plays a load and what befalls the fleet meanwhile.
     pub async fn play(
         self: &Arc<Self>,
-        load: impl Iterator<Item = Due>,
-        happenings: &[At],
+        load: impl Iterator<Item = ScheduledRequest>,
+        happenings: &[ScheduledFault],
         watch: impl FnOnce(Watch),
     ) -> io::Result<Played> {
         let begin = Instant::now() + Duration::from_millis(20);
         let mut troubles = tokio::task::JoinSet::new();
-        for At { at, what } in happenings.iter().cloned() {
+        for ScheduledFault { at, fault: what } in happenings.iter().cloned() {
             let rig = self.clone();
             troubles.spawn(async move {
                 sleep_until(begin + Duration::from_secs_f64(at.max(0.0))).await;
@@ -422,15 +427,15 @@
         let node = |(k, node): (usize, &Node)| {
             let counts = node.counts();
             let core_us = f64::from(node.cores()) * seconds.max(1e-3) * 1e6;
-            NodeOutcome {
+            EndpointResult {
                 name: node.name.clone(),
                 group: node.group,
-                hall: node.hall,
+                zone: node.hall,
                 utilisation: (after[k] - before[k]) as f64 / core_us,
-                taken: counts.taken.load(Ordering::Relaxed),
-                turned_away: counts.turned_away.load(Ordering::Relaxed),
-                refused: counts.refused.load(Ordering::Relaxed),
-                toppled: node.toppled(),
+                accepted: counts.taken.load(Ordering::Relaxed),
+                rejected: counts.turned_away.load(Ordering::Relaxed),
+                refused_connections: counts.refused.load(Ordering::Relaxed),
+                collapsed: node.toppled(),
             }
         };
         let attempts: Vec<(u64, u64)> = self.forwarders.iter().map(Forwarder::attempts).collect();
--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -29,15 +29,15 @@
     c.unique("product", told.product.iter().map(|product| product.name.as_str()));
     let named: Vec<String> = told.hall.iter().map(|hall| hall.name.clone()).collect();
 
-    let mut halls: Vec<Hall> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
-    let forwarders: u32 = halls.iter().map(|hall| hall.forwarders).sum();
+    let mut halls: Vec<Zone> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
+    let forwarders: u32 = halls.iter().map(|hall| hall.proxy_count).sum();
     c.at("hall").unless(forwarders <= MOST_FORWARDERS, || {
         format!("{forwarders} forwarders in all are not allowed: {MOST_FORWARDERS} at most")
     });
-    part_of_one(halls.iter_mut().map(|hall| &mut hall.clients), || {
+    part_of_one(halls.iter_mut().map(|hall| &mut hall.client_share), || {
         c.at("hall").fault("no hall has clients: at least one has clients above 0");
     });
-    let groups: Vec<Group> =
+    let groups: Vec<EndpointGroup> =
         (0..).zip(&told.group).map(|(k, g)| group(&c.nth("group", k), g, &named)).collect();
     let nodes = groups.iter().map(|group| u64::from(group.count)).sum::<u64>();
     c.at("group").unless(nodes <= u64::from(MOST_NODES), || {
@@ -45,19 +45,29 @@
     });
     c.at("group")
         .unless(nodes > 0 || groups.is_empty(), || "no group has a node: one has a count above 0".into());
-    let mut products: Vec<Product> =
+    let mut products: Vec<RequestClass> =
         (0..).zip(&told.product).map(|(k, p)| product(&c.nth("product", k), p)).collect();
     part_of_one(products.iter_mut().map(|product| &mut product.share), || {
         c.at("product").fault("no product has a share: at least one has a share above 0");
     });
 
     let network = network(&c.at("network"), &told.network.clone().unwrap_or_default(), &named);
-    let longest = groups.iter().filter_map(|g| g.warm_up).map(|w| w.over).max().unwrap_or(Span::ZERO);
+    let longest = groups.iter().filter_map(|g| g.warm_up).map(|w| w.duration).max().unwrap_or(Span::ZERO);
     let supervisors = supervisors(&c.at("supervisors"), &told.supervisors.unwrap_or_default(), longest);
     let clients = clients(&c.at("clients"), &told.clients.unwrap_or_default());
     let forwarders = forwarding(&c.at("forwarders"), &told.forwarders.unwrap_or_default());
     let goal = goal(&c.at("goal"), &told.goal.unwrap_or_default());
-    Fleet { name, network, halls, groups, products, clients, forwarders, supervisors, goal }
+    Fleet {
+        name,
+        network,
+        zones: halls,
+        groups,
+        request_classes: products,
+        clients,
+        proxies: forwarders,
+        control_plane: supervisors,
+        goal,
+    }
 }
 
 /// Makes parts that were given against each other parts of 1.
@@ -71,7 +81,7 @@
     }
 }
 
-fn hall(c: &Checker, told: &proto::Hall) -> Hall {
+fn hall(c: &Checker, told: &proto::Hall) -> Zone {
     let forwarders =
         c.at("forwarders").needed(told.forwarders, "how many forwarders stand in this hall, 1 to 2,000");
     let forwarders = if told.forwarders.is_some() {
@@ -80,7 +90,7 @@
         1
     };
     let clients = c.at("clients").within(told.clients.unwrap_or(1.0), 0.0..=1_000.0, "parts of the clients");
-    Hall { name: c.at("name").name(&told.name), forwarders, clients }
+    Zone { name: c.at("name").name(&told.name), proxy_count: forwarders, client_share: clients }
 }
 
 fn network(c: &Checker, told: &proto::Network, halls: &[String]) -> Network {
@@ -103,10 +113,10 @@
             (ways[from][to], ways[to][from]) = (time, time);
         }
     }
-    Network { client, ways }
+    Network { client_latency: client, zone_latency: ways }
 }
 
-fn group(c: &Checker, told: &proto::Group, halls: &[String]) -> Group {
+fn group(c: &Checker, told: &proto::Group, halls: &[String]) -> EndpointGroup {
     let needed =
         |field: &str, value: Option<u32>, bounds: std::ops::RangeInclusive<u32>, what: &str| match value {
             Some(value) => c.at(field).count(value, bounds, what),
@@ -130,7 +140,7 @@
         let from =
             if w.from.is_some() { c.at("from").within(from, 0.01..=1.0, "of full speed") } else { 1.0 };
         let over = if w.over_s.is_some() { c.at("over_s").within(over, 0.1..=3_600.0, "s") } else { 1.0 };
-        WarmUp { from, over: Span::secs(over) }
+        WarmUp { initial_speed: from, duration: Span::secs(over) }
     });
     let topples = told.topples.map(|t| {
         let c = c.at("topples");
@@ -139,31 +149,31 @@
         let multiple =
             if t.multiple.is_some() { c.at("multiple").within(multiple, 1.0..=100.0, "times") } else { 1.0 };
         let over = if t.over_s.is_some() { c.at("over_s").within(over, 0.1..=60.0, "s") } else { 1.0 };
-        Topples { multiple, over: Span::secs(over) }
+        OverloadCollapse { overload_factor: multiple, window: Span::secs(over) }
     });
     c.at("topples").unless(topples.is_none() || warm_up.is_some(), || {
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
     });
     let started = told.started_s.map(|s| Span::secs(c.at("started_s").within(s, 0.0..=86_400.0, "s")));
-    Group {
+    EndpointGroup {
         name: c.at("name").name(&told.name),
-        hall: c.at("hall").place(&told.hall, halls, "hall"),
+        zone: c.at("hall").place(&told.hall, halls, "hall"),
         count,
         cores,
         speed,
         weight,
-        waiting,
-        connections,
+        max_queued: waiting,
+        max_connections: connections,
         connection_work: price / 1e3,
         warm_up,
-        topples,
-        works_on: told.works_on,
-        started,
+        overload_collapse: topples,
+        finishes_abandoned: told.works_on,
+        uptime: started,
     }
 }
 
 fn speed(c: &Checker, told: Option<&proto::Speed>) -> Speed {
-    let Some(told) = told else { return Speed::Between(1.0, 1.0) };
+    let Some(told) = told else { return Speed::Uniform(1.0, 1.0) };
     let bounds = 0.01..=100.0;
     if !told.measured.is_empty() {
         c.at("measured").unless(told.from.is_none() && told.to.is_none(), || {
@@ -174,10 +184,10 @@
     }
     let from = c.at("from").within(told.from.unwrap_or(1.0), bounds, "of speed");
     let to = told.to.unwrap_or(from);
-    Speed::Between(from, c.at("to").within(to, from..=100.0, "of speed"))
+    Speed::Uniform(from, c.at("to").within(to, from..=100.0, "of speed"))
 }
 
-fn product(c: &Checker, told: &proto::Product) -> Product {
+fn product(c: &Checker, told: &proto::Product) -> RequestClass {
     let time = |field: &str, value: Option<f64>, least: f64, what: &str| match value {
         Some(value) => c.at(field).within(value, least..=LONGEST_MS, "ms"),
         None => {
@@ -188,31 +198,35 @@
     let sla = time("sla_ms", told.sla_ms, 1.0, "the time in which an answer is wanted");
     let expiry = time("expiry_ms", told.expiry_ms, sla, "the time after which the client gives up");
     let repeats = match told.repeats() {
-        proto::Repeats::InquiryLike => Repeats::InquiryLike,
-        proto::Repeats::Referenced => Repeats::Referenced,
-        proto::Repeats::OnceOnly => Repeats::OnceOnly,
+        proto::Repeats::InquiryLike => Idempotency::Idempotent,
+        proto::Repeats::Referenced => Idempotency::WithIdempotencyKey,
+        proto::Repeats::OnceOnly => Idempotency::NotIdempotent,
         proto::Repeats::Unspecified => {
             c.at("repeats").fault("is missing: INQUIRY_LIKE, REFERENCED or ONCE_ONLY");
-            Repeats::OnceOnly
+            Idempotency::NotIdempotent
         }
     };
-    c.at("discard_s").unless(told.discard_s.is_none() || repeats == Repeats::Referenced, || {
+    c.at("discard_s").unless(told.discard_s.is_none() || repeats == Idempotency::WithIdempotencyKey, || {
         "only a REFERENCED product's repeats are dropped: leave this out".into()
     });
     let part = |field: &str, value: Option<f64>, absent: f64| {
         c.at(field).within(value.unwrap_or(absent), 0.0..=1.0, "of the whole")
     };
-    Product {
+    RequestClass {
         name: c.at("name").name(&told.name),
         share: c.at("share").within(told.share.unwrap_or(1.0), 0.0..=1_000.0, "parts of the txns"),
         work: work(&c.at("work"), told.work.as_ref()),
-        sla: ms(sla),
-        expiry: ms(expiry),
-        revenue: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
-        late_part: part("late_part", told.late_part, 0.0),
-        repeats,
-        discard: Span::secs(c.at("discard_s").within(told.discard_s.unwrap_or(0.0), 0.0..=600.0, "s")),
-        floor: part("floor", told.floor, 0.1),
+        latency_objective: ms(sla),
+        timeout: ms(expiry),
+        priority_weight: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
+        late_value: part("late_part", told.late_part, 0.0),
+        idempotency: repeats,
+        deduplication_window: Span::secs(c.at("discard_s").within(
+            told.discard_s.unwrap_or(0.0),
+            0.0..=600.0,
+            "s",
+        )),
+        min_admitted: part("floor", told.floor, 0.1),
     }
 }
 
@@ -246,23 +260,23 @@
         c.at("patience_from").within(told.patience_from.unwrap_or(1.0), 0.05..=1.0, "of the expiry");
     let most = c.at("patience_to").within(told.patience_to.unwrap_or(1.0), patient..=1.0, "of the expiry");
     Clients {
-        again: c.at("again").count(told.again.unwrap_or(0), 0..=10, "tries more"),
-        wait: (ms(wait_from), ms(wait_to)),
-        patience: (patient, most),
+        max_retries: c.at("again").count(told.again.unwrap_or(0), 0..=10, "tries more"),
+        retry_wait: (ms(wait_from), ms(wait_to)),
+        attempt_timeout_fraction: (patient, most),
     }
 }
 
-fn forwarding(c: &Checker, told: &proto::Forwarders) -> Forwarders {
+fn forwarding(c: &Checker, told: &proto::Forwarders) -> Proxies {
     let line = c.at("line_us").within(told.line_us.unwrap_or(0.0), 0.0..=10_000.0, "microseconds");
-    Forwarders {
-        idle: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
-        again: told.again() != proto::Again::Never,
-        line: Span::secs(line / 1e6),
-        standing: c.at("standing").count(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
+    Proxies {
+        idle_timeout: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
+        retries_unexecuted: told.again() != proto::Again::Never,
+        apply_time_per_line: Span::secs(line / 1e6),
+        initial_table_size: c.at("standing").count(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
     }
 }
 
-fn supervisors(c: &Checker, told: &proto::Supervisors, longest: Span) -> Supervisors {
+fn supervisors(c: &Checker, told: &proto::Supervisors, longest: Span) -> ControlPlane {
     let time = |field: &str, value: Option<f64>, absent: f64, bounds: std::ops::RangeInclusive<f64>| {
         ms(c.at(field).within(value.unwrap_or(absent), bounds, "ms"))
     };
@@ -270,18 +284,22 @@
     let lines_per_s = c.at("lines_per_s").within(lines_per_s, 10.0..=1e7, "lines a second");
     let most_waiting = told.most_waiting.unwrap_or(lines_per_s);
     let cold_for = told.cold_for_s.unwrap_or(longest.as_secs());
-    Supervisors {
-        count: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
-        report_every: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
-        report_late: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
-        list_late: time("list_late_ms", told.list_late_ms, 2_000.0, 0.0..=LONGEST_MS),
-        lines_per_s,
-        head_lines: c.at("head_lines").within(told.head_lines.unwrap_or(10.0), 0.0..=10_000.0, "lines"),
-        most_waiting: c.at("most_waiting").within(most_waiting, 10.0..=1e8, "lines"),
-        message: time("message_ms", told.message_ms, 150.0, 0.0..=60_000.0),
+    ControlPlane {
+        instances: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
+        report_interval: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
+        report_delay: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
+        endpoint_list_delay: time("list_late_ms", told.list_late_ms, 2_000.0, 0.0..=LONGEST_MS),
+        channel_rate: lines_per_s,
+        message_overhead_lines: c.at("head_lines").within(
+            told.head_lines.unwrap_or(10.0),
+            0.0..=10_000.0,
+            "lines",
+        ),
+        max_queued_lines: c.at("most_waiting").within(most_waiting, 10.0..=1e8, "lines"),
+        message_delay: time("message_ms", told.message_ms, 150.0, 0.0..=60_000.0),
         drain_grace: time("drain_grace_ms", told.drain_grace_ms, 1_500.0, 100.0..=LONGEST_MS),
-        cold_for: Span::secs(c.at("cold_for_s").within(cold_for, 0.0..=3_600.0, "s")),
-        crossing_costs: told.crossing_costs.unwrap_or(true),
+        slow_start_window: Span::secs(c.at("cold_for_s").within(cold_for, 0.0..=3_600.0, "s")),
+        cross_zone_costs: told.crossing_costs.unwrap_or(true),
     }
 }
 
@@ -289,7 +307,7 @@
     let service = told.service.unwrap_or(0.95);
     let each = told.each_product.unwrap_or(0.0);
     Goal {
-        service: c.at("service").within(service, 0.01..=1.0, "of the revenue"),
-        each_product: c.at("each_product").within(each, 0.0..=1.0, "of the revenue"),
+        service_level: c.at("service").within(service, 0.01..=1.0, "of the revenue"),
+        class_service_level: c.at("each_product").within(each, 0.0..=1.0, "of the revenue"),
     }
 }
--- a/fleet/src/make.rs
+++ b/fleet/src/load_profile.rs
@@ -1,9 +1,9 @@
 //! Load where none was captured: seeded arrivals with a slow wave, bursts and costly txns.
 
-use crate::draws::stream;
-use crate::load::Due;
+use crate::load::ScheduledRequest;
 use crate::model::{Fleet, Work};
 use crate::proto;
+use crate::sampling::random_stream;
 use otterwinch_textproto::Checker;
 use otterwinch_traffic_capture::RequestRecord;
 use rand::RngExt;
@@ -15,7 +15,7 @@
 
 /// What load to make, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Recipe {
+pub struct LoadProfile {
     pub for_s: f64,
     pub txns_per_s: f64,
     /// Depth and period.
@@ -44,7 +44,7 @@
     }
 }
 
-pub(crate) fn recipe(c: &Checker, told: &proto::Make, fleet: &Fleet) -> Recipe {
+pub(crate) fn recipe(c: &Checker, told: &proto::Make, fleet: &Fleet) -> LoadProfile {
     let needed =
         |field: &str, value: Option<f64>, bounds: std::ops::RangeInclusive<f64>, what: &str, unit: &str| {
             match value {
@@ -69,8 +69,8 @@
     c.at("burst").unless(told.burst.len() <= MOST_BURSTS, || {
         format!("{} bursts are not allowed: {MOST_BURSTS} at most", told.burst.len())
     });
-    let products: Vec<String> = fleet.products.iter().map(|p| p.name.clone()).collect();
-    let halls: Vec<String> = fleet.halls.iter().map(|h| h.name.clone()).collect();
+    let products: Vec<String> = fleet.request_classes.iter().map(|p| p.name.clone()).collect();
+    let halls: Vec<String> = fleet.zones.iter().map(|h| h.name.clone()).collect();
     let burst = |(k, told): (usize, &proto::Burst)| {
         let c = c.nth("burst", k);
         let named = |field: &str, name: &str, known: &[String], what| {
@@ -100,13 +100,13 @@
         (distinct, c.at("skew").within(keys.skew.unwrap_or(0.0), 0.0..=3.0, "of skew"))
     });
     let bursts = told.burst.iter().enumerate().map(burst).collect();
-    Recipe { for_s, txns_per_s, curve: (depth, period), bursts, keys }
+    LoadProfile { for_s, txns_per_s, curve: (depth, period), bursts, keys }
 }
 
 /// Txns in the order of their arrival; the same seed makes the same ones.
-pub struct Maker {
+pub struct LoadGenerator {
     fleet: Fleet,
-    recipe: Recipe,
+    recipe: LoadProfile,
     at: f64,
     /// The highest rate that any moment may have.
     highest: f64,
@@ -117,30 +117,30 @@
     popular: Option<Zipf<f64>>,
 }
 
-impl Maker {
-    pub fn new(fleet: &Fleet, recipe: &Recipe, seed: u64) -> Self {
+impl LoadGenerator {
+    pub fn new(fleet: &Fleet, recipe: &LoadProfile, seed: u64) -> Self {
         let edges = recipe.bursts.iter().map(|burst| burst.at_s).chain([0.0]);
         let busiest = edges.map(|at| recipe_rate(fleet, recipe, at)).fold(0.0, f64::max);
         let popular = recipe.keys.and_then(|(n, skew)| Zipf::new(f64::from(n), skew).ok());
-        Maker {
+        LoadGenerator {
             fleet: fleet.clone(),
             recipe: recipe.clone(),
             at: 0.0,
             highest: busiest * (1.0 + recipe.curve.0),
-            arrivals: stream(seed, "arrivals", 0),
-            places: stream(seed, "places", 0),
-            work: stream(seed, "work", 0),
-            keys: stream(seed, "keys", 0),
+            arrivals: random_stream(seed, "arrivals", 0),
+            places: random_stream(seed, "places", 0),
+            work: random_stream(seed, "work", 0),
+            keys: random_stream(seed, "keys", 0),
             popular,
         }
     }
 
     /// The same as a plan takes them.
-    pub fn dues(self) -> impl Iterator<Item = Due> {
-        self.map(|txn| Due {
+    pub fn requests(self) -> impl Iterator<Item = ScheduledRequest> {
+        self.map(|txn| ScheduledRequest {
             at: txn.at_us as f64 / 1e6,
-            product: txn.request_class as usize,
-            hall: txn.zone as usize,
+            request_class: txn.request_class as usize,
+            zone: txn.zone as usize,
             work: txn.work_us.unwrap_or(0) as f64 / 1e6,
             key: txn.idempotency_key,
         })
@@ -155,8 +155,8 @@
     fn place(&mut self, rate: f64) -> (usize, usize) {
         let mut drawn = self.places.random::<f64>() * rate;
         let mut last = (0, 0);
-        for product in 0..self.fleet.products.len() {
-            for hall in 0..self.fleet.halls.len() {
+        for product in 0..self.fleet.request_classes.len() {
+            for hall in 0..self.fleet.zones.len() {
                 let part = part(&self.fleet, &self.recipe, self.at, product, hall);
                 drawn -= part * self.recipe.txns_per_s;
                 if part > 0.0 {
@@ -172,15 +172,15 @@
 }
 
 /// The part of the rate that a product and hall have at a moment.
-fn part(fleet: &Fleet, recipe: &Recipe, at: f64, product: usize, hall: usize) -> f64 {
+fn part(fleet: &Fleet, recipe: &LoadProfile, at: f64, product: usize, hall: usize) -> f64 {
     let touching = recipe.bursts.iter().filter(|burst| burst.touches(at, product, hall));
-    fleet.products[product].share
-        * fleet.halls[hall].clients
+    fleet.request_classes[product].share
+        * fleet.zones[hall].client_share
         * touching.map(|burst| burst.times).product::<f64>()
 }
 
-fn recipe_rate(fleet: &Fleet, recipe: &Recipe, at: f64) -> f64 {
-    let (products, halls) = (fleet.products.len(), fleet.halls.len());
+fn recipe_rate(fleet: &Fleet, recipe: &LoadProfile, at: f64) -> f64 {
+    let (products, halls) = (fleet.request_classes.len(), fleet.zones.len());
     let parts = (0..products).flat_map(|p| (0..halls).map(move |h| (p, h)));
     parts.map(|(p, h)| part(fleet, recipe, at, p, h)).sum::<f64>() * recipe.txns_per_s
 }
@@ -197,7 +197,7 @@
     (work.from + (work.to - work.from) * plain) * times
 }
 
-impl Iterator for Maker {
+impl Iterator for LoadGenerator {
     type Item = RequestRecord;
 
     fn next(&mut self) -> Option<RequestRecord> {
@@ -216,7 +216,7 @@
                 continue;
             }
             let (product, hall) = self.place(rate);
-            let mut cost = work(&self.fleet.products[product].work, &mut self.work);
+            let mut cost = work(&self.fleet.request_classes[product].work, &mut self.work);
             let bursts = self.recipe.bursts.iter().filter(|b| b.touches(self.at, product, hall));
             for burst in bursts {
                 let [costly, factor] = [(); 2].map(|()| self.work.random::<f64>());
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -7,54 +7,54 @@
 pub struct Fleet {
     pub name: String,
     pub network: Network,
-    pub halls: Vec<Hall>,
-    pub groups: Vec<Group>,
-    pub products: Vec<Product>,
+    pub zones: Vec<Zone>,
+    pub groups: Vec<EndpointGroup>,
+    pub request_classes: Vec<RequestClass>,
     pub clients: Clients,
-    pub forwarders: Forwarders,
-    pub supervisors: Supervisors,
+    pub proxies: Proxies,
+    pub control_plane: ControlPlane,
     pub goal: Goal,
 }
 
 /// One-way times.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
-    pub client: Span,
+    pub client_latency: Span,
     /// From hall to hall, a row a hall; within a hall on the diagonal.
-    pub ways: Vec<Vec<Span>>,
+    pub zone_latency: Vec<Vec<Span>>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Hall {
+pub struct Zone {
     pub name: String,
-    pub forwarders: u32,
+    pub proxy_count: u32,
     /// Its part of all clients; all halls sum to 1.
-    pub clients: f64,
+    pub client_share: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Group {
+pub struct EndpointGroup {
     pub name: String,
-    pub hall: usize,
+    pub zone: usize,
     pub count: u32,
     pub cores: u32,
     pub speed: Speed,
     pub weight: f64,
-    pub waiting: u32,
-    pub connections: u32,
+    pub max_queued: u32,
+    pub max_connections: u32,
     /// Work of a new connection, in seconds on a core of speed 1.
     pub connection_work: f64,
     pub warm_up: Option<WarmUp>,
-    pub topples: Option<Topples>,
-    pub works_on: bool,
+    pub overload_collapse: Option<OverloadCollapse>,
+    pub finishes_abandoned: bool,
     /// How long before the load begins; long ago where it isn't told.
-    pub started: Option<Span>,
+    pub uptime: Option<Span>,
 }
 
 /// Seconds of work that one core does in a second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Speed {
-    Between(f64, f64),
+    Uniform(f64, f64),
     /// One a node, again from the first where there are more nodes.
     Measured(Vec<f64>),
 }
@@ -62,7 +62,7 @@
 impl Speed {
     pub fn mean(&self) -> f64 {
         match self {
-            Speed::Between(from, to) => (from + to) / 2.0,
+            Speed::Uniform(from, to) => (from + to) / 2.0,
             Speed::Measured(each) => each.iter().sum::<f64>() / each.len().max(1) as f64,
         }
     }
@@ -70,8 +70,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    pub from: f64,
-    pub over: Span,
+    pub initial_speed: f64,
+    pub duration: Span,
 }
 
 impl WarmUp {
@@ -80,43 +80,43 @@
     /// ```
     /// use otterwinch::time::Span;
     /// use otterwinch_fleet::model::WarmUp;
-    /// let warm_up = WarmUp { from: 0.25, over: Span::secs(8.0) };
-    /// assert_eq!(warm_up.part(Span::secs(4.0)), 0.625);
-    /// assert_eq!(warm_up.part(Span::secs(60.0)), 1.0);
+    /// let warm_up = WarmUp { initial_speed: 0.25, duration: Span::secs(8.0) };
+    /// assert_eq!(warm_up.speed_fraction(Span::secs(4.0)), 0.625);
+    /// assert_eq!(warm_up.speed_fraction(Span::secs(60.0)), 1.0);
     /// ```
-    pub fn part(&self, age: Span) -> f64 {
-        let grown = (age.as_secs() / self.over.as_secs()).clamp(0.0, 1.0);
-        self.from + (1.0 - self.from) * grown
+    pub fn speed_fraction(&self, age: Span) -> f64 {
+        let grown = (age.as_secs() / self.duration.as_secs()).clamp(0.0, 1.0);
+        self.initial_speed + (1.0 - self.initial_speed) * grown
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Topples {
-    pub multiple: f64,
-    pub over: Span,
+pub struct OverloadCollapse {
+    pub overload_factor: f64,
+    pub window: Span,
 }
 
 /// What a repeat may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
-    InquiryLike,
-    Referenced,
-    OnceOnly,
+pub enum Idempotency {
+    Idempotent,
+    WithIdempotencyKey,
+    NotIdempotent,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Product {
+pub struct RequestClass {
     pub name: String,
     /// Its part of all txns; all products sum to 1.
     pub share: f64,
     pub work: Work,
-    pub sla: Span,
-    pub expiry: Span,
-    pub revenue: f64,
-    pub late_part: f64,
-    pub repeats: Repeats,
-    pub discard: Span,
-    pub floor: f64,
+    pub latency_objective: Span,
+    pub timeout: Span,
+    pub priority_weight: f64,
+    pub late_value: f64,
+    pub idempotency: Idempotency,
+    pub deduplication_window: Span,
+    pub min_admitted: f64,
 }
 
 /// Seconds of work on a core of speed 1.
@@ -141,63 +141,63 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clients {
-    pub again: u32,
-    pub wait: (Span, Span),
+    pub max_retries: u32,
+    pub retry_wait: (Span, Span),
     /// Parts of the expiry.
-    pub patience: (f64, f64),
+    pub attempt_timeout_fraction: (f64, f64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Forwarders {
-    pub idle: Span,
+pub struct Proxies {
+    pub idle_timeout: Span,
     /// One more try by themselves where the first never ran.
-    pub again: bool,
-    pub line: Span,
-    pub standing: u32,
+    pub retries_unexecuted: bool,
+    pub apply_time_per_line: Span,
+    pub initial_table_size: u32,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Supervisors {
-    pub count: u32,
-    pub report_every: Span,
-    pub report_late: Span,
-    pub list_late: Span,
-    pub lines_per_s: f64,
-    pub head_lines: f64,
-    pub most_waiting: f64,
-    pub message: Span,
+pub struct ControlPlane {
+    pub instances: u32,
+    pub report_interval: Span,
+    pub report_delay: Span,
+    pub endpoint_list_delay: Span,
+    pub channel_rate: f64,
+    pub message_overhead_lines: f64,
+    pub max_queued_lines: f64,
+    pub message_delay: Span,
     pub drain_grace: Span,
-    pub cold_for: Span,
-    pub crossing_costs: bool,
+    pub slow_start_window: Span,
+    pub cross_zone_costs: bool,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    pub service: f64,
-    pub each_product: f64,
+    pub service_level: f64,
+    pub class_service_level: f64,
 }
 
 impl Fleet {
-    pub fn nodes(&self) -> u32 {
+    pub fn endpoint_count(&self) -> u32 {
         self.groups.iter().map(|group| group.count).sum()
     }
 
     /// Seconds of work a second that all nodes of a hall do when warm.
-    pub fn hall_capacity(&self, hall: usize) -> f64 {
-        let of_hall = self.groups.iter().filter(|group| group.hall == hall);
+    pub fn zone_capacity(&self, zone: usize) -> f64 {
+        let of_hall = self.groups.iter().filter(|group| group.zone == zone);
         of_hall.map(|g| f64::from(g.count * g.cores) * g.speed.mean()).sum()
     }
 
     pub fn capacity(&self) -> f64 {
-        (0..self.halls.len()).map(|hall| self.hall_capacity(hall)).sum()
+        (0..self.zones.len()).map(|zone| self.zone_capacity(zone)).sum()
     }
 
-    pub fn hall(&self, name: &str) -> Option<usize> {
-        self.halls.iter().position(|hall| hall.name == name)
+    pub fn zone(&self, name: &str) -> Option<usize> {
+        self.zones.iter().position(|zone| zone.name == name)
     }
 
-    pub fn product(&self, name: &str) -> Option<usize> {
-        self.products.iter().position(|product| product.name == name)
+    pub fn request_class(&self, name: &str) -> Option<usize> {
+        self.request_classes.iter().position(|request_class| request_class.name == name)
     }
 
     pub fn group(&self, name: &str) -> Option<usize> {
@@ -206,6 +206,9 @@
 
     /// Seconds of work that a txn of the described mix costs on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
-        self.products.iter().map(|product| product.share * product.work.moments().0).sum()
+        self.request_classes
+            .iter()
+            .map(|request_class| request_class.share * request_class.work.moments().0)
+            .sum()
     }
 }
--- a/fleet/tests/reading.rs
+++ b/fleet/tests/reading.rs
@@ -1,10 +1,10 @@
 //! Descriptions, recipes and captures as files that operators write.
 
 use otterwinch_fleet::import::{import, Columns, Form, Reading, Unit};
-use otterwinch_fleet::load::{Load, Summary};
-use otterwinch_fleet::make::Maker;
-use otterwinch_fleet::model::{Fleet, Repeats};
-use otterwinch_fleet::{read, read_recipe, Due};
+use otterwinch_fleet::load::{CapturedLoad, LoadSummary};
+use otterwinch_fleet::load_profile::LoadGenerator;
+use otterwinch_fleet::model::{Fleet, Idempotency};
+use otterwinch_fleet::{read, read_load_profile, ScheduledRequest};
 use otterwinch_traffic_capture::{CaptureHeader, Demand, LoadReport, RequestRecord, Writer};
 use std::collections::BTreeMap;
 
@@ -37,12 +37,12 @@
 #[test]
 fn defaults_and_parts_are_filled_in() {
     let fleet = small();
-    assert_eq!(fleet.products[0].share, 0.5);
-    assert_eq!(fleet.halls[1].clients, 0.5);
+    assert_eq!(fleet.request_classes[0].share, 0.5);
+    assert_eq!(fleet.zones[1].client_share, 0.5);
     assert_eq!(fleet.groups[0].weight, 2.0);
-    assert_eq!(fleet.products[2].repeats, Repeats::OnceOnly);
-    assert_eq!(fleet.supervisors.cold_for.as_secs(), 10.0);
-    assert_eq!(fleet.network.ways[0][1].as_us(), 800);
+    assert_eq!(fleet.request_classes[2].idempotency, Idempotency::NotIdempotent);
+    assert_eq!(fleet.control_plane.slow_start_window.as_secs(), 10.0);
+    assert_eq!(fleet.network.zone_latency[0][1].as_us(), 800);
 }
 
 #[test]
@@ -113,8 +113,8 @@
 #[test]
 fn a_recipe_makes_the_same_load_from_the_same_seed() {
     let fleet = small();
-    let recipe = read_recipe("m", &example("loads/minute.make"), &fleet).unwrap();
-    let make = |seed| Maker::new(&fleet, &recipe, seed).collect::<Vec<RequestRecord>>();
+    let recipe = read_load_profile("m", &example("loads/minute.make"), &fleet).unwrap();
+    let make = |seed| LoadGenerator::new(&fleet, &recipe, seed).collect::<Vec<RequestRecord>>();
     let txns = make(3);
     assert_eq!(txns, make(3));
     assert_ne!(txns, make(4));
@@ -131,7 +131,7 @@
 #[test]
 fn a_recipe_that_names_nobody_is_refused() {
     let text = "for_s: 5 txns_per_s: 3\nburst { at_s: 1 for_s: 2 product: 'ferry' }";
-    let told = read_recipe("m", text, &small()).unwrap_err().to_string();
+    let told = read_load_profile("m", text, &small()).unwrap_err().to_string();
     let expected = "there is no product 'ferry'; there are: fare-quote, seat-hold, ticket-issue";
     assert_eq!(told, format!("m:2: burst[0].product: {expected}"));
 }
@@ -170,11 +170,11 @@
     txns.push(RequestRecord { attempt: 1, ..txn(3.0, 0) });
     txns.push(RequestRecord { work_us: None, ..txn(3.0, 0) });
     let file = captured(&start(&["seat-hold", "parcel"], &["west"]), &txns, &[]);
-    let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
-    let dues: Vec<Due> = load.by_ref().collect();
+    let mut load = CapturedLoad::open(file.as_slice(), &fleet, 1).unwrap();
+    let dues: Vec<ScheduledRequest> = load.by_ref().collect();
     assert!(dues.windows(2).all(|pair| pair[0].at <= pair[1].at));
-    assert!(dues.iter().all(|due| due.product == 1 && due.hall == 1 && due.work > 0.0));
-    let heard = load.heard();
+    assert!(dues.iter().all(|due| due.request_class == 1 && due.zone == 1 && due.work > 0.0));
+    let heard = load.findings();
     assert_eq!((heard.txns, heard.repeats, heard.drawn, heard.reordered), (602, 1, 1, 1));
     assert_eq!(heard.unknown, BTreeMap::from([("parcel".to_owned(), 200)]));
     assert_eq!((heard.steps.len(), heard.holes.len()), (1, 1), "{heard}");
@@ -189,7 +189,7 @@
 #[test]
 fn a_capture_that_names_nothing_known_is_refused_plainly() {
     let file = captured(&start(&["parcel"], &["east"]), &[], &[]);
-    let refused = Load::open(file.as_slice(), &small(), 1).err().unwrap();
+    let refused = CapturedLoad::open(file.as_slice(), &small(), 1).err().unwrap();
     assert_eq!(refused, "the fleet knows no product of this load (parcel); name them alike");
 }
 
@@ -208,10 +208,10 @@
     };
     let sums = [asked(0, 1_000_000), asked(3, 1_000_000), asked(3, 2_000_000)];
     let file = captured(&start(&["fare-quote"], &["east", "west"]), &[], &sums);
-    let mut load = Load::open(file.as_slice(), &fleet, 1).unwrap();
-    let mut summary = Summary::of(&fleet);
+    let mut load = CapturedLoad::open(file.as_slice(), &fleet, 1).unwrap();
+    let mut summary = LoadSummary::of(&fleet);
     load.by_ref().for_each(|due| summary.add(&due));
-    assert_eq!((summary.by_hall.clone(), load.heard().spread), (vec![20, 40], 60));
+    assert_eq!((summary.by_hall.clone(), load.findings().spread), (vec![20, 40], 60));
     assert!(summary.busiest.0 >= 40 && summary.seconds < 2.0);
 }
 
