--- a/fleet/src/check.rs
+++ b/fleet/src/check.rs
@@ -3,7 +3,7 @@
 use crate::model::*;
 use crate::proto;
 use otterwinch::time::Span;
-use otterwinch_textproto::Checker;
+use otterwinch_textproto::Validator;
 
 const MOST_HALLS: usize = 64;
 const MOST_NODES: u32 = 20_000;
@@ -15,48 +15,48 @@
     Span::secs(value / 1e3)
 }
 
-pub fn fleet(c: &Checker, told: &proto::Fleet) -> Fleet {
-    let name = c.at("name").name(&told.name);
-    c.at("hall").unless((1..=MOST_HALLS).contains(&told.hall.len()), || {
+pub fn fleet(c: &Validator, told: &proto::Fleet) -> Fleet {
+    let name = c.field("name").identifier(&told.name);
+    c.field("hall").require((1..=MOST_HALLS).contains(&told.hall.len()), || {
         format!("{} halls are not allowed: 1 to {MOST_HALLS}", told.hall.len())
     });
-    c.at("group").unless(!told.group.is_empty(), || "a fleet has at least one group of nodes".into());
-    c.at("product").unless((1..=MOST_PRODUCTS).contains(&told.product.len()), || {
+    c.field("group").require(!told.group.is_empty(), || "a fleet has at least one group of nodes".into());
+    c.field("product").require((1..=MOST_PRODUCTS).contains(&told.product.len()), || {
         format!("{} products are not allowed: 1 to {MOST_PRODUCTS}", told.product.len())
     });
-    c.unique("hall", told.hall.iter().map(|hall| hall.name.as_str()));
-    c.unique("group", told.group.iter().map(|group| group.name.as_str()));
-    c.unique("product", told.product.iter().map(|product| product.name.as_str()));
+    c.unique_names("hall", told.hall.iter().map(|hall| hall.name.as_str()));
+    c.unique_names("group", told.group.iter().map(|group| group.name.as_str()));
+    c.unique_names("product", told.product.iter().map(|product| product.name.as_str()));
     let named: Vec<String> = told.hall.iter().map(|hall| hall.name.clone()).collect();
 
-    let mut halls: Vec<Hall> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.nth("hall", k), h)).collect();
+    let mut halls: Vec<Hall> = (0..).zip(&told.hall).map(|(k, h)| hall(&c.element("hall", k), h)).collect();
     let forwarders: u32 = halls.iter().map(|hall| hall.forwarders).sum();
-    c.at("hall").unless(forwarders <= MOST_FORWARDERS, || {
+    c.field("hall").require(forwarders <= MOST_FORWARDERS, || {
         format!("{forwarders} forwarders in all are not allowed: {MOST_FORWARDERS} at most")
     });
     part_of_one(halls.iter_mut().map(|hall| &mut hall.clients), || {
-        c.at("hall").fault("no hall has clients: at least one has clients above 0");
+        c.field("hall").report("no hall has clients: at least one has clients above 0");
     });
     let groups: Vec<Group> =
-        (0..).zip(&told.group).map(|(k, g)| group(&c.nth("group", k), g, &named)).collect();
+        (0..).zip(&told.group).map(|(k, g)| group(&c.element("group", k), g, &named)).collect();
     let nodes = groups.iter().map(|group| u64::from(group.count)).sum::<u64>();
-    c.at("group").unless(nodes <= u64::from(MOST_NODES), || {
+    c.field("group").require(nodes <= u64::from(MOST_NODES), || {
         format!("{nodes} nodes in all are not allowed: {MOST_NODES} at most")
     });
-    c.at("group")
-        .unless(nodes > 0 || groups.is_empty(), || "no group has a node: one has a count above 0".into());
+    c.field("group")
+        .require(nodes > 0 || groups.is_empty(), || "no group has a node: one has a count above 0".into());
     let mut products: Vec<Product> =
-        (0..).zip(&told.product).map(|(k, p)| product(&c.nth("product", k), p)).collect();
+        (0..).zip(&told.product).map(|(k, p)| product(&c.element("product", k), p)).collect();
     part_of_one(products.iter_mut().map(|product| &mut product.share), || {
-        c.at("product").fault("no product has a share: at least one has a share above 0");
+        c.field("product").report("no product has a share: at least one has a share above 0");
     });
 
-    let network = network(&c.at("network"), &told.network.clone().unwrap_or_default(), &named);
+    let network = network(&c.field("network"), &told.network.clone().unwrap_or_default(), &named);
     let longest = groups.iter().filter_map(|g| g.warm_up).map(|w| w.over).max().unwrap_or(Span::ZERO);
-    let supervisors = supervisors(&c.at("supervisors"), &told.supervisors.unwrap_or_default(), longest);
-    let clients = clients(&c.at("clients"), &told.clients.unwrap_or_default());
-    let forwarders = forwarding(&c.at("forwarders"), &told.forwarders.unwrap_or_default());
-    let goal = goal(&c.at("goal"), &told.goal.unwrap_or_default());
+    let supervisors = supervisors(&c.field("supervisors"), &told.supervisors.unwrap_or_default(), longest);
+    let clients = clients(&c.field("clients"), &told.clients.unwrap_or_default());
+    let forwarders = forwarding(&c.field("forwarders"), &told.forwarders.unwrap_or_default());
+    let goal = goal(&c.field("goal"), &told.goal.unwrap_or_default());
     Fleet { name, network, halls, groups, products, clients, forwarders, supervisors, goal }
 }
 
@@ -71,21 +71,22 @@
     }
 }
 
-fn hall(c: &Checker, told: &proto::Hall) -> Hall {
+fn hall(c: &Validator, told: &proto::Hall) -> Hall {
     let forwarders =
-        c.at("forwarders").needed(told.forwarders, "how many forwarders stand in this hall, 1 to 2,000");
+        c.field("forwarders").required(told.forwarders, "how many forwarders stand in this hall, 1 to 2,000");
     let forwarders = if told.forwarders.is_some() {
-        c.at("forwarders").count(forwarders, 1..=2_000, "forwarders")
+        c.field("forwarders").count_in_range(forwarders, 1..=2_000, "forwarders")
     } else {
         1
     };
-    let clients = c.at("clients").within(told.clients.unwrap_or(1.0), 0.0..=1_000.0, "parts of the clients");
-    Hall { name: c.at("name").name(&told.name), forwarders, clients }
+    let clients =
+        c.field("clients").in_range(told.clients.unwrap_or(1.0), 0.0..=1_000.0, "parts of the clients");
+    Hall { name: c.field("name").identifier(&told.name), forwarders, clients }
 }
 
-fn network(c: &Checker, told: &proto::Network, halls: &[String]) -> Network {
+fn network(c: &Validator, told: &proto::Network, halls: &[String]) -> Network {
     let way = |field: &str, value: Option<f64>, absent: f64| {
-        ms(c.at(field).within(value.unwrap_or(absent), 0.0..=1_000.0, "ms"))
+        ms(c.field(field).in_range(value.unwrap_or(absent), 0.0..=1_000.0, "ms"))
     };
     let client = way("client_ms", told.client_ms, 0.5);
     let within = way("within_hall_ms", told.within_hall_ms, 0.2);
@@ -94,11 +95,11 @@
         .map(|a| (0..halls.len()).map(|b| if a == b { within } else { between }).collect())
         .collect();
     for (k, one) in told.way.iter().enumerate() {
-        let c = c.nth("way", k);
-        let from = c.at("from").place(&one.from, halls, "hall");
-        let to = c.at("to").place(&one.to, halls, "hall");
-        let time = c.at("one_way_ms").needed(one.one_way_ms, "the time between these halls, in ms");
-        let time = ms(c.at("one_way_ms").within(time, 0.0..=1_000.0, "ms"));
+        let c = c.element("way", k);
+        let from = c.field("from").position_of(&one.from, halls, "hall");
+        let to = c.field("to").position_of(&one.to, halls, "hall");
+        let time = c.field("one_way_ms").required(one.one_way_ms, "the time between these halls, in ms");
+        let time = ms(c.field("one_way_ms").in_range(time, 0.0..=1_000.0, "ms"));
         if from < halls.len() && to < halls.len() {
             (ways[from][to], ways[to][from]) = (time, time);
         }
@@ -106,48 +107,54 @@
     Network { client, ways }
 }
 
-fn group(c: &Checker, told: &proto::Group, halls: &[String]) -> Group {
+fn group(c: &Validator, told: &proto::Group, halls: &[String]) -> Group {
     let needed =
         |field: &str, value: Option<u32>, bounds: std::ops::RangeInclusive<u32>, what: &str| match value {
-            Some(value) => c.at(field).count(value, bounds, what),
+            Some(value) => c.field(field).count_in_range(value, bounds, what),
             None => {
-                c.at(field).fault(format!("is missing: {what}, {} to {}", bounds.start(), bounds.end()));
+                c.field(field).report(format!("is missing: {what}, {} to {}", bounds.start(), bounds.end()));
                 *bounds.start()
             }
         };
     let count = needed("count", told.count, 0..=MOST_NODES, "nodes");
     let cores = needed("cores", told.cores, 1..=1_024, "cores");
-    let speed = speed(&c.at("speed"), told.speed.as_ref());
-    let weight = c.at("weight").within(told.weight.unwrap_or(f64::from(cores)), 0.001..=1e6, "of weight");
-    let waiting = c.at("waiting").count(told.waiting.unwrap_or(64), 0..=100_000, "waiting txns");
+    let speed = speed(&c.field("speed"), told.speed.as_ref());
+    let weight =
+        c.field("weight").in_range(told.weight.unwrap_or(f64::from(cores)), 0.001..=1e6, "of weight");
+    let waiting = c.field("waiting").count_in_range(told.waiting.unwrap_or(64), 0..=100_000, "waiting txns");
     let connections = told.connections.unwrap_or(1_000);
-    let connections = c.at("connections").count(connections, 1..=100_000, "connections");
-    let price = c.at("connection_ms").within(told.connection_ms.unwrap_or(0.0), 0.0..=1_000.0, "ms of work");
+    let connections = c.field("connections").count_in_range(connections, 1..=100_000, "connections");
+    let price =
+        c.field("connection_ms").in_range(told.connection_ms.unwrap_or(0.0), 0.0..=1_000.0, "ms of work");
     let warm_up = told.warm_up.map(|w| {
-        let c = c.at("warm_up");
-        let from = c.at("from").needed(w.from, "the part of full speed at the start, 0.01 to 1");
-        let over = c.at("over_s").needed(w.over_s, "the seconds to full speed, 0.1 to 3,600");
+        let c = c.field("warm_up");
+        let from = c.field("from").required(w.from, "the part of full speed at the start, 0.01 to 1");
+        let over = c.field("over_s").required(w.over_s, "the seconds to full speed, 0.1 to 3,600");
         let from =
-            if w.from.is_some() { c.at("from").within(from, 0.01..=1.0, "of full speed") } else { 1.0 };
-        let over = if w.over_s.is_some() { c.at("over_s").within(over, 0.1..=3_600.0, "s") } else { 1.0 };
+            if w.from.is_some() { c.field("from").in_range(from, 0.01..=1.0, "of full speed") } else { 1.0 };
+        let over =
+            if w.over_s.is_some() { c.field("over_s").in_range(over, 0.1..=3_600.0, "s") } else { 1.0 };
         WarmUp { from, over: Span::secs(over) }
     });
     let topples = told.topples.map(|t| {
-        let c = c.at("topples");
-        let multiple = c.at("multiple").needed(t.multiple, "times the present speed, 1 to 100");
-        let over = c.at("over_s").needed(t.over_s, "the seconds over which it is counted, 0.1 to 60");
-        let multiple =
-            if t.multiple.is_some() { c.at("multiple").within(multiple, 1.0..=100.0, "times") } else { 1.0 };
-        let over = if t.over_s.is_some() { c.at("over_s").within(over, 0.1..=60.0, "s") } else { 1.0 };
+        let c = c.field("topples");
+        let multiple = c.field("multiple").required(t.multiple, "times the present speed, 1 to 100");
+        let over = c.field("over_s").required(t.over_s, "the seconds over which it is counted, 0.1 to 60");
+        let multiple = if t.multiple.is_some() {
+            c.field("multiple").in_range(multiple, 1.0..=100.0, "times")
+        } else {
+            1.0
+        };
+        let over = if t.over_s.is_some() { c.field("over_s").in_range(over, 0.1..=60.0, "s") } else { 1.0 };
         Topples { multiple, over: Span::secs(over) }
     });
-    c.at("topples").unless(topples.is_none() || warm_up.is_some(), || {
+    c.field("topples").require(topples.is_none() || warm_up.is_some(), || {
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
     });
-    let started = told.started_s.map(|s| Span::secs(c.at("started_s").within(s, 0.0..=86_400.0, "s")));
+    let started = told.started_s.map(|s| Span::secs(c.field("started_s").in_range(s, 0.0..=86_400.0, "s")));
     Group {
-        name: c.at("name").name(&told.name),
-        hall: c.at("hall").place(&told.hall, halls, "hall"),
+        name: c.field("name").identifier(&told.name),
+        hall: c.field("hall").position_of(&told.hall, halls, "hall"),
         count,
         cores,
         speed,
@@ -162,26 +169,27 @@
     }
 }
 
-fn speed(c: &Checker, told: Option<&proto::Speed>) -> Speed {
+fn speed(c: &Validator, told: Option<&proto::Speed>) -> Speed {
     let Some(told) = told else { return Speed::Between(1.0, 1.0) };
     let bounds = 0.01..=100.0;
     if !told.measured.is_empty() {
-        c.at("measured").unless(told.from.is_none() && told.to.is_none(), || {
+        c.field("measured").require(told.from.is_none() && told.to.is_none(), || {
             "speeds are either measured or between 'from' and 'to', not both".into()
         });
-        let one = |(k, speed): (usize, &f64)| c.nth("measured", k).within(*speed, bounds.clone(), "of speed");
+        let one =
+            |(k, speed): (usize, &f64)| c.element("measured", k).in_range(*speed, bounds.clone(), "of speed");
         return Speed::Measured(told.measured.iter().enumerate().map(one).collect());
     }
-    let from = c.at("from").within(told.from.unwrap_or(1.0), bounds, "of speed");
+    let from = c.field("from").in_range(told.from.unwrap_or(1.0), bounds, "of speed");
     let to = told.to.unwrap_or(from);
-    Speed::Between(from, c.at("to").within(to, from..=100.0, "of speed"))
+    Speed::Between(from, c.field("to").in_range(to, from..=100.0, "of speed"))
 }
 
-fn product(c: &Checker, told: &proto::Product) -> Product {
+fn product(c: &Validator, told: &proto::Product) -> Product {
     let time = |field: &str, value: Option<f64>, least: f64, what: &str| match value {
-        Some(value) => c.at(field).within(value, least..=LONGEST_MS, "ms"),
+        Some(value) => c.field(field).in_range(value, least..=LONGEST_MS, "ms"),
         None => {
-            c.at(field).fault(format!("is missing: {what}, in ms"));
+            c.field(field).report(format!("is missing: {what}, in ms"));
             least
         }
     };
@@ -192,104 +200,106 @@
         proto::Repeats::Referenced => Repeats::Referenced,
         proto::Repeats::OnceOnly => Repeats::OnceOnly,
         proto::Repeats::Unspecified => {
-            c.at("repeats").fault("is missing: INQUIRY_LIKE, REFERENCED or ONCE_ONLY");
+            c.field("repeats").report("is missing: INQUIRY_LIKE, REFERENCED or ONCE_ONLY");
             Repeats::OnceOnly
         }
     };
-    c.at("discard_s").unless(told.discard_s.is_none() || repeats == Repeats::Referenced, || {
+    c.field("discard_s").require(told.discard_s.is_none() || repeats == Repeats::Referenced, || {
         "only a REFERENCED product's repeats are dropped: leave this out".into()
     });
     let part = |field: &str, value: Option<f64>, absent: f64| {
-        c.at(field).within(value.unwrap_or(absent), 0.0..=1.0, "of the whole")
+        c.field(field).in_range(value.unwrap_or(absent), 0.0..=1.0, "of the whole")
     };
     Product {
-        name: c.at("name").name(&told.name),
-        share: c.at("share").within(told.share.unwrap_or(1.0), 0.0..=1_000.0, "parts of the txns"),
-        work: work(&c.at("work"), told.work.as_ref()),
+        name: c.field("name").identifier(&told.name),
+        share: c.field("share").in_range(told.share.unwrap_or(1.0), 0.0..=1_000.0, "parts of the txns"),
+        work: work(&c.field("work"), told.work.as_ref()),
         sla: ms(sla),
         expiry: ms(expiry),
-        revenue: c.at("revenue").within(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
+        revenue: c.field("revenue").in_range(told.revenue.unwrap_or(1.0), 0.0..=1e6, "of revenue"),
         late_part: part("late_part", told.late_part, 0.0),
         repeats,
-        discard: Span::secs(c.at("discard_s").within(told.discard_s.unwrap_or(0.0), 0.0..=600.0, "s")),
+        discard: Span::secs(c.field("discard_s").in_range(told.discard_s.unwrap_or(0.0), 0.0..=600.0, "s")),
         floor: part("floor", told.floor, 0.1),
     }
 }
 
-fn work(c: &Checker, told: Option<&proto::Work>) -> Work {
+fn work(c: &Validator, told: Option<&proto::Work>) -> Work {
     let Some(told) = told else {
-        c.fault("is missing: what a txn costs, from_ms to to_ms");
+        c.report("is missing: what a txn costs, from_ms to to_ms");
         return Work { from: 1.0, to: 1.0, costly_share: 0.0, costly_from: 1.0, costly_to: 1.0 };
     };
     let from = match told.from_ms {
-        Some(from) => c.at("from_ms").within(from, 0.01..=LONGEST_MS, "ms of work"),
+        Some(from) => c.field("from_ms").in_range(from, 0.01..=LONGEST_MS, "ms of work"),
         None => {
-            c.at("from_ms").fault("is missing: what a txn costs at least, in ms of work");
+            c.field("from_ms").report("is missing: what a txn costs at least, in ms of work");
             0.01
         }
     };
-    let to = c.at("to_ms").within(told.to_ms.unwrap_or(from), from..=LONGEST_MS, "ms of work");
+    let to = c.field("to_ms").in_range(told.to_ms.unwrap_or(from), from..=LONGEST_MS, "ms of work");
     let costly_share =
-        c.at("costly_share").within(told.costly_share.unwrap_or(0.0), 0.0..=1.0, "of the txns");
+        c.field("costly_share").in_range(told.costly_share.unwrap_or(0.0), 0.0..=1.0, "of the txns");
     let costly_from =
-        c.at("costly_from").within(told.costly_from.unwrap_or(1.0), 1.0..=1_000.0, "times the work");
+        c.field("costly_from").in_range(told.costly_from.unwrap_or(1.0), 1.0..=1_000.0, "times the work");
     let costly_to = told.costly_to.unwrap_or(costly_from);
-    let costly_to = c.at("costly_to").within(costly_to, costly_from..=1_000.0, "times the work");
+    let costly_to = c.field("costly_to").in_range(costly_to, costly_from..=1_000.0, "times the work");
     Work { from: from / 1e3, to: to / 1e3, costly_share, costly_from, costly_to }
 }
 
-fn clients(c: &Checker, told: &proto::Clients) -> Clients {
-    let wait_from = c.at("wait_from_ms").within(told.wait_from_ms.unwrap_or(0.0), 0.0..=LONGEST_MS, "ms");
+fn clients(c: &Validator, told: &proto::Clients) -> Clients {
+    let wait_from =
+        c.field("wait_from_ms").in_range(told.wait_from_ms.unwrap_or(0.0), 0.0..=LONGEST_MS, "ms");
     let wait_to = told.wait_to_ms.unwrap_or(wait_from);
-    let wait_to = c.at("wait_to_ms").within(wait_to, wait_from..=LONGEST_MS, "ms");
+    let wait_to = c.field("wait_to_ms").in_range(wait_to, wait_from..=LONGEST_MS, "ms");
     let patient =
-        c.at("patience_from").within(told.patience_from.unwrap_or(1.0), 0.05..=1.0, "of the expiry");
-    let most = c.at("patience_to").within(told.patience_to.unwrap_or(1.0), patient..=1.0, "of the expiry");
+        c.field("patience_from").in_range(told.patience_from.unwrap_or(1.0), 0.05..=1.0, "of the expiry");
+    let most =
+        c.field("patience_to").in_range(told.patience_to.unwrap_or(1.0), patient..=1.0, "of the expiry");
     Clients {
-        again: c.at("again").count(told.again.unwrap_or(0), 0..=10, "tries more"),
+        again: c.field("again").count_in_range(told.again.unwrap_or(0), 0..=10, "tries more"),
         wait: (ms(wait_from), ms(wait_to)),
         patience: (patient, most),
     }
 }
 
-fn forwarding(c: &Checker, told: &proto::Forwarders) -> Forwarders {
-    let line = c.at("line_us").within(told.line_us.unwrap_or(0.0), 0.0..=10_000.0, "microseconds");
+fn forwarding(c: &Validator, told: &proto::Forwarders) -> Forwarders {
+    let line = c.field("line_us").in_range(told.line_us.unwrap_or(0.0), 0.0..=10_000.0, "microseconds");
     Forwarders {
-        idle: Span::secs(c.at("idle_s").within(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
+        idle: Span::secs(c.field("idle_s").in_range(told.idle_s.unwrap_or(10.0), 0.1..=3_600.0, "s")),
         again: told.again() != proto::Again::Never,
         line: Span::secs(line / 1e6),
-        standing: c.at("standing").count(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
+        standing: c.field("standing").count_in_range(told.standing.unwrap_or(12), 1..=1_000, "nodes"),
     }
 }
 
-fn supervisors(c: &Checker, told: &proto::Supervisors, longest: Span) -> Supervisors {
+fn supervisors(c: &Validator, told: &proto::Supervisors, longest: Span) -> Supervisors {
     let time = |field: &str, value: Option<f64>, absent: f64, bounds: std::ops::RangeInclusive<f64>| {
-        ms(c.at(field).within(value.unwrap_or(absent), bounds, "ms"))
+        ms(c.field(field).in_range(value.unwrap_or(absent), bounds, "ms"))
     };
     let lines_per_s = told.lines_per_s.unwrap_or(15_000.0);
-    let lines_per_s = c.at("lines_per_s").within(lines_per_s, 10.0..=1e7, "lines a second");
+    let lines_per_s = c.field("lines_per_s").in_range(lines_per_s, 10.0..=1e7, "lines a second");
     let most_waiting = told.most_waiting.unwrap_or(lines_per_s);
     let cold_for = told.cold_for_s.unwrap_or(longest.as_secs());
     Supervisors {
-        count: c.at("count").count(told.count.unwrap_or(1), 1..=64, "supervisors"),
+        count: c.field("count").count_in_range(told.count.unwrap_or(1), 1..=64, "supervisors"),
         report_every: time("report_every_ms", told.report_every_ms, 1_000.0, 100.0..=60_000.0),
         report_late: time("report_late_ms", told.report_late_ms, 500.0, 0.0..=60_000.0),
         list_late: time("list_late_ms", told.list_late_ms, 2_000.0, 0.0..=LONGEST_MS),
         lines_per_s,
-        head_lines: c.at("head_lines").within(told.head_lines.unwrap_or(10.0), 0.0..=10_000.0, "lines"),
-        most_waiting: c.at("most_waiting").within(most_waiting, 10.0..=1e8, "lines"),
+        head_lines: c.field("head_lines").in_range(told.head_lines.unwrap_or(10.0), 0.0..=10_000.0, "lines"),
+        most_waiting: c.field("most_waiting").in_range(most_waiting, 10.0..=1e8, "lines"),
         message: time("message_ms", told.message_ms, 150.0, 0.0..=60_000.0),
         drain_grace: time("drain_grace_ms", told.drain_grace_ms, 1_500.0, 100.0..=LONGEST_MS),
-        cold_for: Span::secs(c.at("cold_for_s").within(cold_for, 0.0..=3_600.0, "s")),
+        cold_for: Span::secs(c.field("cold_for_s").in_range(cold_for, 0.0..=3_600.0, "s")),
         crossing_costs: told.crossing_costs.unwrap_or(true),
     }
 }
 
-fn goal(c: &Checker, told: &proto::Goal) -> Goal {
+fn goal(c: &Validator, told: &proto::Goal) -> Goal {
     let service = told.service.unwrap_or(0.95);
     let each = told.each_product.unwrap_or(0.0);
     Goal {
-        service: c.at("service").within(service, 0.01..=1.0, "of the revenue"),
-        each_product: c.at("each_product").within(each, 0.0..=1.0, "of the revenue"),
+        service: c.field("service").in_range(service, 0.01..=1.0, "of the revenue"),
+        each_product: c.field("each_product").in_range(each, 0.0..=1.0, "of the revenue"),
     }
 }
--- a/fleet/src/make.rs
+++ b/fleet/src/make.rs
@@ -4,7 +4,7 @@
 use crate::load::Due;
 use crate::model::{Fleet, Work};
 use crate::proto;
-use otterwinch_textproto::Checker;
+use otterwinch_textproto::Validator;
 use otterwinch_traffic_capture::RequestRecord;
 use rand::RngExt;
 use rand_distr::{Distribution, Exp, Zipf};
@@ -44,13 +44,13 @@
     }
 }
 
-pub(crate) fn recipe(c: &Checker, told: &proto::Make, fleet: &Fleet) -> Recipe {
+pub(crate) fn recipe(c: &Validator, told: &proto::Make, fleet: &Fleet) -> Recipe {
     let needed =
         |field: &str, value: Option<f64>, bounds: std::ops::RangeInclusive<f64>, what: &str, unit: &str| {
             match value {
-                Some(value) => c.at(field).within(value, bounds, unit),
+                Some(value) => c.field(field).in_range(value, bounds, unit),
                 None => {
-                    c.at(field).fault(format!(
+                    c.field(field).report(format!(
                         "is missing: {what}, {} to {} {unit}",
                         bounds.start(),
                         bounds.end()
@@ -63,41 +63,47 @@
     let txns_per_s =
         needed("txns_per_s", told.txns_per_s, 0.0..=200_000.0, "first tries a second", "txns a second");
     let curve = told.curve.unwrap_or_default();
-    let depth = c.at("curve").at("depth").within(curve.depth.unwrap_or(0.0), 0.0..=1.0, "of the rate");
+    let depth =
+        c.field("curve").field("depth").in_range(curve.depth.unwrap_or(0.0), 0.0..=1.0, "of the rate");
     let period = curve.period_s.unwrap_or(DAY_S);
-    let period = c.at("curve").at("period_s").within(period, 0.1..=864_000.0, "s");
-    c.at("burst").unless(told.burst.len() <= MOST_BURSTS, || {
+    let period = c.field("curve").field("period_s").in_range(period, 0.1..=864_000.0, "s");
+    c.field("burst").require(told.burst.len() <= MOST_BURSTS, || {
         format!("{} bursts are not allowed: {MOST_BURSTS} at most", told.burst.len())
     });
     let products: Vec<String> = fleet.products.iter().map(|p| p.name.clone()).collect();
     let halls: Vec<String> = fleet.halls.iter().map(|h| h.name.clone()).collect();
     let burst = |(k, told): (usize, &proto::Burst)| {
-        let c = c.nth("burst", k);
+        let c = c.element("burst", k);
         let named = |field: &str, name: &str, known: &[String], what| {
-            (!name.is_empty()).then(|| c.at(field).place(name, known, what))
+            (!name.is_empty()).then(|| c.field(field).position_of(name, known, what))
         };
         let from =
-            c.at("costly_from").within(told.costly_from.unwrap_or(1.0), 1.0..=1_000.0, "times the work");
+            c.field("costly_from").in_range(told.costly_from.unwrap_or(1.0), 1.0..=1_000.0, "times the work");
         let to = told.costly_to.unwrap_or(from);
-        let length = c.at("for_s").needed(told.for_s, "how long the burst lasts, in seconds");
+        let length = c.field("for_s").required(told.for_s, "how long the burst lasts, in seconds");
         Burst {
-            at_s: c.at("at_s").within(told.at_s.unwrap_or(0.0), 0.0..=DAY_S, "s"),
-            for_s: if told.for_s.is_some() { c.at("for_s").within(length, 0.01..=DAY_S, "s") } else { 1.0 },
-            times: c.at("times").within(told.times.unwrap_or(1.0), 0.0..=1_000.0, "times the rate"),
+            at_s: c.field("at_s").in_range(told.at_s.unwrap_or(0.0), 0.0..=DAY_S, "s"),
+            for_s: if told.for_s.is_some() {
+                c.field("for_s").in_range(length, 0.01..=DAY_S, "s")
+            } else {
+                1.0
+            },
+            times: c.field("times").in_range(told.times.unwrap_or(1.0), 0.0..=1_000.0, "times the rate"),
             product: named("product", &told.product, &products, "product"),
             hall: named("hall", &told.hall, &halls, "hall"),
-            costly_share: c.at("costly_share").within(
+            costly_share: c.field("costly_share").in_range(
                 told.costly_share.unwrap_or(0.0),
                 0.0..=1.0,
                 "of the txns",
             ),
-            costly: (from, c.at("costly_to").within(to, from..=1_000.0, "times the work")),
+            costly: (from, c.field("costly_to").in_range(to, from..=1_000.0, "times the work")),
         }
     };
     let keys = told.keys.map(|keys| {
-        let c = c.at("keys");
-        let distinct = c.at("distinct").count(keys.distinct.unwrap_or(0), 1..=10_000_000, "references");
-        (distinct, c.at("skew").within(keys.skew.unwrap_or(0.0), 0.0..=3.0, "of skew"))
+        let c = c.field("keys");
+        let distinct =
+            c.field("distinct").count_in_range(keys.distinct.unwrap_or(0), 1..=10_000_000, "references");
+        (distinct, c.field("skew").in_range(keys.skew.unwrap_or(0.0), 0.0..=3.0, "of skew"))
     });
     let bursts = told.burst.iter().enumerate().map(burst).collect();
     Recipe { for_s, txns_per_s, curve: (depth, period), bursts, keys }
--- a/fleet/src/text.rs
+++ b/fleet/src/text.rs
@@ -4,7 +4,7 @@
 use crate::make::{self, Recipe};
 use crate::model::Fleet;
 use crate::proto;
-use otterwinch_textproto::{Checker, Faults};
+use otterwinch_textproto::{Diagnostics, Validator};
 use prost_reflect::{DescriptorPool, MessageDescriptor};
 use std::sync::LazyLock;
 
@@ -23,13 +23,13 @@
 /// let faults = otterwinch_fleet::read("f", "name: 'a b'\nhals {}").unwrap_err();
 /// assert_eq!(faults.to_string(), "f:2: there is no field 'hals' here; did you mean 'hall'?");
 /// ```
-pub fn read(file: &str, text: &str) -> Result<Fleet, Faults> {
-    let (told, source) = otterwinch_textproto::read::<proto::Fleet>(file, text, &kind("Fleet"))?;
-    Checker::whole(&source, |c| check::fleet(c, &told))
+pub fn read(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
+    let (told, source) = otterwinch_textproto::parse::<proto::Fleet>(file, text, &kind("Fleet"))?;
+    Validator::validate(&source, |c| check::fleet(c, &told))
 }
 
 /// Reads what load to make for a fleet.
-pub fn read_recipe(file: &str, text: &str, fleet: &Fleet) -> Result<Recipe, Faults> {
-    let (told, source) = otterwinch_textproto::read::<proto::Make>(file, text, &kind("Make"))?;
-    Checker::whole(&source, |c| make::recipe(c, &told, fleet))
+pub fn read_recipe(file: &str, text: &str, fleet: &Fleet) -> Result<Recipe, Diagnostics> {
+    let (told, source) = otterwinch_textproto::parse::<proto::Make>(file, text, &kind("Make"))?;
+    Validator::validate(&source, |c| make::recipe(c, &told, fleet))
 }
--- a/textproto/src/lib.rs
+++ b/textproto/src/lib.rs
@@ -1,15 +1,17 @@
-//! Settings in protobuf text format, read by a schema. A file is read whole or refused whole, and a refusal names
-//! every fault at once: its line, the field by its path, what is amiss and what is allowed.
+//! Configuration files in protobuf text format, read by a schema. A file is accepted or rejected as a whole, and a
+//! rejection reports every error at once: its line, the field by its path, what is wrong and what is allowed.
 //!
-//! `text.rs` reads a file ([`read`]), `places.rs` finds where each field stands, `check.rs` is what a package
-//! that owns a schema checks its values with ([`Checker`]), `fault.rs` is a fault.
+//! [`parse`] reads a text into the generated type of its schema; a package that owns a schema then validates the values
+//! with a [`Validator`]. `locations` finds the line of each field, `tokens` cuts the text into tokens, `diagnostics`
+//! holds the errors.
 
-mod check;
-mod fault;
-mod places;
-mod text;
+mod diagnostics;
+mod locations;
+mod parse;
+mod tokens;
+mod validator;
 
-pub use check::Checker;
-pub use fault::{Fault, Faults};
-pub use places::Places;
-pub use text::{read, Source};
+pub use diagnostics::{Diagnostic, Diagnostics};
+pub use locations::FieldLocations;
+pub use parse::{parse, SourceFile};
+pub use validator::Validator;
--- /dev/null
+++ b/textproto/src/locations.rs
@@ -0,0 +1,257 @@
+//! Where each field of a text stands: a pass over its tokens that knows the names of the schema and no values. It finds
+//! every unknown field at once, and the line of a value that turns out to be invalid later.
+
+use crate::tokens::{Token, Tokens};
+use prost_reflect::{Kind, MessageDescriptor};
+use std::collections::HashMap;
+use std::ops::Range;
+
+/// Messages are scanned to this depth. Schemas are a few levels deep; a deeper text is left to the parser to reject.
+const MAX_DEPTH: usize = 32;
+
+/// A name that is less similar to an unknown one is not suggested in its place; 1 is equality.
+const MIN_SIMILARITY: f64 = 0.5;
+
+/// Where the fields of a text stand, by their paths such as `group[2].cores`.
+#[derive(Clone, Debug, Default)]
+pub struct FieldLocations {
+    lines: HashMap<String, usize>,
+    /// Fields that hold plain values.
+    values: Vec<ValueLocation>,
+    pub(crate) unknown_fields: Vec<UnknownField>,
+}
+
+/// A field that holds a plain value or a list.
+#[derive(Clone, Debug)]
+pub(crate) struct ValueLocation {
+    /// Its path.
+    pub path: String,
+    /// Its bytes, name and value.
+    pub bytes: Range<usize>,
+}
+
+/// A field that the schema does not have.
+#[derive(Clone, Debug)]
+pub(crate) struct UnknownField {
+    /// Its line, from 1.
+    pub line: usize,
+    /// The path of the message that it stands in.
+    pub parent: String,
+    /// Its name.
+    pub name: String,
+    /// The field of the schema that may have been meant.
+    pub suggestion: Option<String>,
+    /// Its bytes, name and value.
+    pub bytes: Range<usize>,
+}
+
+impl FieldLocations {
+    /// Scans a text that is to hold one message of the schema.
+    pub fn scan(text: &str, schema: &MessageDescriptor) -> FieldLocations {
+        let mut scanner = Scanner { tokens: Tokens::new(text), found: FieldLocations::default() };
+        scanner.scan_message(Some(schema), "", 0);
+        scanner.found
+    }
+
+    /// The line of a field, or of the innermost message around it that the text has; 0 where it has none of them.
+    pub fn line(&self, path: &str) -> usize {
+        let mut path = path;
+        loop {
+            if let Some(line) = self.lines.get(path) {
+                return *line;
+            }
+            match path.rfind('.') {
+                Some(dot) => path = &path[..dot],
+                None => return 0,
+            }
+        }
+    }
+
+    /// The field with a plain value that a byte belongs to.
+    pub(crate) fn value_at(&self, offset: usize) -> Option<&ValueLocation> {
+        self.values.iter().find(|value| value.bytes.contains(&offset))
+    }
+
+    /// A field that stands several times is located by the first.
+    fn add_line(&mut self, path: String, line: usize) {
+        self.lines.entry(path).or_insert(line);
+    }
+}
+
+/// A field whose name was read and whose value comes next.
+struct Field<'a> {
+    name: Token<'a>,
+    line: usize,
+    is_list: bool,
+    /// The schema of its value, where that is a message.
+    message_schema: Option<MessageDescriptor>,
+}
+
+/// The paths of the fields of one message.
+struct FieldPaths<'p> {
+    parent: &'p str,
+    /// How often each name stood.
+    counts: HashMap<String, usize>,
+}
+
+impl FieldPaths<'_> {
+    /// A path one step below the message.
+    fn join(&self, step: &str) -> String {
+        if self.parent.is_empty() {
+            step.to_owned()
+        } else {
+            format!("{}.{step}", self.parent)
+        }
+    }
+
+    /// The path of the next value of a field.
+    fn of_next_value(&mut self, field: &Field) -> String {
+        let name = field.name.text;
+        let count = self.counts.entry(name.to_owned()).or_default();
+        let position = *count;
+        *count += 1;
+        if field.is_list {
+            self.join(&format!("{name}[{position}]"))
+        } else {
+            self.join(name)
+        }
+    }
+}
+
+struct Scanner<'a> {
+    tokens: Tokens<'a>,
+    found: FieldLocations,
+}
+
+impl<'a> Scanner<'a> {
+    /// Scans fields up to the end of the message. Within an unknown field there is no schema.
+    fn scan_message(&mut self, schema: Option<&MessageDescriptor>, path: &str, depth: usize) {
+        let mut paths = FieldPaths { parent: path, counts: HashMap::new() };
+        while let Some(token) = self.tokens.next() {
+            if matches!(token.text, "}" | ">") {
+                return;
+            }
+            // Separators, and what is not a field: the parser reports that.
+            if !is_name(token.text) {
+                continue;
+            }
+            let unknown = self.add_if_unknown(token, schema, path);
+            let field = self.field(token, schema);
+            if self.tokens.peek() == Some(":") {
+                self.tokens.next();
+            }
+            if self.tokens.peek().is_none() {
+                return;
+            }
+            self.scan_value(&field, &mut paths, depth);
+            if let Some(unknown) = unknown {
+                self.found.unknown_fields[unknown].bytes.end = self.tokens.position();
+            }
+        }
+    }
+
+    fn field(&self, name: Token<'a>, schema: Option<&MessageDescriptor>) -> Field<'a> {
+        let descriptor = schema.and_then(|schema| schema.get_field_by_name(name.text));
+        let kind = descriptor.as_ref().map(|descriptor| descriptor.kind());
+        Field {
+            name,
+            line: self.tokens.line_at(name.start),
+            is_list: descriptor.is_some_and(|descriptor| descriptor.is_list()),
+            message_schema: match kind {
+                Some(Kind::Message(message)) => Some(message),
+                _ => None,
+            },
+        }
+    }
+
+    /// Notes a field that its schema does not have, and returns its position among the unknown ones.
+    fn add_if_unknown(
+        &mut self,
+        name: Token,
+        schema: Option<&MessageDescriptor>,
+        parent: &str,
+    ) -> Option<usize> {
+        let schema = schema?;
+        if schema.get_field_by_name(name.text).is_some() {
+            return None;
+        }
+        self.found.unknown_fields.push(UnknownField {
+            line: self.tokens.line_at(name.start),
+            parent: parent.to_owned(),
+            name: name.text.to_owned(),
+            suggestion: most_similar_field(name.text, schema),
+            bytes: name.start..name.start,
+        });
+        Some(self.found.unknown_fields.len() - 1)
+    }
+
+    fn scan_value(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
+        match self.tokens.peek() {
+            Some("{" | "<") => {
+                self.tokens.next();
+                let path = paths.of_next_value(field);
+                self.found.add_line(path.clone(), field.line);
+                if depth < MAX_DEPTH {
+                    self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
+                }
+            }
+            Some("[") => self.scan_list(field, paths, depth),
+            _ => self.scan_plain_value(field, paths),
+        }
+    }
+
+    fn scan_list(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
+        self.tokens.next();
+        while let Some(token) = self.tokens.next() {
+            match token.text {
+                "]" => break,
+                "," => {}
+                text => {
+                    let path = paths.of_next_value(field);
+                    self.found.add_line(path.clone(), self.tokens.line_at(token.start));
+                    if matches!(text, "{" | "<") && depth < MAX_DEPTH {
+                        self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
+                    }
+                }
+            }
+        }
+        let bytes = field.name.start..self.tokens.position();
+        self.found.values.push(ValueLocation { path: paths.join(field.name.text), bytes });
+    }
+
+    fn scan_plain_value(&mut self, field: &Field, paths: &mut FieldPaths) {
+        let path = paths.of_next_value(field);
+        self.found.add_line(path.clone(), field.line);
+        while let Some(token) = self.tokens.next() {
+            if !self.is_continued_after(token) {
+                break;
+            }
+        }
+        let bytes = field.name.start..self.tokens.position();
+        self.found.values.push(ValueLocation { path, bytes });
+    }
+
+    /// Whether a plain value goes on: a minus is followed by its number, and adjacent strings are one.
+    fn is_continued_after(&mut self, token: Token) -> bool {
+        if token.text == "-" {
+            return true;
+        }
+        is_string(token.text) && self.tokens.peek().is_some_and(is_string)
+    }
+}
+
+fn is_name(token: &str) -> bool {
+    token.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_')
+}
+
+fn is_string(token: &str) -> bool {
+    token.starts_with(['"', '\''])
+}
+
+/// The field of a message whose name is most similar to one that it does not have.
+fn most_similar_field(name: &str, schema: &MessageDescriptor) -> Option<String> {
+    let similarity = |field: &str| strsim::normalized_damerau_levenshtein(name, field);
+    let names = schema.fields().map(|field| field.name().to_owned());
+    let best = names.max_by(|a, b| similarity(a).total_cmp(&similarity(b)))?;
+    (similarity(&best) > MIN_SIMILARITY).then_some(best)
+}
--- /dev/null
+++ b/textproto/src/parse.rs
@@ -0,0 +1,107 @@
+//! Reads a text by a schema into a message of that schema's generated type.
+
+use crate::diagnostics::{Diagnostic, Diagnostics};
+use crate::locations::FieldLocations;
+use crate::tokens::line_at;
+use miette::Diagnostic as _;
+use prost::Message;
+use prost_reflect::{DynamicMessage, MessageDescriptor};
+use std::ops::Range;
+
+/// A configuration file is written by a person; a larger one is something else.
+const MAX_FILE_BYTES: usize = 4 << 20;
+/// Beyond so many errors no further values are looked at.
+const MAX_DIAGNOSTICS: usize = 64;
+
+/// A file that was read, with the locations of its fields.
+#[derive(Clone, Debug, Default)]
+pub struct SourceFile {
+    /// The name of the file.
+    pub file: String,
+    /// Where its fields stand.
+    pub locations: FieldLocations,
+}
+
+impl SourceFile {
+    /// An error of a field of this file.
+    pub fn diagnostic(&self, field: &str, message: impl Into<String>) -> Diagnostic {
+        Diagnostic {
+            file: self.file.clone(),
+            line: self.locations.line(field),
+            field: field.to_owned(),
+            message: message.into(),
+        }
+    }
+}
+
+/// Reads a text as one message of a schema whose generated type is `T`. Fails with every unknown field, and with every
+/// value that is not of its field's type.
+pub fn parse<T: Message + Default>(
+    file: &str,
+    text: &str,
+    schema: &MessageDescriptor,
+) -> Result<(T, SourceFile), Diagnostics> {
+    if text.len() > MAX_FILE_BYTES {
+        let message = format!("{} bytes; a settings file has at most {MAX_FILE_BYTES}", text.len());
+        return Err(Diagnostics::of_file(file, message));
+    }
+    let source = SourceFile { file: file.to_owned(), locations: FieldLocations::scan(text, schema) };
+    let mut remaining = text.to_owned();
+    let mut diagnostics = blank_unknown_fields(&source, &mut remaining);
+    while diagnostics.len() < MAX_DIAGNOSTICS {
+        let error = match DynamicMessage::parse_text_format(schema.clone(), &remaining) {
+            Ok(message) if diagnostics.is_empty() => return Ok((transcode(file, &message)?, source)),
+            Ok(_) => break,
+            Err(error) => error,
+        };
+        let offset = error.labels().and_then(|mut labels| labels.next()).map(|label| label.offset());
+        let offset = offset.unwrap_or(text.len());
+        let value = source.locations.value_at(offset);
+        diagnostics.push(Diagnostic {
+            file: file.to_owned(),
+            line: line_at(text, offset),
+            field: value.map(|value| value.path.clone()).unwrap_or_default(),
+            message: error.to_string(),
+        });
+        // The parser stops at the first error: the value is blanked, so that the next one is found.
+        let blanked = value.is_some_and(|value| blank(&mut remaining, value.bytes.clone()));
+        if !blanked {
+            break;
+        }
+    }
+    diagnostics.sort_by_key(|diagnostic| diagnostic.line);
+    Err(Diagnostics(diagnostics))
+}
+
+/// Reports each unknown field, and blanks it, so that the parser goes on to what follows.
+fn blank_unknown_fields(source: &SourceFile, text: &mut String) -> Vec<Diagnostic> {
+    let mut diagnostics = Vec::new();
+    for unknown in &source.locations.unknown_fields {
+        let mut message = format!("there is no field '{}' here", unknown.name);
+        if let Some(suggestion) = &unknown.suggestion {
+            message.push_str(&format!("; did you mean '{suggestion}'?"));
+        }
+        diagnostics.push(Diagnostic {
+            file: source.file.clone(),
+            line: unknown.line,
+            field: unknown.parent.clone(),
+            message,
+        });
+        blank(text, unknown.bytes.clone());
+    }
+    diagnostics
+}
+
+fn transcode<T: Message + Default>(file: &str, message: &DynamicMessage) -> Result<T, Diagnostics> {
+    let transcoded = message.transcode_to::<T>();
+    transcoded.map_err(|error| Diagnostics::of_file(file, format!("not of its schema: {error}")))
+}
+
+/// Replaces some bytes by blanks, so that all others keep their offsets; false where they were blank already.
+fn blank(text: &mut String, bytes: Range<usize>) -> bool {
+    let original = &text[bytes.clone()];
+    let blanks: String = original.bytes().map(|byte| if byte == b'\n' { '\n' } else { ' ' }).collect();
+    let changed = original != blanks;
+    text.replace_range(bytes, &blanks);
+    changed
+}
--- /dev/null
+++ b/textproto/src/tokens.rs
@@ -0,0 +1,115 @@
+//! Cuts a text into tokens, without comments and blanks. It accepts any text: what is malformed is left to the parser.
+
+/// A name, number, string or sign.
+#[derive(Clone, Copy, Debug)]
+pub struct Token<'a> {
+    /// Its text, with the quotes of a string.
+    pub text: &'a str,
+    /// The offset of its first byte.
+    pub start: usize,
+    /// The offset of the byte after it.
+    pub end: usize,
+}
+
+/// The tokens of a text, with one of look-ahead.
+pub struct Tokens<'a> {
+    text: &'a str,
+    /// The end of the last token that was taken.
+    position: usize,
+    peeked: Option<Token<'a>>,
+}
+
+impl<'a> Tokens<'a> {
+    /// Starts at the beginning of a text.
+    pub fn new(text: &'a str) -> Self {
+        Tokens { text, position: 0, peeked: None }
+    }
+
+    /// The end of the last token that was taken.
+    pub fn position(&self) -> usize {
+        self.position
+    }
+
+    /// The text of the next token, which is not taken.
+    pub fn peek(&mut self) -> Option<&'a str> {
+        if self.peeked.is_none() {
+            self.peeked = self.scan();
+        }
+        self.peeked.map(|token| token.text)
+    }
+
+    /// Takes the next token.
+    pub fn next(&mut self) -> Option<Token<'a>> {
+        let token = self.peeked.take().or_else(|| self.scan())?;
+        self.position = token.end;
+        Some(token)
+    }
+
+    fn scan(&self) -> Option<Token<'a>> {
+        let bytes = self.text.as_bytes();
+        let start = skip_blanks_and_comments(bytes, self.position)?;
+        let end = match bytes[start] {
+            b'"' | b'\'' => string_end(bytes, start),
+            byte if is_word_byte(byte) => word_end(bytes, start),
+            _ => start + 1,
+        };
+        let end = (end..=self.text.len()).find(|end| self.text.is_char_boundary(*end))?;
+        Some(Token { text: &self.text[start..end], start, end })
+    }
+
+    /// The line on which a byte stands, from 1.
+    pub fn line_at(&self, offset: usize) -> usize {
+        line_at(self.text, offset)
+    }
+}
+
+/// Where the next token starts; `None` at the end of the text.
+fn skip_blanks_and_comments(bytes: &[u8], from: usize) -> Option<usize> {
+    let mut at = from;
+    loop {
+        match bytes.get(at)? {
+            b'#' => at += bytes[at..].iter().take_while(|byte| **byte != b'\n').count(),
+            byte if byte.is_ascii_whitespace() => at += 1,
+            _ => return Some(at),
+        }
+    }
+}
+
+/// The end of a string. It ends with its line at the latest, closed or not.
+fn string_end(bytes: &[u8], start: usize) -> usize {
+    let quote = bytes[start];
+    let mut end = start + 1;
+    while let Some(byte) = bytes.get(end).filter(|byte| **byte != b'\n') {
+        end += if *byte == b'\\' { 2 } else { 1 };
+        if *byte == quote {
+            break;
+        }
+    }
+    end.min(bytes.len())
+}
+
+/// The end of a name or number.
+fn word_end(bytes: &[u8], start: usize) -> usize {
+    let mut end = start + 1;
+    while bytes.get(end).is_some_and(|byte| is_word_byte(*byte)) || is_exponent_sign(bytes, start, end) {
+        end += 1;
+    }
+    end
+}
+
+fn is_word_byte(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'.')
+}
+
+/// Whether the byte is the sign in a number such as 1e-6.
+fn is_exponent_sign(bytes: &[u8], number_start: usize, at: usize) -> bool {
+    bytes[number_start].is_ascii_digit()
+        && matches!(bytes.get(at), Some(b'+' | b'-'))
+        && matches!(bytes[at - 1], b'e' | b'E')
+}
+
+/// The line on which a byte of a text stands, from 1.
+pub fn line_at(text: &str, offset: usize) -> usize {
+    let before = &text.as_bytes()[..offset.min(text.len())];
+    1 + before.iter().filter(|byte| **byte == b'\n').count()
+}
