--- a/fleet/src/import.rs
+++ b/fleet/src/import.rs
@@ -12,7 +12,7 @@
 
 /// A line beyond this is no record of a txn.
 const LONGEST_LINE: u64 = 64 << 10;
-/// Faults that are told; the rest is counted.
+/// Diagnostics that are told; the rest is counted.
 const TOLD: usize = 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
