--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -1,135 +1,171 @@
-//! What was ordered into a channel, and what is known to have left it: counted in lines, never judged.
+//! Accounting of the channel to the proxies: what was sent into it, and what is known to have left it.
+//!
+//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog counts and decides
+//! nothing: the budgets that are compared with it belong to the controller's `channel` module.
 
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The messages of one moment, and the lines ordered before them or known to have come.
+/// The number of a batch whose proxies were not asked for an acknowledgement.
+const UNNUMBERED: u32 = 0;
+
+/// The messages of one moment, one for each proxy.
 #[derive(Debug)]
-struct Reply {
-    at: Moment,
+struct Batch {
+    sent: Moment,
+    /// What the proxies acknowledge the batch with, or [`UNNUMBERED`].
     number: u32,
-    before: f64,
-    lines: BTreeMap<u32, f64>,
+    /// Lines recorded before this batch, and lines of this batch that are known to have left.
+    lines_before: f64,
+    lines_by_proxy: BTreeMap<u32, f64>,
 }
 
+/// The lines that were sent into the channel and may not have left it yet.
+///
 /// ```
 /// use otterwinch::{channel_backlog::ChannelBacklog, time::{Moment, Span}};
-/// let (mut ledger, now) = (ChannelBacklog::new(2.0), Moment::from_us(5));
-/// ledger.record(now, 1, 4.0, 3.0);
-/// ledger.record(now, 2, 2.0, 3.0);
-/// let number = ledger.request_acknowledgement(now).unwrap();
-/// assert_eq!(ledger.queued_lines(now), 14.0);
-/// ledger.acknowledged(now, number, 2);
-/// assert_eq!(ledger.queued_lines(now), 8.0);
-/// assert_eq!(ledger.queued_lines(now + Span::secs(1.0)), 6.0);
-/// assert_eq!(ledger.messages(now, 1, Span::secs(1.0)), (1, Some(now)));
-/// assert_eq!(ledger.record_resend(now + Span::secs(1.0), now), (8.0, Some(2)));
-/// assert_eq!(ledger.queued_lines(now + Span::secs(1.0)), 15.0);
+/// let (mut backlog, now) = (ChannelBacklog::new(2.0), Moment::from_us(5));
+/// backlog.record(now, 1, 4.0, 3.0);
+/// backlog.record(now, 2, 2.0, 3.0);
+/// let number = backlog.request_acknowledgement(now).unwrap();
+/// assert_eq!(backlog.queued_lines(now), 14.0);
+/// backlog.acknowledged(now, number, 2);
+/// assert_eq!(backlog.queued_lines(now), 8.0);
+/// assert_eq!(backlog.queued_lines(now + Span::secs(1.0)), 6.0);
+/// assert_eq!(backlog.messages(now, 1, Span::secs(1.0)), (1, Some(now)));
+/// assert_eq!(backlog.record_resend(now + Span::secs(1.0), now), (8.0, Some(2)));
+/// assert_eq!(backlog.queued_lines(now + Span::secs(1.0)), 15.0);
 /// ```
 #[derive(Debug, Default)]
 pub struct ChannelBacklog {
-    /// Lines a second that leave whatever happens.
-    pace: f64,
-    /// All lines ever ordered, heads and marks included.
+    /// Lines a second that leave the channel without an acknowledgement.
+    drain_rate: f64,
+    /// All lines ever recorded, message overheads and acknowledgement requests included.
     pub recorded_lines: f64,
-    waiting: (f64, Moment),
-    replies: VecDeque<Reply>,
-    /// When something was ordered last, or an answer told what has come.
+    /// Lines that were queued at `queued_as_of`.
+    queued: f64,
+    queued_as_of: Moment,
+    batches: VecDeque<Batch>,
+    /// When lines were recorded or acknowledged last.
     pub last_activity: Moment,
-    sent: BTreeMap<u32, VecDeque<Moment>>,
-    numbered: u32,
+    message_times: BTreeMap<u32, VecDeque<Moment>>,
+    last_number: u32,
 }
 
 impl ChannelBacklog {
-    /// Replies kept for an answer: those that asked for one. What waits bounds them, for each message is longer
-    /// than its head; this is for answers that never come. A slow channel holds hundreds of moments: where only
-    /// the latest are known, no answer tells anything until all older ones are through.
-    const KEPT: usize = 2048;
+    /// Batches that are kept for their acknowledgements. The channel's queue bounds them long before this; the
+    /// cap is for acknowledgements that never come. A slow channel holds hundreds of batches, and an
+    /// acknowledgement of a batch that was dropped here would be lost.
+    const MAX_BATCHES: usize = 2048;
 
-    pub fn new(pace: f64) -> Self {
-        ChannelBacklog { pace, ..ChannelBacklog::default() }
+    /// An empty backlog of a channel that is relied on to carry so many lines a second.
+    pub fn new(drain_rate: f64) -> Self {
+        ChannelBacklog { drain_rate, ..ChannelBacklog::default() }
     }
 
-    /// The most that may still wait.
+    /// The most lines that may still be queued.
     pub fn queued_lines(&self, now: Moment) -> f64 {
-        (self.waiting.0 - (now - self.waiting.1).as_secs() * self.pace).max(0.0)
+        (self.queued - (now - self.queued_as_of).as_secs() * self.drain_rate).max(0.0)
     }
 
-    /// Lines for a proxy. Those of one moment make one message with one head.
-    pub fn record(&mut self, now: Moment, proxy: u32, lines: f64, head: f64) {
-        if self.replies.back().is_none_or(|reply| reply.at != now) {
-            // Where nothing can wait any more, no answer can tell anything new.
-            if self.queued_lines(now) <= 0.0 {
-                self.replies.clear();
-            }
-            // Nobody was asked about it: it is among the lines before the next.
-            if self.replies.back().is_some_and(|reply| reply.number == 0) {
-                self.replies.pop_back();
-            }
-            let (before, lines) = (self.recorded_lines, BTreeMap::new());
-            self.replies.push_back(Reply { at: now, number: 0, before, lines });
-            self.replies.drain(..self.replies.len().saturating_sub(Self::KEPT));
+    /// Records lines for a proxy. All lines of one moment are one message, with one overhead.
+    pub fn record(&mut self, now: Moment, proxy: u32, lines: f64, overhead: f64) {
+        if self.batches.back().is_none_or(|batch| batch.sent != now) {
+            self.start_batch(now);
         }
-        let Some(reply) = self.replies.back_mut() else { return };
-        let first = !reply.lines.contains_key(&proxy);
-        let lines = if first { lines + head } else { lines };
-        *reply.lines.entry(proxy).or_default() += lines;
-        if first {
-            self.sent.entry(proxy).or_default().push_back(now);
+        let Some(batch) = self.batches.back_mut() else { return };
+        let is_new_message = !batch.lines_by_proxy.contains_key(&proxy);
+        let lines = if is_new_message { lines + overhead } else { lines };
+        *batch.lines_by_proxy.entry(proxy).or_default() += lines;
+        if is_new_message {
+            self.message_times.entry(proxy).or_default().push_back(now);
         }
-        (self.waiting, self.recorded_lines) =
-            ((self.queued_lines(now) + lines, now), self.recorded_lines + lines);
+        self.set_queued(now, self.queued_lines(now) + lines);
+        self.recorded_lines += lines;
         self.last_activity = now;
     }
 
-    /// A moment's messages once more, as ones of this moment: they may leave twice. Tells lines and number.
-    pub fn record_resend(&mut self, now: Moment, moment: Moment) -> (f64, Option<u32>) {
-        let latest = self.replies.back().filter(|reply| reply.at == moment);
-        let lines = latest.map(|reply| reply.lines.clone()).unwrap_or_default();
-        lines.iter().for_each(|(proxy, lines)| self.record(now, *proxy, *lines, 0.0));
-        (lines.values().sum(), self.request_acknowledgement(now))
+    fn start_batch(&mut self, now: Moment) {
+        // Once nothing can be queued, an acknowledgement has nothing new to say.
+        if self.queued_lines(now) <= 0.0 {
+            self.batches.clear();
+        }
+        // An unnumbered batch is never acknowledged itself: it is among the lines before the next.
+        if self.batches.back().is_some_and(|batch| batch.number == UNNUMBERED) {
+            self.batches.pop_back();
+        }
+        self.batches.push_back(Batch {
+            sent: now,
+            number: UNNUMBERED,
+            lines_before: self.recorded_lines,
+            lines_by_proxy: BTreeMap::new(),
+        });
+        let excess = self.batches.len().saturating_sub(Self::MAX_BATCHES);
+        self.batches.drain(..excess);
+    }
+
+    fn set_queued(&mut self, now: Moment, lines: f64) {
+        self.queued = lines;
+        self.queued_as_of = now;
     }
 
-    /// A number for this moment's messages, each a line longer for it; nothing where there are none.
+    /// Records the batch of an earlier moment once more, as one of this moment, since it may leave twice.
+    /// Returns its lines and the number that acknowledges the repetition.
+    pub fn record_resend(&mut self, now: Moment, sent: Moment) -> (f64, Option<u32>) {
+        let latest = self.batches.back().filter(|batch| batch.sent == sent);
+        let lines_by_proxy = latest.map(|batch| batch.lines_by_proxy.clone()).unwrap_or_default();
+        for (proxy, lines) in &lines_by_proxy {
+            self.record(now, *proxy, *lines, 0.0);
+        }
+        (lines_by_proxy.values().sum(), self.request_acknowledgement(now))
+    }
+
+    /// Numbers this moment's batch, which makes each of its messages a line longer; `None` where this moment
+    /// has none.
     pub fn request_acknowledgement(&mut self, now: Moment) -> Option<u32> {
-        let reply = self.replies.back_mut().filter(|reply| reply.at == now)?;
-        if reply.number == 0 {
-            self.numbered = self.numbered % 65_535 + 1;
-            reply.number = self.numbered;
+        let batch = self.batches.back_mut().filter(|batch| batch.sent == now)?;
+        if batch.number == UNNUMBERED {
+            self.last_number = self.last_number % 65_535 + 1;
+            batch.number = self.last_number;
+        }
+        for lines in batch.lines_by_proxy.values_mut() {
+            *lines += 1.0;
         }
-        reply.lines.values_mut().for_each(|lines| *lines += 1.0);
-        let lines = reply.lines.len() as f64;
-        (self.waiting.0, self.recorded_lines) = (self.waiting.0 + lines, self.recorded_lines + lines);
-        Some(reply.number)
+        let lines = batch.lines_by_proxy.len() as f64;
+        self.queued += lines;
+        self.recorded_lines += lines;
+        Some(batch.number)
     }
 
-    /// A marked message came: it and all that was ordered before its moment have left.
+    /// A proxy acknowledged a batch: its message and all earlier batches have left the channel.
     pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
-        if let Some(place) = self.replies.iter().position(|reply| reply.number == number) {
-            self.replies.drain(..place);
-            self.replies[0].before += self.replies[0].lines.remove(&proxy).unwrap_or(0.0);
-            let left = self.recorded_lines - self.replies[0].before;
-            (self.waiting, self.last_activity) = ((self.queued_lines(now).min(left), now), now);
-        }
+        let Some(position) = self.batches.iter().position(|batch| batch.number == number) else { return };
+        self.batches.drain(..position);
+        let batch = &mut self.batches[0];
+        batch.lines_before += batch.lines_by_proxy.remove(&proxy).unwrap_or(0.0);
+        let remaining = self.recorded_lines - batch.lines_before;
+        self.set_queued(now, self.queued_lines(now).min(remaining));
+        self.last_activity = now;
     }
 
-    /// Messages to a proxy within the last span, and the latest.
-    pub fn messages(&mut self, now: Moment, proxy: u32, over: Span) -> (usize, Option<Moment>) {
-        let sent = self.sent.entry(proxy).or_default();
-        sent.retain(|sent| now - *sent <= over);
-        (sent.len(), sent.back().copied())
+    /// The number of messages to a proxy within a window that ends now, and the time of the latest.
+    pub fn messages(&mut self, now: Moment, proxy: u32, window: Span) -> (usize, Option<Moment>) {
+        let times = self.message_times.entry(proxy).or_default();
+        times.retain(|sent| now - *sent <= window);
+        (times.len(), times.back().copied())
     }
 
-    /// How much is remembered: rows of proxies, and times of messages.
+    /// The number of entries held in memory: unacknowledged messages and message times.
     pub fn retained_entries(&self) -> usize {
-        self.replies.iter().map(|reply| reply.lines.len()).sum::<usize>()
-            + self.sent.values().map(VecDeque::len).sum::<usize>()
+        let unacknowledged: usize = self.batches.iter().map(|batch| batch.lines_by_proxy.len()).sum();
+        let times: usize = self.message_times.values().map(VecDeque::len).sum();
+        unacknowledged + times
     }
 
-    /// A proxy's stream broke: what waited for it is lost, and nobody will tell that it came.
+    /// A proxy's stream broke: what was queued for it is lost and will not be acknowledged.
     pub fn proxy_left(&mut self, now: Moment, proxy: u32) {
-        self.sent.remove(&proxy);
-        let lost: f64 = self.replies.iter_mut().filter_map(|reply| reply.lines.remove(&proxy)).sum();
-        self.waiting = ((self.queued_lines(now) - lost).max(0.0), now);
+        self.message_times.remove(&proxy);
+        let lost: f64 = self.batches.iter_mut().filter_map(|batch| batch.lines_by_proxy.remove(&proxy)).sum();
+        self.set_queued(now, (self.queued_lines(now) - lost).max(0.0));
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -125,7 +125,7 @@
         host.schedule_timer(GATHER, Timer::Evaluation);
         let all = if config.admission == AdmissionMode::RatePerSecond { 1e6 } else { 1.0 };
         let mut chance = SeededRng::new(seed);
-        let salt = (chance.unit() * f64::from(u32::MAX)) as u32;
+        let salt = (chance.next_f64() * f64::from(u32::MAX)) as u32;
         Controller {
             host,
             chance,
@@ -175,7 +175,7 @@
     /// first time at once: a drain that was told meanwhile has its grace running.
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
         let again = self.held.list_failed.replace(now).is_some_and(|l| now - l < SUBSCRIBE_AGAIN * 2.0);
-        let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.unit()) } else { Span::ZERO };
+        let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.next_f64()) } else { Span::ZERO };
         self.host.schedule_timer(pause, Timer::WatchRetry);
     }
 
@@ -479,7 +479,7 @@
         if waiting > self.lines_may_wait(false) && now - self.ledger.last_activity > through {
             // All answers due are lost, with their proxies or with the event stream: one is asked anew.
             let asked = self.proxies_that(|p| self.usable(p.tbl));
-            let place = (asked.len() as f64 * self.chance.unit()) as usize;
+            let place = (asked.len() as f64 * self.chance.next_f64()) as usize;
             asked.get(place).into_iter().for_each(|proxy| self.bind(now, *proxy));
         }
         if self.ledger.queued_lines(now) > self.config.max_queued_lines * MARKED_FROM {
@@ -668,7 +668,7 @@
                 self.bind(now, proxy);
             } else if self.held.wakes.insert(Timer::Heartbeat) {
                 self.host
-                    .schedule_timer(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.unit()), Timer::Heartbeat);
+                    .schedule_timer(HEARTBEAT_EVERY * (0.8 + 0.4 * self.chance.next_f64()), Timer::Heartbeat);
             }
         }
     }
@@ -758,10 +758,11 @@
     fn judge(&mut self, now: Moment) {
         let mut fleet = Histogram::<5>::default();
         self.ready().for_each(|(_, s)| fleet.merge(&s.tally));
-        let par = fleet.mean_of(HURT).unwrap_or(0.0);
+        let par = fleet.weighted_mean(HURT).unwrap_or(0.0);
         let enough = ENOUGH.min(THINLY * fleet.total() / self.ready().count().max(1) as f64);
-        let tells = |s: &Endpoint| s.tally.total() >= enough || s.tally.worst() >= SURE;
-        let hurt = |(id, s): (&EndpointId, &Endpoint)| (s.tally.mean_of(HURT).unwrap_or(0.0), id.clone());
+        let tells = |s: &Endpoint| s.tally.total() >= enough || s.tally.last_bin() >= SURE;
+        let hurt =
+            |(id, s): (&EndpointId, &Endpoint)| (s.tally.weighted_mean(HURT).unwrap_or(0.0), id.clone());
         let mut hurts: Vec<(f64, EndpointId)> = self.ready().filter(|(_, s)| tells(s)).map(hurt).collect();
         hurts.sort_by(|a, b| b.0.total_cmp(&a.0));
         let known = hurts.iter().filter(|h| self.servers[&h.1].tally.total() >= enough).map(|h| h.0);
@@ -781,7 +782,7 @@
             }
         }
         for server in self.servers.values_mut().filter(|s| s.ready() && s.rung > 0) {
-            let at_par = server.tally.mean_of(HURT) <= Some(par + AT_PAR);
+            let at_par = server.tally.weighted_mean(HURT) <= Some(par + AT_PAR);
             // Half a turn more: else it hangs on how late a timer is whether a rest lasts a turn longer.
             if at_par && now - server.judged > REST * f64::from(server.strikes) + GATHER * 0.5 {
                 server.move_to(server.rung - 1, now);
@@ -859,7 +860,7 @@
             if slice.moving.is_none() && slice.lines.keys().any(|id| usable.contains_key(id)) {
                 continue;
             }
-            let mut drawn = whole * self.chance.unit();
+            let mut drawn = whole * self.chance.next_f64();
             let Some((id, _)) = usable.iter().find(|(_, u)| (drawn -= u.0, drawn < 0.0).1) else { continue };
             if one && !slice.lines.is_empty() {
                 // Rule 2: writes stop, and those in hand or still sent on a lease end, before another owns.
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,13 +1,17 @@
-//! What is measured: a few coarse bins, halved now and then so that old evidence fades.
+//! A histogram with a fixed number of bins whose counts decay.
+//!
+//! The controller keeps one for each endpoint, with a bin for each band of latency.
 
+/// Counts in `N` bins.
+///
 /// ```
 /// use otterwinch::histogram::Histogram;
-/// let mut seen = Histogram::<3>::default();
-/// seen.add(2, 4.0);
-/// seen.add(0, 4.0);
-/// seen.halve();
-/// assert_eq!(seen.total(), 4.0);
-/// assert_eq!(seen.mean_of([0.0, 0.5, 1.0]), Some(0.5));
+/// let mut histogram = Histogram::<3>::default();
+/// histogram.add(2, 4.0);
+/// histogram.add(0, 4.0);
+/// histogram.halve();
+/// assert_eq!(histogram.total(), 4.0);
+/// assert_eq!(histogram.weighted_mean([0.0, 0.5, 1.0]), Some(0.5));
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Histogram<const N: usize> {
@@ -21,30 +25,42 @@
 }
 
 impl<const N: usize> Histogram<N> {
+    /// Adds to a bin; a position past the end counts in the last bin.
     pub fn add(&mut self, bin: usize, count: f64) {
         self.bins[bin.min(N - 1)] += count;
     }
 
+    /// Adds the counts of another histogram, bin by bin.
     pub fn merge(&mut self, other: &Self) {
-        self.bins.iter_mut().zip(other.bins).for_each(|(bin, more)| *bin += more);
+        for (bin, more) in self.bins.iter_mut().zip(other.bins) {
+            *bin += more;
+        }
     }
 
+    /// Halves every count, so that old evidence fades.
     pub fn halve(&mut self) {
-        self.bins.iter_mut().for_each(|bin| *bin /= 2.0);
+        for bin in &mut self.bins {
+            *bin /= 2.0;
+        }
     }
 
-    /// What lies in the last bin.
-    pub fn worst(&self) -> f64 {
+    /// The count in the last bin.
+    pub fn last_bin(&self) -> f64 {
         self.bins[N - 1]
     }
 
+    /// The sum of all counts.
     pub fn total(&self) -> f64 {
         self.bins.iter().sum()
     }
 
-    /// The mean of a figure that each bin stands for; nothing where nothing was counted.
-    pub fn mean_of(&self, figures: [f64; N]) -> Option<f64> {
+    /// The mean of one value for each bin, weighted by the counts; `None` while the histogram is empty.
+    pub fn weighted_mean(&self, values: [f64; N]) -> Option<f64> {
         let total = self.total();
-        (total > 0.0).then(|| self.bins.iter().zip(figures).map(|(bin, f)| bin * f).sum::<f64>() / total)
+        if total <= 0.0 {
+            return None;
+        }
+        let sum = self.bins.iter().zip(values).map(|(bin, value)| bin * value).sum::<f64>();
+        Some(sum / total)
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,8 @@
-//! Points in time and spans, kept apart so that one can't be taken for the other.
+//! Points in time and lengths of time, as two types so that one can't be passed for the other.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A point on the host's clock, in microseconds from an origin that means nothing.
+/// A point on the host's clock, in microseconds from an arbitrary origin.
 ///
 /// ```
 /// use otterwinch::time::{Moment, Span};
@@ -17,26 +17,32 @@
 pub struct Span(i64);
 
 impl Moment {
+    /// The point so many microseconds after the clock's origin.
     pub const fn from_us(us: i64) -> Self {
         Moment(us)
     }
 }
 
 impl Span {
+    /// No time at all.
     pub const ZERO: Span = Span(0);
 
+    /// A length in microseconds.
     pub const fn from_us(us: i64) -> Self {
         Span(us)
     }
 
+    /// A length in seconds, cut to whole microseconds.
     pub fn secs(s: f64) -> Self {
         Span((s * 1e6) as i64)
     }
 
+    /// The length in microseconds.
     pub const fn as_us(self) -> i64 {
         self.0
     }
 
+    /// The length in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
