--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -7,47 +7,42 @@
 //! `publish_slices`, `commands_lost`, rule 3 `leaving` in `publish`, rule 4 `warmth`, `eased`, rule 5 `room`.
 
 use crate::channel_backlog::ChannelBacklog;
-use crate::config::{AdmissionMode, ControllerConfig};
-use crate::histogram::Histogram;
-use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
+use crate::config::ControllerConfig;
+use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, Timer};
 use crate::seeded_rng::SeededRng;
-use crate::state::{
-    weigh, Candidate, Change, Endpoint, FleetLoad, Proxy, PublicationState, RouteTable, RoutingSnapshot,
-    Shard,
-};
+use crate::state::{ring_place, weigh, Change, Proxy, PublicationState, RouteTable, RoutingSnapshot, Shard};
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
+mod admission;
+pub(crate) mod candidate;
+mod endpoints;
+mod fleet_load;
+mod outliers;
+mod slow_start;
+
+use admission::{Admission, RETRY_POLICY};
+use candidate::Candidate;
+use endpoints::{Endpoint, EndpointRegistry, EndpointWatch};
+use fleet_load::FleetLoad;
+use outliers::Outcomes;
+use slow_start::{slow_start_weights, EndpointWeight, FleetCondition};
+
 /// The design's open values: the gathering of changes, the heartbeat, the budget of a first join.
+/// The least interval of changes that can wait.
 const GATHER: Span = Span::from_us(1_000_000);
 const HEARTBEAT_EVERY: Span = Span::from_us(3_000_000);
 const JOIN_BUDGET: Span = Span::from_us(5_000_000);
 const JOINS_GATHERED: Span = Span::from_us(150_000);
-const SUBSCRIBE_AGAIN: Span = Span::from_us(700_000);
 const LOOK_AGAIN: Span = Span::from_us(50_000);
 
-/// New servers start at `RAMP_FROM` of their weight, under an even warm-up: a storm finds any spare that a
-/// cold server was given. A warming line is sent when it is off by `STEP`.
-const RAMP_FROM: f64 = 0.1;
-const RAMP_BEND: f64 = 1.3;
+pub(super) const EVALUATION_INTERVAL: Span = Span::from_us(1_000_000);
 const STEP: f64 = 1.25;
-/// How much more a table's warm servers may get so that its cold ones get less; under which part of its
-/// weight a new server stays out of a struggling fleet whose proxies shun.
-const WARM_BEARS: f64 = 2.0;
-const YOUNG: f64 = 0.35;
-const PEAK_KEPT: f64 = 0.99;
-
-/// Longer than a proxy is cut off with its tables, and than any grace.
-const FORGOTTEN: Span = Span::from_us(60_000_000);
 
 /// Where crossing zones costs: the most that stays at home, and how far off the rest may stand.
 const STAY: f64 = 0.9;
 const FAR_STEP: f64 = 1.5;
 
-/// Rule 2: proxies repeat nothing on our commands, so no product's window or group can be missed, and a zone
-/// that has just become full does not drown in what its servers turned away.
-const RETRY: RetryPolicy = RetryPolicy::Never;
-
 /// Parts of the waiting lines and messages for all and for what can wait; messages kept back for drains; the
 /// part of its stated pace that a channel is trusted with until proxies say what has come.
 const MOST_LINES: f64 = 0.9;
@@ -75,44 +70,21 @@
 const SPARING: f64 = 2.0;
 const SLIGHT: f64 = 4.0;
 
-/// Outcomes by band: answered within 0.4, 0.6, 1 and more of the SLA time, voided; how much each hurts.
-const BANDS: [f64; 3] = [0.4, 0.6, 1.0];
-const HURT: [f64; 5] = [0.0, 0.0, 0.3, 1.0, 1.0];
-/// What is kept on each rung; tries that tell, voided ones that do, times the mean's; how far it stands out.
-const RUNGS: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
-const ENOUGH: f64 = 6.0;
-const SURE: f64 = 2.0;
-const THINLY: f64 = 1.3;
-const STANDS_OUT: f64 = 0.15;
-const AT_PAR: f64 = 0.08;
-const HOPELESS: f64 = 0.7;
-const REST: Span = Span::from_us(4_000_000);
-const MOST_HELD_BACK: f64 = 0.35;
-const REPORT_LAG: Span = Span::from_us(2_000_000);
-
-/// A struggling fleet: the middle server's hurt, or the part of tries answered; it is over at the second.
-const HURTING: (f64, f64) = (0.2, 0.15);
-const ANSWERS: (f64, f64) = (0.85, 0.92);
-const SHED_AT: f64 = 0.7;
-const SAFE_SHARE: f64 = 0.9;
-const RELIEF: f64 = 1.08;
-const LEVEL_FLOOR: f64 = 0.1;
-const LEVEL_STEP: f64 = 0.05;
-
 pub struct Controller<H: Host> {
     host: H,
     config: ControllerConfig,
     chance: SeededRng,
     /// Each supervisor lays the ring in an order of its own.
     salt: u32,
-    servers: BTreeMap<EndpointId, Endpoint>,
+    endpoints: EndpointRegistry,
+    endpoint_watch: EndpointWatch,
     tbls: BTreeMap<u32, RouteTable>,
     proxies: BTreeMap<u32, Proxy>,
     /// Zone and usual rate of each proxy ever served or seen here.
     usual: BTreeMap<u32, (u32, f64)>,
     slices: BTreeMap<u32, Shard>,
-    levels: Vec<f64>,
-    pulse: FleetLoad,
+    fleet_load: FleetLoad,
+    admission: Admission,
     ledger: ChannelBacklog,
     held: PublicationState,
 }
@@ -122,21 +94,21 @@
         if config.polls_endpoint_list {
             host.watch_endpoints();
         }
-        host.schedule_timer(GATHER, Timer::Evaluation);
-        let all = if config.admission == AdmissionMode::RatePerSecond { 1e6 } else { 1.0 };
+        host.schedule_timer(EVALUATION_INTERVAL, Timer::Evaluation);
         let mut chance = SeededRng::new(seed);
         let salt = (chance.next_f64() * f64::from(u32::MAX)) as u32;
         Controller {
             host,
             chance,
             salt,
-            servers: BTreeMap::new(),
+            endpoints: EndpointRegistry::default(),
+            endpoint_watch: EndpointWatch::default(),
             tbls: BTreeMap::new(),
             proxies: BTreeMap::new(),
             usual: BTreeMap::new(),
             slices: BTreeMap::new(),
-            levels: vec![all; config.request_classes.len()],
-            pulse: FleetLoad { asked: vec![0.0; config.request_classes.len()], ..FleetLoad::default() },
+            fleet_load: FleetLoad::new(config.request_classes.len()),
+            admission: Admission::new(&config),
             ledger: ChannelBacklog::new(config.channel_rate * PACE_TRUSTED),
             held: PublicationState { gathered: now, ..PublicationState::default() },
             config,
@@ -147,44 +119,21 @@
         &mut self.host
     }
 
-    pub fn endpoint_list_replaced(&mut self, now: Moment, listings: &[EndpointUpdate]) {
-        let listed: BTreeSet<&EndpointId> = listings.iter().map(|l| &l.id).collect();
-        let dropped = self.servers.iter_mut().filter(|(id, _)| !listed.contains(id));
-        dropped.for_each(|(_, server)| server.stands(now, EndpointState::Removed));
-        self.endpoints_updated(now, listings);
+    pub fn endpoint_list_replaced(&mut self, now: Moment, updates: &[EndpointUpdate]) {
+        self.endpoints.remove_unlisted(now, updates);
+        self.endpoints_updated(now, updates);
     }
 
-    pub fn endpoints_updated(&mut self, now: Moment, listings: &[EndpointUpdate]) {
-        for l in listings {
-            let new = || Endpoint { left: now, ..Endpoint::default() };
-            let server = self.servers.entry(l.id.clone()).or_insert_with(new);
-            if l.started > server.started {
-                server.move_to(0, now);
-                (server.started, server.strikes) = (l.started, 0);
-            }
-            // A listed server without a weight is still a server: rule 1 counts it.
-            server.weight = if l.weight.is_finite() { l.weight.max(0.01) } else { 0.01 };
-            server.zone = l.zone;
-            server.stands(now, l.state);
-        }
-        self.pulse.peak = self.pulse.peak.max(self.ready_weight());
+    pub fn endpoints_updated(&mut self, now: Moment, updates: &[EndpointUpdate]) {
+        self.endpoints.apply_updates(now, updates);
         self.turn(now);
     }
 
     /// A call to the list failed or the subscription dropped: what is known stays, and it is asked again, the
     /// first time at once: a drain that was told meanwhile has its grace running.
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
-        let again = self.held.list_failed.replace(now).is_some_and(|l| now - l < SUBSCRIBE_AGAIN * 2.0);
-        let pause = if again { SUBSCRIBE_AGAIN * (0.5 + self.chance.next_f64()) } else { Span::ZERO };
-        self.host.schedule_timer(pause, Timer::WatchRetry);
-    }
-
-    fn ready(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
-        self.servers.iter().filter(|(_, s)| s.ready())
-    }
-
-    fn ready_weight(&self) -> f64 {
-        self.ready().map(|(_, s)| s.weight).sum()
+        let delay = self.endpoint_watch.retry_delay(now, &mut self.chance);
+        self.host.schedule_timer(delay, Timer::WatchRetry);
     }
 
     pub fn proxy_joined(&mut self, now: Moment, proxy: u32, zone: u32, rate: f64, fresh: bool) {
@@ -193,7 +142,7 @@
         let zoned = self.config.cross_zone_costs || self.config.request_classes.iter().any(|p| p.zone_local);
         let (place, home) = if zoned { (1 + zone, Some(zone)) } else { (0, None) };
         // One table where it holds the fleet and as much again; else several, an arc of the ring each.
-        let whole = !self.servers.is_empty() && self.servers.len() <= self.lines_most() / 2;
+        let whole = self.endpoints.len() > 0 && self.endpoints.len() <= self.lines_most() / 2;
         let tbl = place * ARCS + if whole { 0 } else { proxy % ARCS };
         // Rule 5: one told of anew while it is joined may never have left; until it is bound again its
         // table's lines reach it as before.
@@ -202,7 +151,7 @@
         self.proxies.insert(proxy, Proxy { rate, joined: now, fresh, tbl, bound: false, reached: stood });
         self.tbls.entry(tbl).or_insert(RouteTable { home, afar: 1.0, ..RouteTable::default() });
         // Rule 3: until it is bound it holds tables that are not ours, with servers that may have left.
-        self.servers.values_mut().for_each(|s| s.told = false);
+        self.endpoints.reset_ejected_everywhere();
         self.look();
     }
 
@@ -221,26 +170,22 @@
         &mut self,
         now: Moment,
         id: &str,
-        tries: f64,
-        voided: f64,
-        took: Span,
-        over: Span,
+        attempts: f64,
+        failed: f64,
+        latency: Span,
+        interval: Span,
     ) {
-        let Some(server) = self.servers.get_mut(id) else { return };
-        let answered = (tries - voided).max(0.0);
-        self.pulse.count(tries, answered);
-        server.heard = if answered > 0.0 { Some(now) } else { server.heard };
-        // Reports come late, and tries that end now began earlier: they tell of the weight before the move.
-        if server.rung == 0 || now - server.judged >= REPORT_LAG + over {
-            let sla =
-                self.config.request_classes.iter().map(|p| p.latency_objective).min().unwrap_or_default();
-            server.tally.add(HURT.len() - 1, voided);
-            server.tally.add(BANDS.iter().filter(|part| took >= sla * **part).count(), answered);
-        }
+        let Some(endpoint) = self.endpoints.by_id.get_mut(id) else { return };
+        let answered = (attempts - failed).max(0.0);
+        self.fleet_load.record_outcomes(attempts, answered);
+        let objectives = self.config.request_classes.iter().map(|class| class.latency_objective);
+        let objective = objectives.min().unwrap_or_default();
+        let outcomes = Outcomes { answered, failed, latency, interval };
+        outliers::record_outcomes(endpoint, now, &outcomes, objective);
     }
 
-    pub fn demand(&mut self, product: u32, txns: f64) {
-        self.pulse.asked.get_mut(product as usize).into_iter().for_each(|asked| *asked += txns);
+    pub fn demand(&mut self, class: u32, requests: f64) {
+        self.fleet_load.record_demand(class as usize, requests);
     }
 
     pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
@@ -252,56 +197,61 @@
         match timer {
             Timer::WatchRetry => return self.host.watch_endpoints(),
             Timer::Resend => return self.host.resend_commands(),
-            Timer::Evaluation => {
-                self.pulse.over = self.pulse.over + GATHER;
-                self.judge(now);
-                self.shed(now);
-                self.servers.values_mut().for_each(|s| s.tally.halve());
-                self.pulse.halve();
-                (self.pulse.tries, self.pulse.answered) = (self.pulse.tries / 2.0, self.pulse.answered / 2.0);
-                self.pulse.peak = (self.pulse.peak * PEAK_KEPT).max(self.ready_weight());
-                self.forget(now);
-                self.host.schedule_timer(GATHER, Timer::Evaluation);
-            }
+            Timer::Evaluation => self.evaluate(now),
             _ => {}
         }
         self.turn(now);
     }
 
-    /// A service that replaces its servers all day would make each join pay for barring all the dead. What is
-    /// long gone and in no table is let back in, so that its id may return as a new one, and forgotten.
-    fn forget(&mut self, now: Moment) {
-        let held = |id: &EndpointId| self.tbls.values().any(|t| t.lines.contains_key(id));
-        let dead = |s: &Endpoint| s.standing == EndpointState::Removed && now - s.left > FORGOTTEN;
-        let dead = self.servers.iter().filter(|(id, s)| dead(s) && !self.held.unanswered && !held(id));
-        for id in dead.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            if self.servers.remove(&id).is_some_and(|s| s.out) {
+    fn evaluate(&mut self, now: Moment) {
+        self.fleet_load.window = self.fleet_load.window + EVALUATION_INTERVAL;
+        self.detect_outliers(now);
+        self.shed_load(now);
+        self.endpoints.decay();
+        self.fleet_load.decay();
+        self.forget_removed_endpoints(now);
+        self.host.schedule_timer(EVALUATION_INTERVAL, Timer::Evaluation);
+    }
+
+    fn detect_outliers(&mut self, now: Moment) {
+        self.fleet_load.median_score = outliers::detect_outliers(&mut self.endpoints, now);
+    }
+
+    fn shed_load(&mut self, now: Moment) {
+        let joined_rate = self.proxies.values().map(|p| p.rate).sum::<f64>();
+        self.admission.shed_load(now, &mut self.fleet_load, joined_rate, &self.config);
+    }
+
+    /// Lifts the ejection of what was removed long ago and is in no table, so that its id may return as a new one:
+    /// a service that replaces its endpoints all day would make each join pay for all the dead.
+    fn forget_removed_endpoints(&mut self, now: Moment) {
+        if self.held.unanswered {
+            return;
+        }
+        let tbls = &self.tbls;
+        let in_use = |id: &EndpointId| tbls.values().any(|t| t.lines.contains_key(id));
+        for (id, endpoint) in self.endpoints.forget_removed(now, in_use) {
+            if endpoint.ejected {
                 self.host.restore_endpoint(&id);
             }
             self.host.forget_endpoint(&id);
         }
     }
 
-    /// Rule 4: no more of its weight than the slowest warm-up allows at its age, counted from its start.
-    fn warmth(&self, now: Moment, server: &Endpoint) -> f64 {
-        let cold_for = self.config.slow_start_window;
-        let Some(age) = server.started.map(|at| now - at).filter(|age| *age < cold_for) else { return 1.0 };
-        let grown = age.as_secs().max(0.0) / cold_for.as_secs();
-        RAMP_FROM + (1.0 - RAMP_FROM) * grown.powf(RAMP_BEND)
-    }
-
     fn parts(&self, now: Moment) -> Vec<Candidate> {
-        let part = |(id, s): (&EndpointId, &Endpoint)| {
-            let (weight, warmth) = (s.weight * RUNGS[s.rung], self.warmth(now, s));
-            Candidate { id: id.clone(), zone: s.zone, weight, warmth }
+        let part = |(id, s): (&EndpointId, &Endpoint)| Candidate {
+            id: id.clone(),
+            zone: s.zone,
+            weight: outliers::effective_weight(s),
+            slow_start_factor: slow_start::slow_start_factor(self.config.slow_start_window, s.started, now),
         };
-        self.ready().map(part).collect()
+        self.endpoints.ready().map(part).collect()
     }
 
     /// What all tables of a moment are made of: the servers in the order of a ring, and what each zone gets.
     fn present(&self, now: Moment) -> RoutingSnapshot {
         let mut parts = self.parts(now);
-        parts.sort_by_cached_key(|p| p.place(self.salt));
+        parts.sort_by_cached_key(|p| ring_place(&p.id, self.salt));
         let mut rates = BTreeMap::<u32, f64>::new();
         self.usual.values().for_each(|(zone, rate)| *rates.entry(*zone).or_default() += rate);
         let whole = weigh(parts.iter().filter(|p| rates.contains_key(&p.zone)));
@@ -311,7 +261,7 @@
     /// What a table should hold: every listed server, at listed weight but for the exceptions, and whether it
     /// is warm. Where all proxies could not leave in time, each table holds an arc of the ring, home ones
     /// first.
-    fn wanted(&mut self, number: u32, all: &RoutingSnapshot) -> BTreeMap<EndpointId, (f64, bool)> {
+    fn wanted(&mut self, number: u32, all: &RoutingSnapshot) -> BTreeMap<EndpointId, EndpointWeight> {
         let Some(tbl) = self.tbls.get(&number) else { return BTreeMap::new() };
         let (near, mut away): (Vec<&Candidate>, Vec<&Candidate>) =
             all.parts.iter().partition(|p| tbl.home == Some(p.zone));
@@ -342,7 +292,7 @@
         let far = there.into_iter().map(|p| Candidate { weight: p.weight * afar, ..p.clone() });
         let parts = here.into_iter().cloned().chain(far).collect();
         self.tbls.get_mut(&number).expect("just read").afar = afar;
-        self.eased(parts)
+        slow_start_weights(parts, &FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load))
     }
 
     /// A table's arc of a ring, so long at most. Of what stands a little more is kept at both ends, or each
@@ -357,22 +307,6 @@
         placed.filter(|(at, p)| n <= most || within(*at, p)).map(|(_, p)| p).collect()
     }
 
-    /// Rule 4 where a ramp alone does not keep it.
-    fn eased(&self, parts: Vec<Candidate>) -> BTreeMap<EndpointId, (f64, bool)> {
-        let sum = |is| parts.iter().filter(|p| (p.warmth >= 1.0) == is).map(Candidate::bears).sum::<f64>();
-        let (cold, warm) = (sum(false), sum(true));
-        // A fleet that shrank or turns tries away brings a cold server more than its weight says: it is cut
-        // by as much, but never so far that the warm ones fall in its place.
-        let answers = self.pulse.answered.max(1.0) / self.pulse.tries.max(1.0);
-        let crowded = (self.ready_weight() / self.pulse.peak.max(1e-9) * answers).clamp(0.05, 1.0);
-        let cut = crowded.max(((cold + warm) / WARM_BEARS - warm) / cold.max(1e-9)).min(1.0);
-        // Proxies that shun leave a failing fleet for what they have not tried yet: the youngest stay out.
-        let rush = self.config.proxy_ejects_after_failures > 0 && warm > 0.0 && self.pulse.struggling;
-        let kept = parts.into_iter().filter(|p| p.warmth >= YOUNG || !rush);
-        let ease = |p: &Candidate| if p.warmth < 1.0 { p.warmth * cut } else { 1.0 };
-        kept.map(|p| (p.id.clone(), (p.weight * ease(&p), p.warmth >= 1.0))).collect()
-    }
-
     /// What differs from what stands, widest gaps first; slight ones are not worth their way. Can't wait:
     /// servers that left, a table's first usable lines, a known server that came back cold.
     fn changes(&mut self, now: Moment, number: u32, users: f64, all: &RoutingSnapshot) -> Vec<Change> {
@@ -381,18 +315,18 @@
             return Vec::new();
         }
         let way = users / self.config.channel_rate.max(1.0);
-        let mean = wanted.values().map(|w| w.0).sum::<f64>() / wanted.len().max(1) as f64;
+        let mean = wanted.values().map(|w| w.weight).sum::<f64>() / wanted.len().max(1) as f64;
         let Some(tbl) = self.tbls.get_mut(&number) else { return Vec::new() };
         tbl.carried = None;
         let left =
             |(id, gap): (&EndpointId, &f64)| Change { id: id.clone(), weight: 0.0, urgent: true, gap: *gap };
         let gone = tbl.lines.iter().filter(|(id, _)| !wanted.contains_key(*id));
         let mut changes: Vec<Change> = gone.map(left).collect();
-        for (id, (weight, warm)) in wanted {
-            let stands = tbl.lines.get(&id).copied().unwrap_or(0.0);
-            let (off, gap) = ((stands / weight).max(weight / stands), (stands - weight).abs());
-            if (off > STEP || warm && off > 1.001) && (gap > mean * way * SLIGHT || stands == 0.0) {
-                let urgent = tbl.lines.is_empty() || !warm && stands > 2.0 * weight;
+        for (id, EndpointWeight { weight, is_warm: warm }) in wanted {
+            let set_state = tbl.lines.get(&id).copied().unwrap_or(0.0);
+            let (off, gap) = ((set_state / weight).max(weight / set_state), (set_state - weight).abs());
+            if (off > STEP || warm && off > 1.001) && (gap > mean * way * SLIGHT || set_state == 0.0) {
+                let urgent = tbl.lines.is_empty() || !warm && set_state > 2.0 * weight;
                 changes.push(Change { id, weight, urgent, gap });
             }
         }
@@ -406,9 +340,12 @@
         let Some(tbl) = self.tbls.get_mut(&number) else { return false };
         let (long, in_grace) = (HEARTBEAT_EVERY, self.config.drain_grace * 0.6 - self.config.max_transit);
         let spell = if self.config.removal_not_binding { long } else { long.min(in_grace) };
-        let reports =
-            |s: &Endpoint| s.standing == EndpointState::Removed && s.heard.is_some_and(|h| now - h < long);
-        if tbl.carried.is_none() && tbl.lines.keys().any(|id| self.servers.get(id).is_some_and(reports)) {
+        let reports = |s: &Endpoint| {
+            s.state == EndpointState::Removed && s.last_answered.is_some_and(|h| now - h < long)
+        };
+        if tbl.carried.is_none()
+            && tbl.lines.keys().any(|id| self.endpoints.by_id.get(id).is_some_and(reports))
+        {
             tbl.carried = Some(now);
         }
         let carried = tbl.carried.is_some_and(|since| now - since < spell);
@@ -451,7 +388,7 @@
     /// All that a moment orders. Where the queue is no longer short, the proxies are asked to tell what came.
     fn turn(&mut self, now: Moment) {
         // The grace of strays runs on while no command gets out.
-        let untold = self.held.unanswered && self.servers.values().any(|s| !s.ready() && !s.told);
+        let untold = self.held.unanswered && self.endpoints.by_id.values().any(|s| s.needs_ejection());
         if untold && self.proxies.values().any(|p| !p.bound) {
             self.held.barring.get_or_insert(now);
         }
@@ -463,8 +400,8 @@
         self.held.moment = now;
         // EndpointState tables are thinned by all that leaves: before one is bare its proxy must be bound. Else
         // binds can wait longest: each takes what a line to all would.
-        let lost = self.servers.values().filter(|s| !s.ready()).count() as f64;
-        let thin = lost > self.servers.len() as f64 * THIN && self.proxies.values().any(|p| !p.bound);
+        let lost = self.endpoints.unready_count() as f64;
+        let thin = lost > self.endpoints.len() as f64 * THIN && self.proxies.values().any(|p| !p.bound);
         // What can't wait goes once the queue is short: put behind a long one it comes no sooner, and what
         // else leaves meanwhile would cost every proxy a message more.
         let clear = self.ledger.queued_lines(now) <= self.lines_may_wait(false);
@@ -503,7 +440,7 @@
                 self.send(now, number, changes, true, &users);
             } else {
                 // Who left first goes first.
-                let left = |id| self.servers.get(id).map(|s| s.left);
+                let left = |id| self.endpoints.by_id.get(id).map(|s| s.left);
                 hasty.extend(changes.iter().filter(|c| c.urgent).map(|c| (left(&c.id), c.id.clone())));
                 changed.push((number, users, changes));
             }
@@ -531,7 +468,8 @@
                 continue;
             }
             let room = self.room(now, false, &users) / users.len() as f64;
-            let room = room - if urgent == 0 { head } else { urgent as f64 } - self.levels.len() as f64;
+            let room =
+                room - if urgent == 0 { head } else { urgent as f64 } - self.admission.levels.len() as f64;
             late |= (room as usize) < rest;
             if urgent == 0 && (room < 0.0 || (room as usize) < rest && room < head) {
                 continue;
@@ -580,8 +518,8 @@
         let room = self.room(now, true, &unbound);
         let n = if clear { self.piece(leaving.len(), room, |n| self.strays_cost(n)) } else { 0 };
         for id in &leaving[..n] {
-            let server = self.servers.get_mut(id).expect("a listed server");
-            (server.out, server.told) = (true, true);
+            let endpoint = self.endpoints.by_id.get_mut(id).expect("a listed server");
+            endpoint.mark_ejected();
             self.host.eject_endpoint(id);
         }
         self.tell_strays(now, n);
@@ -592,7 +530,7 @@
     /// What drains or is gone, is in no table and not withdrawn from all; who left first first.
     fn leaving(&self) -> Vec<EndpointId> {
         let held: BTreeSet<&EndpointId> = self.tbls.values().flat_map(|t| t.lines.keys()).collect();
-        let left = self.servers.iter().filter(|(id, s)| !s.ready() && !s.told && !held.contains(id));
+        let left = self.endpoints.by_id.iter().filter(|(id, s)| s.needs_ejection() && !held.contains(id));
         let mut left: Vec<(Moment, EndpointId)> = left.map(|(id, s)| (s.left, id.clone())).collect();
         left.sort();
         left.into_iter().map(|l| l.1).collect()
@@ -602,7 +540,7 @@
     /// servers, drawn by chance; one that was laid on an earlier stream as many as ours.
     fn strays(&self, withdrawals: usize) -> impl Iterator<Item = (u32, f64, f64)> + '_ {
         let (each, head) = (
-            withdrawals as f64 * CHANCE / self.servers.len().max(1) as f64,
+            withdrawals as f64 * CHANCE / self.endpoints.len().max(1) as f64,
             self.config.message_overhead_lines,
         );
         let (drawn, laid) = (f64::from(self.config.initial_table_size), self.lines_most() as f64);
@@ -626,8 +564,8 @@
         let Some(tbl) = self.tbls.get_mut(&number) else { return };
         for Change { id, weight, .. } in changes {
             // One that returns is let back in with its first line, not before: until then it may be cold.
-            if let Some(server) = self.servers.get_mut(&id).filter(|s| s.out && s.ready()) {
-                (server.out, server.told) = (false, false);
+            if let Some(endpoint) = self.endpoints.by_id.get_mut(&id).filter(|s| s.ejected && s.is_ready()) {
+                endpoint.mark_restored();
                 self.host.restore_endpoint(&id);
                 back += 1;
             }
@@ -636,9 +574,9 @@
             tbl.lines.insert(id, weight);
         }
         tbl.lines.retain(|_, weight| *weight > 0.0);
-        for (k, level) in self.levels.iter().copied().enumerate().filter(|_| all) {
+        for (k, level) in self.admission.levels.iter().copied().enumerate().filter(|_| all) {
             if tbl.levels.insert(k, level) != Some(level) {
-                self.host.set_admission(number, 1 << k, level, RETRY);
+                self.host.set_admission(number, 1 << k, level, RETRY_POLICY);
                 commands += 1;
             }
         }
@@ -674,7 +612,7 @@
     }
 
     fn usable(&self, tbl: u32) -> bool {
-        self.tbls[&tbl].lines.keys().any(|id| self.servers[id].ready())
+        self.tbls[&tbl].lines.keys().any(|id| self.endpoints.is_ready(id))
     }
 
     fn bind(&mut self, now: Moment, proxy: u32) {
@@ -705,7 +643,8 @@
         let proxies = f64::from(self.config.proxy_count.max(1));
         let each = (self.in_grace() / 2.0 / proxies - message_head) / LEAVES_AT_ONCE;
         let each = if channel_rate * most_waiting > 0.0 { each } else { f64::INFINITY };
-        let conns = f64::from(self.config.min_endpoint_connections) * self.ready().count() as f64 / proxies;
+        let conns =
+            f64::from(self.config.min_endpoint_connections) * self.endpoints.ready().count() as f64 / proxies;
         let conns = if conns > 0.0 { conns } else { f64::INFINITY };
         each.min(conns).max(f64::from(self.config.initial_table_size.max(1))) as usize
     }
@@ -714,7 +653,7 @@
     /// and no more is laid in than keeps the channel busy until answers to marks have come.
     fn lines_may_wait(&self, urgent: bool) -> f64 {
         let most = self.config.max_queued_lines * MOST_LINES;
-        let lines = self.lines_most().min(self.servers.len()) as f64;
+        let lines = self.lines_most().min(self.endpoints.len()) as f64;
         let kept = f64::from(self.config.proxy_count)
             * (self.config.message_overhead_lines + lines * LEAVES_AT_ONCE);
         if most <= 0.0 || self.config.channel_rate <= 0.0 {
@@ -748,87 +687,11 @@
         }
         let waiting = self.ledger.queued_lines(now);
         // Whatever the limits, an idle channel takes a line to all.
-        let least =
-            proxies.len() as f64 * (self.config.message_overhead_lines + self.levels.len() as f64 + 1.0);
+        let least = proxies.len() as f64
+            * (self.config.message_overhead_lines + self.admission.levels.len() as f64 + 1.0);
         (self.lines_may_wait(urgent) - waiting).max(if waiting < 1.0 { least } else { 0.0 })
     }
 
-    /// A server that hurts more than its peers goes down a rung; a third over the mean's tries is enough.
-    /// Candidate of the fleet is held back at most, none while the middle one hurts: that only moves the jam.
-    fn judge(&mut self, now: Moment) {
-        let mut fleet = Histogram::<5>::default();
-        self.ready().for_each(|(_, s)| fleet.merge(&s.tally));
-        let par = fleet.weighted_mean(HURT).unwrap_or(0.0);
-        let enough = ENOUGH.min(THINLY * fleet.total() / self.ready().count().max(1) as f64);
-        let tells = |s: &Endpoint| s.tally.total() >= enough || s.tally.last_bin() >= SURE;
-        let hurt =
-            |(id, s): (&EndpointId, &Endpoint)| (s.tally.weighted_mean(HURT).unwrap_or(0.0), id.clone());
-        let mut hurts: Vec<(f64, EndpointId)> = self.ready().filter(|(_, s)| tells(s)).map(hurt).collect();
-        hurts.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let known = hurts.iter().filter(|h| self.servers[&h.1].tally.total() >= enough).map(|h| h.0);
-        self.pulse.middle = known.clone().nth(known.clone().count() / 2).unwrap_or(0.0);
-        let mut held_back: f64 = self.ready().map(|(_, s)| s.weight * (1.0 - RUNGS[s.rung])).sum();
-        let most = self.ready_weight() * MOST_HELD_BACK;
-        for (hurt, id) in hurts.iter().filter(|h| h.0 > par + STANDS_OUT && self.pulse.middle <= HURTING.0) {
-            let server = self.servers.get_mut(id).expect("a listed server");
-            let down = if *hurt >= HOPELESS { server.rung + 3 } else { server.rung + 1 }.min(RUNGS.len() - 1);
-            held_back += server.weight * (RUNGS[server.rung] - RUNGS[down]);
-            if held_back > most {
-                break;
-            }
-            if down > server.rung {
-                server.strikes = (server.strikes + 1).min(3);
-                server.move_to(down, now);
-            }
-        }
-        for server in self.servers.values_mut().filter(|s| s.ready() && s.rung > 0) {
-            let at_par = server.tally.weighted_mean(HURT) <= Some(par + AT_PAR);
-            // Half a turn more: else it hangs on how late a timer is whether a rest lasts a turn longer.
-            if at_par && now - server.judged > REST * f64::from(server.strikes) + GATHER * 0.5 {
-                server.move_to(server.rung - 1, now);
-                server.strikes = if server.rung == 0 { 0 } else { server.strikes };
-            }
-        }
-    }
-
-    /// When most of the fleet hurts at once no table helps: no more is let in than it answers, products of
-    /// most revenue first, the rest let back step by step. Nothing falls under a floor, lest reports lie.
-    fn shed(&mut self, now: Moment) {
-        let joined = self.proxies.values().map(|p| p.rate).sum::<f64>();
-        let pulse = &mut self.pulse;
-        pulse.joined += joined;
-        let over = pulse.over.as_secs().max(0.1);
-        let answers = if pulse.tries < ENOUGH { 1.0 } else { pulse.answered / pulse.tries };
-        let hurting = answers < SHED_AT || pulse.middle > HURTING.0 && pulse.tries >= ENOUGH;
-        let uneasy = answers < ANSWERS.1 || pulse.middle > HURTING.1;
-        pulse.struggling = hurting || answers < ANSWERS.0 || pulse.struggling && uneasy;
-        // Reports tell of those who were here then: while more come they are no measure for all.
-        pulse.shed = if joined * over > pulse.joined * STEP { now } else { pulse.shed };
-        if hurting && now - pulse.shed >= REPORT_LAG + self.config.report_interval {
-            (pulse.budget, pulse.shed) = (Some(pulse.served / over * SAFE_SHARE), now);
-            pulse.counted = pulse.joined / over;
-        } else if !pulse.struggling {
-            let asked = pulse.asked.iter().sum::<f64>() / over;
-            pulse.budget = pulse.budget.map(|budget| budget * RELIEF).filter(|budget| *budget < asked * 1.2);
-        }
-        // What some were answered is no limit on more: whoever comes back (a hall that was cut off, proxies
-        // of a broken relay) would be turned away for as long as the budget takes to grow.
-        let more = (joined / pulse.counted.max(1e-9)).max(1.0);
-        let mut left = pulse.budget.map_or(f64::INFINITY, |budget| budget * more);
-        let revenue = |k: &usize| self.config.request_classes[*k].priority_weight;
-        let mut order: Vec<usize> = (0..self.levels.len()).collect();
-        order.sort_by(|a, b| revenue(b).total_cmp(&revenue(a)));
-        for k in order {
-            let asked = (pulse.asked[k] / over).max(1e-9);
-            let level = (left / asked).clamp(LEVEL_FLOOR, 1.0);
-            left = (left - level * asked).max(0.0);
-            let obeyed = self.config.admission == AdmissionMode::Fraction;
-            if obeyed && ((level - self.levels[k]).abs() > LEVEL_STEP || level >= 1.0) {
-                self.levels[k] = level;
-            }
-        }
-    }
-
     pub fn shard_assigned(&mut self, slice: u32) {
         self.slices.insert(slice, Shard::default());
     }
@@ -843,36 +706,41 @@
 
     /// A slice stays where it is while a server of its table is usable; else it goes to one drawn by weight.
     fn publish_slices(&mut self, now: Moment) {
-        for (id, server) in self.servers.iter_mut().filter(|(_, s)| s.out == s.ready()) {
-            server.out = !server.ready();
-            if server.out {
+        for (id, endpoint) in self.endpoints.by_id.iter_mut().filter(|(_, s)| s.ejected == s.is_ready()) {
+            endpoint.ejected = !endpoint.is_ready();
+            if endpoint.ejected {
                 self.host.eject_endpoint(id);
             } else {
                 self.host.restore_endpoint(id);
             }
         }
-        let usable = self.eased(self.parts(now));
+        let usable = slow_start_weights(
+            self.parts(now),
+            &FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load),
+        );
         let writing = self.config.request_classes.iter().enumerate().filter(|(_, p)| p.writes);
         let writes: RequestClassSet = writing.fold(0, |set, (k, _)| set | 1 << k);
         let in_hand = self.config.max_transit + self.config.lease + self.config.settle_time;
-        let (whole, one) = (usable.values().map(|u| u.0).sum::<f64>(), self.config.single_writer);
+        let (whole, one) = (usable.values().map(|u| u.weight).sum::<f64>(), self.config.single_writer);
         for (&number, slice) in self.slices.iter_mut() {
             if slice.moving.is_none() && slice.lines.keys().any(|id| usable.contains_key(id)) {
                 continue;
             }
             let mut drawn = whole * self.chance.next_f64();
-            let Some((id, _)) = usable.iter().find(|(_, u)| (drawn -= u.0, drawn < 0.0).1) else { continue };
+            let Some((id, _)) = usable.iter().find(|(_, u)| (drawn -= u.weight, drawn < 0.0).1) else {
+                continue;
+            };
             if one && !slice.lines.is_empty() {
                 // Rule 2: writes stop, and those in hand or still sent on a lease end, before another owns.
                 let since = *slice.moving.get_or_insert(now);
                 if since == now {
-                    self.host.set_admission(number, writes, 0.0, RETRY);
+                    self.host.set_admission(number, writes, 0.0, RETRY_POLICY);
                 }
                 if now - since < in_hand * 1.5 {
                     continue;
                 }
                 slice.moving = None;
-                self.host.set_admission(number, writes, 1.0, RETRY);
+                self.host.set_admission(number, writes, 1.0, RETRY_POLICY);
             }
             for old in std::mem::take(&mut slice.lines).into_keys().filter(|_| !one) {
                 self.host.set_endpoint_weight(number, &old, 0.0);
--- /dev/null
+++ b/src/controller/outliers.rs
@@ -0,0 +1,166 @@
+//! Outlier detection: endpoints whose attempts end late or fail more often than those of their peers get less of
+//! their weight, in levels, and recover level by level.
+//!
+//! [`Controller`](super::Controller) records the outcomes as load reports arrive and runs the detection once an
+//! evaluation. No endpoint loses all of its weight, and only a bounded part of the fleet's weight is taken away.
+//! While the median endpoint fares badly none is ejected: that would only move the overload.
+
+use super::endpoints::{Endpoint, EndpointRegistry, OUTCOME_BANDS};
+use super::fleet_load::{MEDIAN_SCORE, MIN_ATTEMPTS, REPORT_DELAY};
+use super::EVALUATION_INTERVAL;
+use crate::histogram::Histogram;
+use crate::host::EndpointId;
+use crate::time::{Moment, Span};
+
+/// The upper ends of the bands of answered attempts, as parts of the latency objective.
+const LATENCY_BANDS: [f64; OUTCOME_BANDS - 2] = [0.4, 0.6, 1.0];
+/// The band of attempts that failed without an answer.
+pub(super) const FAILED_BAND: usize = OUTCOME_BANDS - 1;
+/// What an attempt adds to the outlier score, by band.
+const BAND_SCORES: [f64; OUTCOME_BANDS] = [0.0, 0.0, 0.3, 1.0, 1.0];
+
+/// The part of its weight that an endpoint keeps, by ejection level.
+const WEIGHT_KEPT: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
+const MAX_EJECTION_LEVEL: usize = WEIGHT_KEPT.len() - 1;
+/// Levels for an endpoint at or above [`HOPELESS_SCORE`]; one level for any other outlier.
+const HOPELESS_LEVELS: usize = 3;
+const HOPELESS_SCORE: f64 = 0.7;
+
+/// Attempts that judge an endpoint, as a multiple of those that the mean endpoint has, where that is fewer than
+/// [`MIN_ATTEMPTS`].
+const MIN_ATTEMPTS_OF_MEAN: f64 = 1.3;
+/// Failed attempts that judge an endpoint, however few attempts it has.
+const MIN_FAILED_ATTEMPTS: f64 = 2.0;
+
+/// How far above the fleet's score an endpoint is an outlier.
+const OUTLIER_MARGIN: f64 = 0.15;
+/// How far above the fleet's score an endpoint may recover.
+const RECOVERY_MARGIN: f64 = 0.08;
+/// The time at a level before the next recovery, for each ejection so far.
+const EJECTION_TIME: Span = Span::from_us(4_000_000);
+const MAX_EJECTION_COUNT: u32 = 3;
+/// The part of the ready weight that may be taken away in all.
+const MAX_EJECTED_PART: f64 = 0.35;
+
+/// The outcomes of an endpoint's attempts, as a load report tells them.
+pub(super) struct Outcomes {
+    pub(super) answered: f64,
+    pub(super) failed: f64,
+    /// The latency of the answered attempts.
+    pub(super) latency: Span,
+    /// The interval that the report covers.
+    pub(super) interval: Span,
+}
+
+/// Records the outcomes of an endpoint's attempts.
+pub(super) fn record_outcomes(endpoint: &mut Endpoint, now: Moment, outcomes: &Outcomes, objective: Span) {
+    if outcomes.answered > 0.0 {
+        endpoint.last_answered = Some(now);
+    }
+    // Reports arrive late and cover attempts that began earlier: they tell of the weight before the last change.
+    let since_change = now - endpoint.ejection_level_since;
+    if endpoint.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
+        return;
+    }
+    let band = LATENCY_BANDS.iter().filter(|part| outcomes.latency >= objective * **part).count();
+    endpoint.outcomes.add(FAILED_BAND, outcomes.failed);
+    endpoint.outcomes.add(band, outcomes.answered);
+}
+
+/// The weight that outlier detection leaves to an endpoint.
+pub(super) fn effective_weight(endpoint: &Endpoint) -> f64 {
+    endpoint.weight * WEIGHT_KEPT[endpoint.ejection_level]
+}
+
+/// Ejects outliers and lets earlier ones recover. Returns the median outlier score of the endpoints that are known
+/// well enough.
+pub(super) fn detect_outliers(endpoints: &mut EndpointRegistry, now: Moment) -> f64 {
+    let fleet = fleet_outcomes(endpoints);
+    let fleet_score = outlier_score(&fleet).unwrap_or(0.0);
+    let mean_attempts = fleet.total() / endpoints.ready().count().max(1) as f64;
+    let min_attempts = MIN_ATTEMPTS.min(MIN_ATTEMPTS_OF_MEAN * mean_attempts);
+    let scores = scores_worst_first(endpoints, min_attempts);
+    let median = median_score(endpoints, &scores, min_attempts);
+    if median <= MEDIAN_SCORE.enter {
+        eject_outliers(endpoints, &scores, fleet_score + OUTLIER_MARGIN, now);
+    }
+    recover(endpoints, fleet_score + RECOVERY_MARGIN, now);
+    median
+}
+
+struct EndpointScore {
+    id: EndpointId,
+    score: f64,
+}
+
+fn fleet_outcomes(endpoints: &EndpointRegistry) -> Histogram<OUTCOME_BANDS> {
+    let mut fleet = Histogram::default();
+    for (_, endpoint) in endpoints.ready() {
+        fleet.merge(&endpoint.outcomes);
+    }
+    fleet
+}
+
+fn outlier_score(outcomes: &Histogram<OUTCOME_BANDS>) -> Option<f64> {
+    outcomes.weighted_mean(BAND_SCORES)
+}
+
+fn scores_worst_first(endpoints: &EndpointRegistry, min_attempts: f64) -> Vec<EndpointScore> {
+    let mut scores = Vec::new();
+    for (id, endpoint) in endpoints.ready() {
+        let outcomes = &endpoint.outcomes;
+        if outcomes.total() >= min_attempts || outcomes.last_bin() >= MIN_FAILED_ATTEMPTS {
+            let score = outlier_score(outcomes).unwrap_or(0.0);
+            scores.push(EndpointScore { id: id.clone(), score });
+        }
+    }
+    scores.sort_by(|a, b| b.score.total_cmp(&a.score));
+    scores
+}
+
+fn median_score(endpoints: &EndpointRegistry, scores: &[EndpointScore], min_attempts: f64) -> f64 {
+    let has_attempts = |scored: &&EndpointScore| endpoints.by_id[&scored.id].outcomes.total() >= min_attempts;
+    let known: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
+    known.get(known.len() / 2).copied().unwrap_or(0.0)
+}
+
+fn eject_outliers(endpoints: &mut EndpointRegistry, scores: &[EndpointScore], limit: f64, now: Moment) {
+    let kept = |endpoint: &Endpoint| WEIGHT_KEPT[endpoint.ejection_level];
+    let mut ejected: f64 =
+        endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - kept(endpoint))).sum();
+    let max_ejected = endpoints.ready_weight() * MAX_EJECTED_PART;
+    for EndpointScore { id, score } in scores {
+        if *score <= limit {
+            continue;
+        }
+        let endpoint = endpoints.by_id.get_mut(id).expect("scored endpoints are registered");
+        let levels = if *score >= HOPELESS_SCORE { HOPELESS_LEVELS } else { 1 };
+        let level = (endpoint.ejection_level + levels).min(MAX_EJECTION_LEVEL);
+        ejected += endpoint.weight * (kept(endpoint) - WEIGHT_KEPT[level]);
+        if ejected > max_ejected {
+            break;
+        }
+        if level > endpoint.ejection_level {
+            endpoint.ejection_count = (endpoint.ejection_count + 1).min(MAX_EJECTION_COUNT);
+            endpoint.set_ejection_level(level, now);
+        }
+    }
+}
+
+fn recover(endpoints: &mut EndpointRegistry, limit: f64, now: Moment) {
+    for endpoint in endpoints.by_id.values_mut() {
+        if !endpoint.is_ready() || endpoint.ejection_level == 0 {
+            continue;
+        }
+        // Half an evaluation more, so that a late timer doesn't prolong the ejection by a whole one.
+        let ejection_time = EJECTION_TIME * f64::from(endpoint.ejection_count) + EVALUATION_INTERVAL * 0.5;
+        // An endpoint without outcomes may recover.
+        let fares_well = outlier_score(&endpoint.outcomes) <= Some(limit);
+        if fares_well && now - endpoint.ejection_level_since > ejection_time {
+            endpoint.set_ejection_level(endpoint.ejection_level - 1, now);
+            if endpoint.ejection_level == 0 {
+                endpoint.ejection_count = 0;
+            }
+        }
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,7 @@
 //! One test a part of the mechanism and a guard; each builds its state and makes one call.
 
 use super::*;
+
 use crate::testing::{at, config, listing, running};
 use EndpointState::{Draining, Ready, Removed};
 
@@ -64,7 +65,7 @@
 #[test]
 fn a_table_that_vanished_while_its_servers_report_is_carried() {
     let mut controller = running(config(), &["a"], 1);
-    controller.servers.get_mut("a").unwrap().heard = Some(at(1.5));
+    controller.endpoints.by_id.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoint_list_replaced(at(2.0), &[]);
     assert_eq!((controller.host.count("line"), controller.host.count("withdraw")), (0, 0));
 }
@@ -72,8 +73,8 @@
 #[test]
 fn a_carried_table_ends_within_the_grace() {
     let mut controller = running(config(), &["a"], 1);
-    controller.servers.get_mut("a").unwrap().heard = Some(at(1.5));
-    controller.servers.get_mut("a").unwrap().standing = Removed;
+    controller.endpoints.by_id.get_mut("a").unwrap().last_answered = Some(at(1.5));
+    controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
     controller.tbls.get_mut(&0).unwrap().carried = Some(at(2.0));
     controller.timer_fired(at(3.0), Timer::Recheck);
     assert!(said(&mut controller).contains("withdraw a true"));
@@ -82,8 +83,8 @@
 #[test]
 fn a_returning_server_is_let_back_in_with_its_line() {
     let mut controller = running(config(), &["a", "b"], 1);
-    let back = controller.servers.get_mut("a").unwrap();
-    (back.standing, back.out) = (Removed, true);
+    let back = controller.endpoints.by_id.get_mut("a").unwrap();
+    (back.state, back.ejected) = (Removed, true);
     controller.tbls.get_mut(&0).unwrap().lines.remove("a");
     controller.endpoints_updated(at(40.0), &[listing("a", 0, Ready, Some(at(10.0)))]);
     assert_eq!(controller.host.said, ["withdraw a false", "line 0 a 2"]);
@@ -98,9 +99,9 @@
 
 #[test]
 fn the_ramp_counts_from_the_start_not_from_the_list() {
-    let controller = running(config(), &["a"], 1);
-    let server = Endpoint { started: Some(at(-8.0)), ..Endpoint::default() };
-    assert!((controller.warmth(at(0.0), &server) - (0.1 + 0.9 * 0.5f64.powf(RAMP_BEND))).abs() < 1e-9);
+    let window = config().slow_start_window;
+    let factor = slow_start::slow_start_factor(window, Some(at(-8.0)), at(0.0));
+    assert!((factor - (0.1 + 0.9 * 0.5f64.powf(slow_start::RAMP_EXPONENT))).abs() < 1e-9);
 }
 
 #[test]
@@ -114,7 +115,7 @@
 #[test]
 fn a_fleet_that_turns_tries_away_cuts_its_cold_lines() {
     let mut controller = running(config(), &["a", "b", "c", "d", "e"], 1);
-    (controller.pulse.tries, controller.pulse.answered) = (100.0, 50.0);
+    (controller.fleet_load.attempts, controller.fleet_load.answered) = (100.0, 50.0);
     controller.endpoints_updated(at(2.0), &[listing("f", 0, Ready, Some(at(2.0)))]);
     assert!(controller.host.weight(0, "f").unwrap() <= 0.1 + 1e-9);
 }
@@ -123,7 +124,7 @@
 fn no_young_server_joins_a_struggling_fleet_whose_proxies_shun() {
     let mut controller =
         running(ControllerConfig { proxy_ejects_after_failures: 3, ..config() }, &["a", "b"], 1);
-    controller.pulse.struggling = true;
+    controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert_eq!(controller.host.count("line"), 0);
 }
@@ -131,7 +132,7 @@
 #[test]
 fn cold_servers_are_all_there_is_when_all_are_cold() {
     let mut controller = running(ControllerConfig { proxy_ejects_after_failures: 3, ..config() }, &[], 1);
-    controller.pulse.struggling = true;
+    controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[listing("c", 0, Ready, Some(at(2.0)))]);
     assert!(controller.host.weight(0, "c").is_some());
 }
@@ -178,8 +179,9 @@
     assert!(
         controller.tbls.len() > 8 && controller.tbls.values().all(|t| lines(t) == controller.lines_most())
     );
-    let homely =
-        |t: &RouteTable| t.lines.keys().filter(|id| Some(controller.servers[*id].zone) == t.home).count();
+    let homely = |t: &RouteTable| {
+        t.lines.keys().filter(|id| Some(controller.endpoints.by_id[*id].zone) == t.home).count()
+    };
     assert!(controller.tbls.values().all(|t| homely(t) * AWAY >= lines(t) * (AWAY - 1)));
 }
 
@@ -189,8 +191,8 @@
     let new: Vec<_> = (0..8).map(|k| listing(&format!("n{k}"), k % 2, Ready, Some(at(1.0)))).collect();
     controller.endpoints_updated(at(2.0), &new);
     controller.timer_fired(at(4.0), Timer::Evaluation);
-    let out = controller.host.said.iter().filter(|s| s.starts_with("line") && s.ends_with(" 0"));
-    assert!(out.count() <= 16);
+    let ejected = controller.host.said.iter().filter(|s| s.starts_with("line") && s.ends_with(" 0"));
+    assert!(ejected.count() <= 16);
 }
 
 #[test]
@@ -239,9 +241,9 @@
 #[test]
 fn thin_standing_tables_bind_before_changes_go() {
     let mut controller = running(config(), &["a", "b", "c"], 1);
-    controller.servers.get_mut("a").unwrap().standing = Removed;
+    controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
     controller.tbls.get_mut(&0).unwrap().lines.remove("a");
-    controller.servers.get_mut("c").unwrap().weight = 4.0;
+    controller.endpoints.by_id.get_mut("c").unwrap().weight = 4.0;
     controller.proxy_joined(at(2.0), 4, 0, 90.0, true);
     controller.turn(at(2.2));
     assert_eq!((controller.host.count("bind 4"), controller.host.count("line 0 c")), (1, 0));
@@ -282,8 +284,8 @@
 #[test]
 fn of_many_that_left_who_left_first_goes_first() {
     let mut controller = crowded(3.0, 60);
-    for (k, server) in controller.servers.values_mut().enumerate() {
-        (server.standing, server.left) = (Draining, at(9.0 - k as f64 / 100.0));
+    for (k, endpoint) in controller.endpoints.by_id.values_mut().enumerate() {
+        (endpoint.state, endpoint.left) = (Draining, at(9.0 - k as f64 / 100.0));
     }
     controller.turn(at(60.0));
     assert!(controller.host.weight(0, "59") == Some(0.0) && controller.host.weight(0, "10").is_none());
@@ -292,8 +294,8 @@
 #[test]
 fn a_joined_proxy_that_stays_unbound_is_told_who_is_out() {
     let mut controller = running(config(), &["a"], 0);
-    let a = controller.servers.get_mut("a").unwrap();
-    (a.standing, a.out) = (Removed, true);
+    let a = controller.endpoints.by_id.get_mut("a").unwrap();
+    (a.state, a.ejected) = (Removed, true);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
     controller.turn(at(1.05));
     assert_eq!(controller.host.count("withdraw a true"), 1);
@@ -386,7 +388,7 @@
 #[test]
 fn more_than_a_queue_holds_goes_in_pieces_and_never_waits_for_ever() {
     let mut controller = crowded(10.0, 90);
-    controller.servers.values_mut().skip(1).for_each(|s| s.standing = Draining);
+    controller.endpoints.by_id.values_mut().skip(1).for_each(|s| s.state = Draining);
     controller.turn(at(90.0));
     assert!((8..79).contains(&controller.host.count("line")));
 }
@@ -394,8 +396,8 @@
 #[test]
 fn while_drains_wait_for_room_nothing_else_goes() {
     let mut controller = crowded(3.0, 70);
-    controller.servers.values_mut().for_each(|s| s.standing = Draining);
-    controller.levels[0] = 0.5;
+    controller.endpoints.by_id.values_mut().for_each(|s| s.state = Draining);
+    controller.admission.levels[0] = 0.5;
     controller.proxy_joined(at(59.0), 99, 0, 10.0, true);
     controller.turn(at(60.0));
     assert!(
@@ -419,158 +421,172 @@
 #[test]
 fn a_server_that_hurts_more_than_its_peers_goes_down_a_rung() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
-    controller.servers.values_mut().for_each(|s| s.tally.add(0, 20.0));
-    controller.servers.get_mut("c").unwrap().tally.add(HURT.len() - 1, 20.0);
-    controller.judge(at(5.0));
-    assert_eq!(controller.servers.values().map(|s| s.rung).collect::<Vec<_>>(), [0, 0, 1, 0]);
+    controller.endpoints.by_id.values_mut().for_each(|s| s.outcomes.add(0, 20.0));
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 20.0);
+    controller.detect_outliers(at(5.0));
+    assert_eq!(
+        controller.endpoints.by_id.values().map(|s| s.ejection_level).collect::<Vec<_>>(),
+        [0, 0, 1, 0]
+    );
 }
 
 /// Two servers of whom `tries` are heard each, one that is not heard, and `a` with two tries.
-fn judged(tries: f64, voided: f64, took: f64) -> Controller<crate::testing::Recorder> {
+fn detected(tries: f64, voided: f64, took: f64) -> Controller<crate::testing::Recorder> {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     ["b", "c"]
         .iter()
         .for_each(|id| controller.endpoint_outcomes(at(1.0), id, tries, 0.0, Span::ZERO, Span::ZERO));
     controller.endpoint_outcomes(at(1.0), "a", 2.0, voided, Span::secs(took), Span::ZERO);
-    controller.judge(at(1.0));
+    controller.detect_outliers(at(1.0));
     controller
 }
 
 #[test]
 fn two_voided_tries_tell_enough_and_hold_a_server_back_until_nothing_hurts() {
-    let mut controller = judged(9.0, 2.0, 0.0);
-    assert_eq!((controller.servers["a"].rung, controller.pulse.middle), (3, 0.0));
+    let mut controller = detected(9.0, 2.0, 0.0);
+    assert_eq!(
+        (controller.endpoints.by_id["a"].ejection_level, controller.fleet_load.median_score),
+        (3, 0.0)
+    );
     controller.endpoint_outcomes(at(9.0), "a", 2.0, 1.0, Span::ZERO, Span::ZERO);
-    controller.judge(at(9.0));
-    assert_eq!(controller.servers["a"].rung, 3, "its rest is over and it still hurts");
+    controller.detect_outliers(at(9.0));
+    assert_eq!(controller.endpoints.by_id["a"].ejection_level, 3, "its rest is over and it still hurts");
 }
 
 #[test]
 fn late_tries_tell_if_they_are_six_or_a_third_more_than_the_mean_server_has() {
-    assert_eq!(judged(9.0, 0.0, 2.0).servers["a"].rung, 0);
-    assert_eq!(judged(3.0, 0.0, 2.0).servers["a"].rung, 0);
-    assert_eq!(judged(2.0, 0.0, 2.0).servers["a"].rung, 3);
+    assert_eq!(detected(9.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 0);
+    assert_eq!(detected(3.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 0);
+    assert_eq!(detected(2.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 3);
 }
 
 #[test]
 fn only_part_of_the_fleet_is_held_back() {
     let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
-    controller.servers.values_mut().for_each(|s| s.tally.add(0, 100.0));
+    controller.endpoints.by_id.values_mut().for_each(|s| s.outcomes.add(0, 100.0));
     for id in ["a", "b"] {
-        controller.servers.get_mut(id).unwrap().move_to(5, at(5.0));
+        controller.endpoints.by_id.get_mut(id).unwrap().set_ejection_level(5, at(5.0));
     }
-    controller.servers.get_mut("c").unwrap().tally.add(HURT.len() - 1, 900.0);
-    controller.judge(at(5.0));
-    assert_eq!(controller.servers["c"].rung, 0);
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 900.0);
+    controller.detect_outliers(at(5.0));
+    assert_eq!(controller.endpoints.by_id["c"].ejection_level, 0);
 }
 
 #[test]
 fn in_a_jam_no_server_is_held_back() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
-    controller.servers.values_mut().for_each(|s| (s.tally.add(0, 6.0), s.tally.add(HURT.len() - 1, 4.0)).0);
-    controller.servers.get_mut("c").unwrap().tally.add(HURT.len() - 1, 90.0);
-    controller.servers.get_mut("d").unwrap().tally.add(0, 200.0);
-    controller.judge(at(5.0));
-    assert!(controller.servers.values().all(|s| s.rung == 0));
+    controller
+        .endpoints
+        .by_id
+        .values_mut()
+        .for_each(|s| (s.outcomes.add(0, 6.0), s.outcomes.add(outliers::FAILED_BAND, 4.0)).0);
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 90.0);
+    controller.endpoints.by_id.get_mut("d").unwrap().outcomes.add(0, 200.0);
+    controller.detect_outliers(at(5.0));
+    assert!(controller.endpoints.by_id.values().all(|s| s.ejection_level == 0));
 }
 
 #[test]
 fn a_rung_is_let_go_after_a_rest_however_late_the_timers_are() {
-    for (late, rung) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
+    for (late, ejection_level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
         let mut controller = running(config(), &["a", "b"], 1);
-        let a = controller.servers.get_mut("a").unwrap();
-        (a.rung, a.strikes, a.judged) = (2, 1, at(1.0));
-        controller.judge(at(1.0 + late));
-        assert_eq!(controller.servers["a"].rung, rung);
+        let a = controller.endpoints.by_id.get_mut("a").unwrap();
+        (a.ejection_level, a.ejection_count, a.ejection_level_since) = (2, 1, at(1.0));
+        controller.detect_outliers(at(1.0 + late));
+        assert_eq!(controller.endpoints.by_id["a"].ejection_level, ejection_level);
     }
 }
 
 #[test]
 fn reports_of_the_weight_before_the_last_move_do_not_count() {
     let mut controller = running(config(), &["a"], 1);
-    (controller.servers.get_mut("a").unwrap().rung, controller.servers.get_mut("a").unwrap().judged) =
-        (1, at(5.0));
+    (
+        controller.endpoints.by_id.get_mut("a").unwrap().ejection_level,
+        controller.endpoints.by_id.get_mut("a").unwrap().ejection_level_since,
+    ) = (1, at(5.0));
     controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
-    assert_eq!(controller.servers["a"].tally.total(), 0.0);
+    assert_eq!(controller.endpoints.by_id["a"].outcomes.total(), 0.0);
 }
 
 #[test]
 fn overload_lets_in_what_is_answered_and_the_dearest_first() {
     let mut controller = running(config(), &["a"], 1);
-    controller.pulse = FleetLoad {
-        asked: vec![100.0, 50.0],
-        tries: 150.0,
+    controller.fleet_load = FleetLoad {
+        demand: vec![100.0, 50.0],
+        attempts: 150.0,
         answered: 60.0,
         served: 60.0,
-        over: Span::secs(1.0),
+        window: Span::secs(1.0),
         ..FleetLoad::default()
     };
-    controller.shed(at(9.0));
-    assert!(controller.levels[0] <= LEVEL_FLOOR && controller.levels[1] == 1.0);
+    controller.shed_load(at(9.0));
+    assert!(controller.admission.levels[0] <= admission::MIN_LEVEL && controller.admission.levels[1] == 1.0);
 }
 
 /// What a supervisor knows three seconds after its start: a few tries of the first proxies that joined it.
 fn just_started(tries: f64, joined_lately: f64) -> Controller<crate::testing::Recorder> {
     let mut controller = running(config(), &["a", "b"], 4);
-    let (asked, over) = (vec![10.0, 10.0], Span::secs(2.0));
-    let joined = joined_lately * over.as_secs();
-    controller.pulse = FleetLoad {
-        asked,
-        over,
-        tries,
+    let (demand, window) = (vec![10.0, 10.0], Span::secs(2.0));
+    let joined_rates = joined_lately * window.as_secs();
+    controller.fleet_load = FleetLoad {
+        demand,
+        window,
+        attempts: tries,
         answered: tries,
         served: tries,
-        middle: 0.3,
-        joined,
+        median_score: 0.3,
+        joined_rates,
         ..FleetLoad::default()
     };
-    controller.shed(at(9.0));
+    controller.shed_load(at(9.0));
     controller
 }
 
 #[test]
 fn a_few_tries_do_not_tell_that_the_fleet_hurts() {
-    assert_eq!(just_started(3.0, 40.0).pulse.budget, None);
-    assert!(just_started(6.0, 40.0).pulse.budget.is_some());
+    assert_eq!(just_started(3.0, 40.0).admission.budget, None);
+    assert!(just_started(6.0, 40.0).admission.budget.is_some());
 }
 
 #[test]
 fn while_proxies_come_what_was_answered_is_no_measure_for_them() {
     // 40 requests a second are joined now.
     let mut controller = just_started(20.0, 10.0);
-    assert_eq!(controller.pulse.budget, None);
+    assert_eq!(controller.admission.budget, None);
     // They have been here for as long as their reports take.
-    controller.pulse.joined = 80.0;
-    controller.shed(at(11.9));
-    assert_eq!(controller.pulse.budget, None);
-    controller.pulse.joined = 80.0;
-    controller.shed(at(12.0));
-    assert!(controller.pulse.budget.is_some());
+    controller.fleet_load.joined_rates = 80.0;
+    controller.shed_load(at(11.9));
+    assert_eq!(controller.admission.budget, None);
+    controller.fleet_load.joined_rates = 80.0;
+    controller.shed_load(at(12.0));
+    assert!(controller.admission.budget.is_some());
 }
 
 #[test]
 fn levels_come_back_once_the_fleet_is_well() {
     let mut controller = running(config(), &["a"], 1);
-    let (asked, budget, over) = (vec![100.0, 50.0], Some(100.0), Span::secs(1.0));
-    controller.pulse = FleetLoad { asked, budget, over, tries: 90.0, answered: 90.0, ..FleetLoad::default() };
-    controller.shed(at(9.0));
-    assert!(controller.pulse.budget.unwrap() > 100.0);
+    let (demand, window) = (vec![100.0, 50.0], Span::secs(1.0));
+    controller.admission.budget = Some(100.0);
+    controller.fleet_load =
+        FleetLoad { demand, window, attempts: 90.0, answered: 90.0, ..FleetLoad::default() };
+    controller.shed_load(at(9.0));
+    assert!(controller.admission.budget.unwrap() > 100.0);
 }
 
 #[test]
 fn a_budget_grows_with_the_proxies_that_come_back() {
     let mut controller = running(config(), &["a"], 1);
     // Nine tenths of 20 were answered lately to one proxy of 10 a second.
-    let (asked, over) = (vec![0.0, 20.0], Span::secs(1.0));
-    controller.pulse =
-        FleetLoad { asked, over, tries: 20.0, answered: 5.0, served: 20.0, ..FleetLoad::default() };
-    controller.shed(at(9.0));
-    assert_eq!(controller.levels[1], 0.9);
+    let (demand, window) = (vec![0.0, 20.0], Span::secs(1.0));
+    controller.fleet_load =
+        FleetLoad { demand, window, attempts: 20.0, answered: 5.0, served: 20.0, ..FleetLoad::default() };
+    controller.shed_load(at(9.0));
+    assert_eq!(controller.admission.levels[1], 0.9);
     (1..4).for_each(|proxy| controller.proxy_joined(at(9.5), proxy, 0, 10.0, false));
-    controller.pulse =
-        FleetLoad { asked: vec![0.0, 80.0], struggling: true, ..std::mem::take(&mut controller.pulse) };
-    controller.shed(at(9.5));
-    assert_eq!(controller.levels[1], 0.9);
+    controller.fleet_load =
+        FleetLoad { demand: vec![0.0, 80.0], struggling: true, ..std::mem::take(&mut controller.fleet_load) };
+    controller.shed_load(at(9.5));
+    assert_eq!(controller.admission.levels[1], 0.9);
 }
 
 #[test]
@@ -594,7 +610,7 @@
 fn reports_for_servers_never_listed_are_passed_over() {
     let mut controller = running(config(), &["a"], 1);
     controller.endpoint_outcomes(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
-    assert_eq!(controller.pulse.tries, 0.0);
+    assert_eq!(controller.fleet_load.attempts, 0.0);
 }
 
 #[test]
@@ -616,10 +632,11 @@
     let mut controller = running(config(), &["a", "b"], 1);
     controller.endpoints_updated(at(2.0), &[listing("a", 0, Removed, None)]);
     controller.timer_fired(at(61.0), Timer::Evaluation);
-    assert!(controller.servers.contains_key("a"));
+    assert!(controller.endpoints.by_id.contains_key("a"));
     controller.timer_fired(at(63.0), Timer::Evaluation);
     assert!(
-        !controller.servers.contains_key("a") && said(&mut controller).contains("withdraw a false\nforget a")
+        !controller.endpoints.by_id.contains_key("a")
+            && said(&mut controller).contains("withdraw a false\nforget a")
     );
     controller.endpoints_updated(at(64.0), &[listing("a", 0, Ready, None)]);
     controller.timer_fired(at(65.0), Timer::Evaluation);
@@ -638,7 +655,7 @@
         );
         controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
     }
-    assert!(controller.servers.len() < 20 && controller.tbls[&0].lines.len() == 1);
+    assert!(controller.endpoints.by_id.len() < 20 && controller.tbls[&0].lines.len() == 1);
     assert!(controller.ledger.retained_entries() < 200, "{}", controller.ledger.retained_entries());
 }
 
@@ -694,8 +711,8 @@
 #[test]
 fn a_server_that_was_let_back_in_is_barred_again_when_it_leaves_again() {
     let mut controller = running(config(), &["a", "b"], 1);
-    for (now, standing) in [(2.0, Draining), (4.0, Ready), (6.0, Draining)] {
-        controller.endpoints_updated(at(now), &[listing("a", 0, standing, None)]);
+    for (now, state) in [(2.0, Draining), (4.0, Ready), (6.0, Draining)] {
+        controller.endpoints_updated(at(now), &[listing("a", 0, state, None)]);
         controller.timer_fired(at(now + 1.0), Timer::Evaluation);
     }
     let bars: Vec<&String> =
