--- a/src/controller/candidate.rs
+++ b/src/controller/candidate.rs
@@ -4,23 +4,23 @@
 
 /// A ready endpoint with its effective weight and its slow-start factor.
 #[derive(Clone)]
-pub(crate) struct Candidate {
-    pub(crate) id: EndpointId,
-    pub(crate) zone: u32,
+pub(super) struct Candidate {
+    pub(super) id: EndpointId,
+    pub(super) zone: u32,
     /// Its listed weight, less what outlier detection and zone routing take away.
-    pub(crate) weight: f64,
+    pub(super) weight: f64,
     /// The part of its load that it can bear by now; 1 once it is warm.
-    pub(crate) slow_start_factor: f64,
+    pub(super) slow_start_factor: f64,
 }
 
 impl Candidate {
     /// Whether its slow start is over.
-    pub(crate) fn is_warm(&self) -> bool {
+    pub(super) fn is_warm(&self) -> bool {
         self.slow_start_factor >= 1.0
     }
 
     /// The load that it can bear by now.
-    pub(crate) fn capacity(&self) -> f64 {
+    pub(super) fn capacity(&self) -> f64 {
         self.weight * self.slow_start_factor
     }
 }
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -52,6 +52,11 @@
         FleetLoad { demand: vec![0.0; request_classes], ..FleetLoad::default() }
     }
 
+    /// Extends the window by the time since the last evaluation.
+    pub(super) fn extend_window(&mut self, by: Span) {
+        self.window = self.window + by;
+    }
+
     /// Records requests of a class; a class that is not configured is ignored.
     pub(super) fn record_demand(&mut self, class: usize, requests: f64) {
         if let Some(demand) = self.demand.get_mut(class) {
--- /dev/null
+++ b/src/controller/routing.rs
@@ -0,0 +1,289 @@
+//! Routing: which endpoints a route table should hold, and how much of the traffic leaves the home zone.
+//!
+//! Publication asks here for the desired weights of every table. One table serves all proxies, or all of a zone where
+//! crossing zones costs. It holds the whole fleet as long as the channel could carry the news to all proxies in
+//! time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
+
+use super::candidate::Candidate;
+use super::channel::ChannelLimits;
+use super::endpoints::EndpointRegistry;
+use super::fleet_load::FleetLoad;
+use super::outliers;
+use super::proxies::ProxyRegistry;
+use super::slow_start::{slow_start_factor, slow_start_weights, EndpointWeight, FleetCondition};
+use crate::config::ControllerConfig;
+use crate::host::EndpointId;
+use crate::time::Moment;
+use std::collections::BTreeMap;
+
+/// Tables of one zone, each with an arc of the ring, where none may hold the whole fleet.
+pub(super) const ARCS_PER_ZONE: u32 = 16;
+/// One endpoint in so many of a table is reserved for other zones.
+pub(super) const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
+/// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes would push
+/// another in or out.
+const ARC_SLACK_DIVISOR: usize = 8;
+/// The largest part of a zone's requests that stays in the zone where crossing zones costs.
+const MAX_HOME_PART: f64 = 0.9;
+/// Changes of a table's remote factor up to this ratio are not made, or each ejection would move every weight of the
+/// other zones.
+const REMOTE_FACTOR_RATIO: f64 = 1.5;
+const MIN_REMOTE_FACTOR: f64 = 0.01;
+
+/// A route table as it was published.
+pub(super) struct RouteTable {
+    /// The zone of its proxies; `None` where one table serves all zones.
+    pub(super) home_zone: Option<u32>,
+    /// The published weights.
+    pub(super) weights: BTreeMap<EndpointId, f64>,
+    /// The published admission level of each request class.
+    pub(super) admission_levels: BTreeMap<usize, f64>,
+    /// The part of their weight that endpoints of other zones get.
+    remote_factor: f64,
+    /// Since when it keeps its weights although all of its endpoints left the list.
+    pub(super) carried_since: Option<Moment>,
+    /// When commands for it were sent last.
+    pub(super) last_sent: Moment,
+}
+
+impl RouteTable {
+    /// An empty table.
+    pub(super) fn new(home_zone: Option<u32>) -> Self {
+        RouteTable {
+            home_zone,
+            weights: BTreeMap::new(),
+            admission_levels: BTreeMap::new(),
+            remote_factor: 1.0,
+            carried_since: None,
+            last_sent: Moment::default(),
+        }
+    }
+
+    /// Lines that a proxy is sent as it is put on this table, besides the message overhead.
+    pub(super) fn assignment_lines(&self) -> f64 {
+        (self.weights.len() + self.admission_levels.len() + 1) as f64
+    }
+
+    /// The weights that the table should have: the home zone's endpoints at their weight and the others at a part of
+    /// it, as many as the limits allow.
+    pub(super) fn desired_weights(
+        &mut self,
+        number: u32,
+        snapshot: &RoutingSnapshot,
+    ) -> BTreeMap<EndpointId, EndpointWeight> {
+        let (home, mut remote): (Vec<&Candidate>, Vec<&Candidate>) =
+            snapshot.candidates.iter().partition(|candidate| self.home_zone == Some(candidate.zone));
+        if snapshot.is_zone_local {
+            remote.clear();
+        }
+        let all = ZoneCapacity::new(&home, &remote);
+        let max = snapshot.max_table_size;
+        let reserved = (max / REMOTE_ENDPOINTS_DIVISOR).min(remote.len());
+        let home = self.ring_arc(number, home, max - reserved);
+        let remote = self.ring_arc(number, remote, max.saturating_sub(home.len()));
+        self.update_remote_factor(&all, &ZoneCapacity::new(&home, &remote), snapshot);
+
+        let mut candidates: Vec<Candidate> = home.into_iter().cloned().collect();
+        for candidate in remote {
+            let weight = candidate.weight * self.remote_factor;
+            candidates.push(Candidate { weight, ..candidate.clone() });
+        }
+        slow_start_weights(candidates, &snapshot.fleet)
+    }
+
+    /// Endpoints of other zones carry what the home zone's own don't cover, and a small part in any case. Those in the
+    /// table stand for those left out.
+    fn update_remote_factor(&mut self, all: &ZoneCapacity, held: &ZoneCapacity, snapshot: &RoutingSnapshot) {
+        let mut factor = 1.0;
+        if let Some(home_zone) = self.home_zone {
+            let due = snapshot.capacity_due(home_zone);
+            if held.home > 0.0 && held.remote > 0.0 && due > 0.0 {
+                let home_part = (all.home / due).min(1.0) * MAX_HOME_PART;
+                let even = all.remote / held.remote * held.home / all.home;
+                let needed = held.home * (1.0 - home_part) / (home_part * held.remote);
+                factor = needed.min(even).max(MIN_REMOTE_FACTOR);
+            }
+        }
+        let ratio = (factor / self.remote_factor).max(self.remote_factor / factor);
+        if ratio > REMOTE_FACTOR_RATIO {
+            self.remote_factor = factor;
+        }
+    }
+
+    /// This table's arc of a ring of endpoints, at most `max` long but for endpoints just beyond its ends that the
+    /// table holds already.
+    fn ring_arc<'a>(&self, number: u32, ring: Vec<&'a Candidate>, max: usize) -> Vec<&'a Candidate> {
+        let len = ring.len();
+        if len <= max {
+            return ring;
+        }
+        let slack = max.div_ceil(ARC_SLACK_DIVISOR);
+        let start = len * (number % ARCS_PER_ZONE) as usize / ARCS_PER_ZONE as usize;
+        let mut arc = Vec::new();
+        for (index, candidate) in ring.into_iter().enumerate() {
+            let position = (index + len - start) % len;
+            let is_near = position < max + slack || position + slack >= len;
+            if position < max || is_near && self.weights.contains_key(&candidate.id) {
+                arc.push(candidate);
+            }
+        }
+        arc
+    }
+}
+
+/// The capacity of some endpoints inside and outside a table's home zone.
+struct ZoneCapacity {
+    home: f64,
+    remote: f64,
+}
+
+impl ZoneCapacity {
+    fn new(home: &[&Candidate], remote: &[&Candidate]) -> Self {
+        ZoneCapacity {
+            home: routable_capacity(home.iter().copied()),
+            remote: routable_capacity(remote.iter().copied()),
+        }
+    }
+}
+
+/// The capacity of some endpoints for routing between zones, where cold ones count short.
+fn routable_capacity<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> f64 {
+    candidates.map(|candidate| candidate.capacity() * candidate.slow_start_factor).sum()
+}
+
+/// Where a proxy belongs.
+pub(super) struct TablePlacement {
+    pub(super) number: u32,
+    pub(super) home_zone: Option<u32>,
+}
+
+/// The table for a proxy. Where crossing zones costs or is barred, each zone has tables of its own.
+pub(super) fn table_for(
+    proxy: u32,
+    zone: u32,
+    config: &ControllerConfig,
+    endpoints: &EndpointRegistry,
+    limits: &ChannelLimits,
+) -> TablePlacement {
+    let is_zoned = config.cross_zone_costs || has_zone_local_class(config);
+    // One table where it may hold the fleet and as much again.
+    let is_whole_fleet = endpoints.len() > 0 && endpoints.len() <= limits.max_table_size / 2;
+    let arc = if is_whole_fleet { 0 } else { proxy % ARCS_PER_ZONE };
+    let group = if is_zoned { 1 + zone } else { 0 };
+    TablePlacement { number: group * ARCS_PER_ZONE + arc, home_zone: is_zoned.then_some(zone) }
+}
+
+fn has_zone_local_class(config: &ControllerConfig) -> bool {
+    config.request_classes.iter().any(|class| class.zone_local)
+}
+
+/// All route tables, by number.
+pub(super) struct RouteTables {
+    pub(super) by_number: BTreeMap<u32, RouteTable>,
+    /// Each controller orders the ring by a number of its own.
+    ring_salt: u32,
+}
+
+impl RouteTables {
+    /// No tables yet.
+    pub(super) fn new(ring_salt: u32) -> Self {
+        RouteTables { by_number: BTreeMap::new(), ring_salt }
+    }
+
+    /// Creates a table where it doesn't exist.
+    pub(super) fn ensure(&mut self, placement: &TablePlacement) {
+        self.by_number.entry(placement.number).or_insert_with(|| RouteTable::new(placement.home_zone));
+    }
+
+    /// Whether a table holds an endpoint.
+    pub(super) fn hold(&self, id: &EndpointId) -> bool {
+        self.by_number.values().any(|table| table.weights.contains_key(id))
+    }
+
+    /// Whether a table holds a ready endpoint.
+    pub(super) fn is_usable(&self, number: u32, endpoints: &EndpointRegistry) -> bool {
+        self.by_number[&number].weights.keys().any(|id| endpoints.is_ready(id))
+    }
+
+    /// A weight was rejected and doesn't stand.
+    pub(super) fn remove_weight(&mut self, number: u32, id: &EndpointId) {
+        if let Some(table) = self.by_number.get_mut(&number) {
+            table.weights.remove(id);
+        }
+    }
+}
+
+/// The inputs of all tables of one moment.
+pub(super) struct RoutingSnapshot {
+    /// The candidates, in the order of the ring.
+    candidates: Vec<Candidate>,
+    /// The usual request rate of each zone's proxies.
+    rates_by_zone: BTreeMap<u32, f64>,
+    /// The capacity of all zones that have proxies.
+    served_capacity: f64,
+    max_table_size: usize,
+    /// Requests of some class must not leave their zone.
+    is_zone_local: bool,
+    fleet: FleetCondition,
+}
+
+impl RoutingSnapshot {
+    /// The inputs as they are now.
+    pub(super) fn new(
+        now: Moment,
+        config: &ControllerConfig,
+        endpoints: &EndpointRegistry,
+        proxies: &ProxyRegistry,
+        load: &FleetLoad,
+        tables: &RouteTables,
+        limits: &ChannelLimits,
+    ) -> Self {
+        let mut candidates = candidates(now, config, endpoints);
+        candidates.sort_by_cached_key(|candidate| ring_position(&candidate.id, tables.ring_salt));
+        let rates_by_zone = proxies.rates_by_zone();
+        let served = candidates.iter().filter(|candidate| rates_by_zone.contains_key(&candidate.zone));
+        RoutingSnapshot {
+            served_capacity: routable_capacity(served),
+            candidates,
+            rates_by_zone,
+            max_table_size: limits.max_table_size,
+            is_zone_local: has_zone_local_class(config),
+            fleet: FleetCondition::new(config, endpoints, load),
+        }
+    }
+
+    /// The part of the served capacity that a zone's traffic is due.
+    fn capacity_due(&self, zone: u32) -> f64 {
+        let rate = self.rates_by_zone.get(&zone).unwrap_or(&0.0);
+        let all_rates = self.rates_by_zone.values().sum::<f64>();
+        rate / all_rates.max(1e-9) * self.served_capacity
+    }
+}
+
+/// The ready endpoints with what they can bear now, by id.
+pub(super) fn candidates(
+    now: Moment,
+    config: &ControllerConfig,
+    endpoints: &EndpointRegistry,
+) -> Vec<Candidate> {
+    let mut candidates = Vec::new();
+    for (id, endpoint) in endpoints.ready() {
+        candidates.push(Candidate {
+            id: id.clone(),
+            zone: endpoint.zone,
+            weight: outliers::effective_weight(endpoint),
+            slow_start_factor: slow_start_factor(config.slow_start_window, endpoint.started, now),
+        });
+    }
+    candidates
+}
+
+/// The position of an endpoint on the ring: a hash of its id.
+fn ring_position(id: &str, salt: u32) -> u32 {
+    let mut hash = salt;
+    for byte in id.bytes() {
+        hash = (hash.rotate_left(5) ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+    }
+    let mix = |hash: u32| (hash ^ hash >> 15).wrapping_mul(0x2c1b_3c6d);
+    mix(mix(hash))
+}
--- /dev/null
+++ b/src/controller/sharding.rs
@@ -0,0 +1,147 @@
+//! Shards of keys: which endpoint serves each, and how a shard with a single writer changes hands.
+//!
+//! [`Controller`] publishes the shards at the end of each event where the deployment has any; there are no route tables
+//! of zones then. A shard stays where it is while an endpoint of its table is usable. With a single writer, writes to a
+//! shard stop before it moves, until those in flight or sent under a lease have ended.
+
+use super::admission::RETRY_POLICY;
+use super::routing;
+use super::slow_start::{slow_start_weights, EndpointWeight, FleetCondition};
+use super::Controller;
+use crate::host::{EndpointId, Host, RequestClassSet};
+use crate::time::{Moment, Span};
+use std::collections::BTreeMap;
+
+/// Writes are stopped for so many times as long as one may be in flight or sent under a lease.
+const HANDOVER_MARGIN: f64 = 1.5;
+
+/// A shard as it was published.
+#[derive(Default)]
+pub(super) struct Shard {
+    weights: BTreeMap<EndpointId, f64>,
+    /// Since when its writes are stopped for a handover.
+    handover_since: Option<Moment>,
+}
+
+/// The shards that this controller publishes, by number.
+#[derive(Default)]
+pub(super) struct ShardMap {
+    by_number: BTreeMap<u32, Shard>,
+}
+
+impl ShardMap {
+    /// A shard is to be published from here, and nothing is known of it.
+    pub(super) fn assign(&mut self, shard: u32) {
+        self.by_number.insert(shard, Shard::default());
+    }
+
+    /// A shard has this weight already.
+    pub(super) fn restore_weight(&mut self, shard: u32, id: &EndpointId, weight: f64) {
+        self.by_number.entry(shard).or_default().weights.insert(id.clone(), weight);
+    }
+
+    /// A shard is published from elsewhere.
+    pub(super) fn revoke(&mut self, shard: u32) {
+        self.by_number.remove(&shard);
+    }
+}
+
+/// The endpoints that may be given a shard, drawn by weight.
+struct UsableEndpoints {
+    weights: BTreeMap<EndpointId, EndpointWeight>,
+    total: f64,
+}
+
+impl UsableEndpoints {
+    /// The endpoint at a part of the summed weight, 0 to 1.
+    fn at(&self, part: f64) -> Option<&EndpointId> {
+        let mut remaining = self.total * part;
+        for (id, endpoint) in &self.weights {
+            remaining -= endpoint.weight;
+            if remaining < 0.0 {
+                return Some(id);
+            }
+        }
+        None
+    }
+}
+
+impl<H: Host> Controller<H> {
+    /// Ejects and restores endpoints, and moves the shards whose endpoints left.
+    pub(super) fn publish_shards(&mut self, now: Moment) {
+        self.update_ejections();
+        let usable = self.usable_endpoints(now);
+        for number in self.shards.by_number.keys().copied().collect::<Vec<_>>() {
+            self.publish_shard(now, number, &usable);
+        }
+    }
+
+    fn update_ejections(&mut self) {
+        for (id, endpoint) in &mut self.endpoints.by_id {
+            let should_be_ejected = !endpoint.is_ready();
+            if endpoint.ejected == should_be_ejected {
+                continue;
+            }
+            endpoint.ejected = should_be_ejected;
+            if should_be_ejected {
+                self.host.eject_endpoint(id);
+            } else {
+                self.host.restore_endpoint(id);
+            }
+        }
+    }
+
+    fn usable_endpoints(&self, now: Moment) -> UsableEndpoints {
+        let candidates = routing::candidates(now, &self.config, &self.endpoints);
+        let fleet = FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load);
+        let weights = slow_start_weights(candidates, &fleet);
+        let total = weights.values().map(|endpoint| endpoint.weight).sum::<f64>();
+        UsableEndpoints { weights, total }
+    }
+
+    fn publish_shard(&mut self, now: Moment, number: u32, usable: &UsableEndpoints) {
+        let handover_time = self.handover_time();
+        let write_classes = self.write_classes();
+        let Some(shard) = self.shards.by_number.get_mut(&number) else { return };
+        let is_usable = shard.weights.keys().any(|id| usable.weights.contains_key(id));
+        if shard.handover_since.is_none() && is_usable {
+            return;
+        }
+        let Some(id) = usable.at(self.rng.next_f64()) else { return };
+        if self.config.single_writer && !shard.weights.is_empty() {
+            let since = *shard.handover_since.get_or_insert(now);
+            if since == now {
+                self.host.set_admission(number, write_classes, 0.0, RETRY_POLICY);
+            }
+            if now - since < handover_time {
+                return;
+            }
+            shard.handover_since = None;
+            self.host.set_admission(number, write_classes, 1.0, RETRY_POLICY);
+        }
+        let former = std::mem::take(&mut shard.weights);
+        if !self.config.single_writer {
+            for id in former.keys() {
+                self.host.set_endpoint_weight(number, id, 0.0);
+            }
+        }
+        self.host.set_endpoint_weight(number, id, 1.0);
+        shard.weights.insert(id.clone(), 1.0);
+    }
+
+    /// How long writes are stopped before a shard with a single writer moves.
+    fn handover_time(&self) -> Span {
+        let in_flight = self.config.max_transit + self.config.lease + self.config.settle_time;
+        in_flight * HANDOVER_MARGIN
+    }
+
+    fn write_classes(&self) -> RequestClassSet {
+        let mut classes = 0;
+        for (position, class) in self.config.request_classes.iter().enumerate() {
+            if class.writes {
+                classes |= 1 << position;
+            }
+        }
+        classes
+    }
+}
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,9 +1,17 @@
 //! One test a part of the mechanism and a guard; each builds its state and makes one call.
 
+use super::admission::MIN_LEVEL;
+use super::changes::TableChanges;
+use super::channel::{Urgency, MAX_QUEUE_PART, MIN_ORDINARY_QUEUE_PART};
+use super::outliers::FAILED_BAND;
+use super::routing::{RouteTable, ARCS_PER_ZONE, REMOTE_ENDPOINTS_DIVISOR};
+use super::slow_start::{slow_start_factor, RAMP_EXPONENT};
 use super::*;
+use crate::channel_backlog::ChannelBacklog;
+use crate::config::ControllerConfig;
 
+use crate::host::EndpointState::{Draining, Ready, Removed};
 use crate::testing::{at, config, listing, running};
-use EndpointState::{Draining, Ready, Removed};
 
 /// A config with a product that must stay in the proxy's zone.
 fn second_stays() -> ControllerConfig {
@@ -12,6 +20,16 @@
     config
 }
 
+fn limits(controller: &Controller<crate::testing::Recorder>) -> ChannelLimits {
+    ChannelLimits::new(&controller.config, &controller.endpoints)
+}
+
+/// The room for commands to proxy 0.
+fn room(controller: &mut Controller<crate::testing::Recorder>, now: Moment, urgency: Urgency) -> f64 {
+    let limits = limits(controller);
+    controller.channel.room(now, urgency, &[0], &limits)
+}
+
 fn said(controller: &mut Controller<crate::testing::Recorder>) -> String {
     controller.host().said.join("\n")
 }
@@ -35,7 +53,7 @@
 #[test]
 fn changes_that_can_wait_are_gathered() {
     let mut controller = running(config(), &["a"], 1);
-    controller.held.gathered = at(2.0);
+    controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.5), &[listing("b", 0, Ready, None)]);
     assert_eq!(controller.host.count("line"), 0);
 }
@@ -43,7 +61,7 @@
 #[test]
 fn a_draining_server_leaves_at_once_whatever_the_gathering() {
     let mut controller = running(config(), &["a", "b"], 1);
-    controller.held.gathered = at(2.0);
+    controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[listing("a", 0, Draining, None)]);
     assert_eq!(controller.host.said, ["line 0 a 0", "withdraw a true"]);
 }
@@ -75,7 +93,7 @@
     let mut controller = running(config(), &["a"], 1);
     controller.endpoints.by_id.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
-    controller.tbls.get_mut(&0).unwrap().carried = Some(at(2.0));
+    controller.tables.by_number.get_mut(&0).unwrap().carried_since = Some(at(2.0));
     controller.timer_fired(at(3.0), Timer::Recheck);
     assert!(said(&mut controller).contains("withdraw a true"));
 }
@@ -85,7 +103,7 @@
     let mut controller = running(config(), &["a", "b"], 1);
     let back = controller.endpoints.by_id.get_mut("a").unwrap();
     (back.state, back.ejected) = (Removed, true);
-    controller.tbls.get_mut(&0).unwrap().lines.remove("a");
+    controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
     controller.endpoints_updated(at(40.0), &[listing("a", 0, Ready, Some(at(10.0)))]);
     assert_eq!(controller.host.said, ["withdraw a false", "line 0 a 2"]);
 }
@@ -100,14 +118,14 @@
 #[test]
 fn the_ramp_counts_from_the_start_not_from_the_list() {
     let window = config().slow_start_window;
-    let factor = slow_start::slow_start_factor(window, Some(at(-8.0)), at(0.0));
-    assert!((factor - (0.1 + 0.9 * 0.5f64.powf(slow_start::RAMP_EXPONENT))).abs() < 1e-9);
+    let factor = slow_start_factor(window, Some(at(-8.0)), at(0.0));
+    assert!((factor - (0.1 + 0.9 * 0.5f64.powf(RAMP_EXPONENT))).abs() < 1e-9);
 }
 
 #[test]
 fn a_restart_behind_the_same_id_can_not_wait() {
     let mut controller = running(config(), &["a", "b"], 1);
-    controller.held.gathered = at(2.0);
+    controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[listing("a", 0, Ready, Some(at(1.0)))]);
     assert!(controller.host.weight(0, "a").unwrap() < 0.3);
 }
@@ -142,7 +160,7 @@
     let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 1);
     controller.proxy_joined(at(1.0), 1, 1, 10.0, true);
     controller.endpoints_updated(at(2.0), &[listing("b", 1, Ready, None)]);
-    assert!((controller.host.weight(ARCS, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
+    assert!((controller.host.weight(ARCS_PER_ZONE, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
 }
 
 #[test]
@@ -150,14 +168,17 @@
     let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
     controller.proxy_joined(at(1.0), 1, 5, 10.0, true);
     controller.timer_fired(at(1.2), Timer::Recheck);
-    assert_eq!(controller.host.weight(6 * ARCS, "a"), Some(2.0));
+    assert_eq!(controller.host.weight(6 * ARCS_PER_ZONE, "a"), Some(2.0));
 }
 
 #[test]
 fn where_a_product_must_stay_a_table_holds_its_zone_alone() {
     let mut controller = running(second_stays(), &["a"], 1);
     controller.endpoints_updated(at(2.0), &[listing("b", 1, Ready, None), listing("c", 0, Ready, None)]);
-    assert_eq!((controller.host.weight(ARCS, "b"), controller.host.weight(ARCS, "c")), (None, Some(2.0)));
+    assert_eq!(
+        (controller.host.weight(ARCS_PER_ZONE, "b"), controller.host.weight(ARCS_PER_ZONE, "c")),
+        (None, Some(2.0))
+    );
 }
 
 /// Sixty servers in each of two zones, and sixty proxies of both, where tables may hold sixteen lines.
@@ -175,14 +196,19 @@
 #[test]
 fn tables_that_all_could_not_leave_in_time_hold_an_arc_of_the_fleet_each() {
     let controller = tight();
-    let lines = |t: &RouteTable| t.lines.len();
+    let lines = |t: &RouteTable| t.weights.len();
     assert!(
-        controller.tbls.len() > 8 && controller.tbls.values().all(|t| lines(t) == controller.lines_most())
+        controller.tables.by_number.len() > 8
+            && controller.tables.by_number.values().all(|t| lines(t) == limits(&controller).max_table_size)
     );
     let homely = |t: &RouteTable| {
-        t.lines.keys().filter(|id| Some(controller.endpoints.by_id[*id].zone) == t.home).count()
+        t.weights.keys().filter(|id| Some(controller.endpoints.by_id[*id].zone) == t.home_zone).count()
     };
-    assert!(controller.tbls.values().all(|t| homely(t) * AWAY >= lines(t) * (AWAY - 1)));
+    assert!(controller
+        .tables
+        .by_number
+        .values()
+        .all(|t| homely(t) * REMOTE_ENDPOINTS_DIVISOR >= lines(t) * (REMOTE_ENDPOINTS_DIVISOR - 1)));
 }
 
 #[test]
@@ -215,7 +241,8 @@
 fn held_binds_are_tried_again_on_a_jittered_heartbeat() {
     let mut controller = running(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
-    controller.bind_waiting(at(1.2));
+    let limits = limits(&controller);
+    controller.assign_waiting(at(1.2), &limits);
     assert_eq!(controller.host.count("wake 2 "), 1);
 }
 
@@ -225,7 +252,7 @@
     (0..400).for_each(|proxy| controller.proxy_joined(at(1.0), proxy, 0, 10.0, true));
     controller.timer_fired(at(1.2), Timer::Recheck);
     let bound = controller.host.count("bind");
-    let fits = 1000.0 * MOST_LINES * ORDINARY_LINES;
+    let fits = 1000.0 * MAX_QUEUE_PART * MIN_ORDINARY_QUEUE_PART;
     assert!(bound as f64 * 7.0 <= fits && (bound + 1) as f64 * 7.0 > fits);
 }
 
@@ -234,7 +261,7 @@
     let mut controller = running(config(), &["a"], 0);
     controller.proxy_joined(at(1.0), 4, 0, 90.0, false);
     controller.proxy_joined(at(1.0), 5, 0, 10.0, true);
-    controller.turn(at(1.2));
+    controller.issue_commands(at(1.2));
     assert!(said(&mut controller).find("bind 5") < said(&mut controller).find("bind 4"));
 }
 
@@ -242,10 +269,10 @@
 fn thin_standing_tables_bind_before_changes_go() {
     let mut controller = running(config(), &["a", "b", "c"], 1);
     controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
-    controller.tbls.get_mut(&0).unwrap().lines.remove("a");
+    controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
     controller.endpoints.by_id.get_mut("c").unwrap().weight = 4.0;
     controller.proxy_joined(at(2.0), 4, 0, 90.0, true);
-    controller.turn(at(2.2));
+    controller.issue_commands(at(2.2));
     assert_eq!((controller.host.count("bind 4"), controller.host.count("line 0 c")), (1, 0));
 }
 
@@ -254,9 +281,11 @@
     let mut controller = running(config(), &["a"], 0);
     (0..40).for_each(|proxy| controller.proxy_joined(at(1.0), proxy, 0, 10.0, true));
     controller.timer_fired(at(1.2), Timer::Recheck);
-    let waiting = controller.ledger.queued_lines(at(1.3));
+    let waiting = controller.channel.backlog.queued_lines(at(1.3));
     controller.acknowledged(at(1.3), 1, 7);
-    assert!(controller.host.count("mark 1") == 1 && controller.ledger.queued_lines(at(1.3)) < waiting);
+    assert!(
+        controller.host.count("mark 1") == 1 && controller.channel.backlog.queued_lines(at(1.3)) < waiting
+    );
 }
 
 #[test]
@@ -277,7 +306,7 @@
         &ids,
         30,
     );
-    controller.proxies.values_mut().for_each(|p| (p.bound, p.reached) = (true, true));
+    controller.proxies.joined.values_mut().for_each(|p| (p.is_assigned, p.receives_updates) = (true, true));
     controller
 }
 
@@ -287,7 +316,7 @@
     for (k, endpoint) in controller.endpoints.by_id.values_mut().enumerate() {
         (endpoint.state, endpoint.left) = (Draining, at(9.0 - k as f64 / 100.0));
     }
-    controller.turn(at(60.0));
+    controller.issue_commands(at(60.0));
     assert!(controller.host.weight(0, "59") == Some(0.0) && controller.host.weight(0, "10").is_none());
 }
 
@@ -297,7 +326,7 @@
     let a = controller.endpoints.by_id.get_mut("a").unwrap();
     (a.state, a.ejected) = (Removed, true);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
-    controller.turn(at(1.05));
+    controller.issue_commands(at(1.05));
     assert_eq!(controller.host.count("withdraw a true"), 1);
 }
 
@@ -314,25 +343,28 @@
 fn lines_to_proxies_told_of_anew_are_still_counted() {
     let mut controller = running(config(), &["a", "b"], 4);
     (0..4).for_each(|proxy| controller.proxy_joined(at(1.0), proxy, 0, 10.0, false));
-    let before = controller.ledger.recorded_lines;
+    let before = controller.channel.backlog.recorded_lines;
     let heavier = EndpointUpdate { weight: 3.0, ..listing("b", 0, Ready, None) };
     controller.endpoints_updated(at(1.01), &[heavier]);
     let lines = controller.host.count("line") as f64;
-    assert!(controller.ledger.recorded_lines - before >= 4.0 * lines);
+    assert!(controller.channel.backlog.recorded_lines - before >= 4.0 * lines);
     controller.timer_fired(at(3.0), Timer::Evaluation);
     assert!(controller.host.weight(0, "b") == Some(3.0));
 }
 
 /// Messages to proxy 0 at these moments.
 fn messages(controller: &mut Controller<crate::testing::Recorder>, moments: impl Iterator<Item = f64>) {
-    moments.for_each(|moment| controller.ledger.record(at(moment), 0, 1.0, 0.0));
+    moments.for_each(|moment| controller.channel.backlog.record(at(moment), 0, 1.0, 0.0));
 }
 
 #[test]
 fn ordinary_changes_leave_messages_for_drains() {
     let mut controller = running(config(), &["a"], 1);
     messages(&mut controller, (1..=6).map(f64::from));
-    assert!(controller.room(at(7.0), false, &[0]) == 0.0 && controller.room(at(8.5), true, &[0]) > 0.0);
+    assert!(
+        room(&mut controller, at(7.0), Urgency::Ordinary) == 0.0
+            && room(&mut controller, at(8.5), Urgency::Urgent) > 0.0
+    );
 }
 
 #[test]
@@ -346,22 +378,25 @@
 #[test]
 fn a_long_queue_holds_ordinary_changes_back() {
     let mut controller = running(config(), &["a"], 1);
-    controller.ledger = ChannelBacklog::default();
-    controller.ledger.record(at(2.0), 0, 895.0, 0.0);
-    assert!(controller.room(at(2.0), false, &[0]) < 1.0 && controller.room(at(2.0), true, &[0]) > 4.0);
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.channel.backlog.record(at(2.0), 0, 895.0, 0.0);
+    assert!(
+        room(&mut controller, at(2.0), Urgency::Ordinary) < 1.0
+            && room(&mut controller, at(2.0), Urgency::Urgent) > 4.0
+    );
 }
 
 #[test]
 fn what_cannot_wait_is_gathered_while_the_queue_is_long() {
     let mut controller =
         running(ControllerConfig { max_transit: Span::secs(0.1), ..config() }, &["a", "b", "c"], 1);
-    controller.ledger = ChannelBacklog::default();
-    controller.ledger.record(at(2.0), 0, 400.0, 0.0);
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
     controller.endpoints_updated(at(2.0), &[listing("a", 0, Draining, None)]);
     controller.endpoints_updated(at(2.5), &[listing("b", 0, Draining, None)]);
     assert_eq!(controller.host.count("line"), 0);
-    controller.ledger = ChannelBacklog::default();
-    controller.turn(at(2.6));
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.issue_commands(at(2.6));
     assert_eq!((controller.host.weight(0, "a"), controller.host.weight(0, "b")), (Some(0.0), Some(0.0)));
 }
 
@@ -369,27 +404,27 @@
 fn where_all_answers_are_lost_one_proxy_is_asked_anew() {
     let mut controller =
         running(ControllerConfig { max_transit: Span::secs(0.1), ..config() }, &["a", "b"], 2);
-    controller.ledger.record(at(2.0), 0, 400.0, 0.0);
-    controller.turn(at(2.5));
+    controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
+    controller.issue_commands(at(2.5));
     assert_eq!(controller.host.count("bind"), 0);
-    controller.turn(at(2.7));
+    controller.issue_commands(at(2.7));
     assert_eq!((controller.host.count("bind"), controller.host.count("mark")), (1, 1));
 }
 
 #[test]
 fn what_waited_for_a_proxy_that_left_does_not_wait_any_more() {
     let mut controller = running(config(), &["a"], 2);
-    controller.ledger.record(at(2.0), 1, 400.0, 0.0);
-    let waited = controller.ledger.queued_lines(at(2.0));
+    controller.channel.backlog.record(at(2.0), 1, 400.0, 0.0);
+    let waited = controller.channel.backlog.queued_lines(at(2.0));
     controller.proxy_left(at(2.0), 1);
-    assert!(controller.ledger.queued_lines(at(2.0)) <= waited - 400.0);
+    assert!(controller.channel.backlog.queued_lines(at(2.0)) <= waited - 400.0);
 }
 
 #[test]
 fn more_than_a_queue_holds_goes_in_pieces_and_never_waits_for_ever() {
     let mut controller = crowded(10.0, 90);
     controller.endpoints.by_id.values_mut().skip(1).for_each(|s| s.state = Draining);
-    controller.turn(at(90.0));
+    controller.issue_commands(at(90.0));
     assert!((8..79).contains(&controller.host.count("line")));
 }
 
@@ -399,7 +434,7 @@
     controller.endpoints.by_id.values_mut().for_each(|s| s.state = Draining);
     controller.admission.levels[0] = 0.5;
     controller.proxy_joined(at(59.0), 99, 0, 10.0, true);
-    controller.turn(at(60.0));
+    controller.issue_commands(at(60.0));
     assert!(
         controller.host.count("line") < 60
             && controller.host.count("level") + controller.host.count("bind") == 0
@@ -409,8 +444,10 @@
 #[test]
 fn no_further_try_is_ever_ordered() {
     let mut controller = running(config(), &["a"], 0);
-    controller.tbls.insert(0, RouteTable::default());
-    controller.send(at(1.0), 0, Vec::new(), true, &[]);
+    controller.tables.by_number.insert(0, RouteTable::new(None));
+    let limits = limits(&controller);
+    let nothing = TableChanges { table: 0, receivers: Vec::new(), changes: Vec::new() };
+    controller.send_changes(at(1.0), &limits, nothing, true);
     assert_eq!(
         controller.host.count("level"),
         controller.host.said.iter().filter(|s| s.ends_with("Never")).count()
@@ -422,7 +459,7 @@
 fn a_server_that_hurts_more_than_its_peers_goes_down_a_rung() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     controller.endpoints.by_id.values_mut().for_each(|s| s.outcomes.add(0, 20.0));
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 20.0);
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 20.0);
     controller.detect_outliers(at(5.0));
     assert_eq!(
         controller.endpoints.by_id.values().map(|s| s.ejection_level).collect::<Vec<_>>(),
@@ -467,7 +504,7 @@
     for id in ["a", "b"] {
         controller.endpoints.by_id.get_mut(id).unwrap().set_ejection_level(5, at(5.0));
     }
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 900.0);
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 900.0);
     controller.detect_outliers(at(5.0));
     assert_eq!(controller.endpoints.by_id["c"].ejection_level, 0);
 }
@@ -479,8 +516,8 @@
         .endpoints
         .by_id
         .values_mut()
-        .for_each(|s| (s.outcomes.add(0, 6.0), s.outcomes.add(outliers::FAILED_BAND, 4.0)).0);
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(outliers::FAILED_BAND, 90.0);
+        .for_each(|s| (s.outcomes.add(0, 6.0), s.outcomes.add(FAILED_BAND, 4.0)).0);
+    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 90.0);
     controller.endpoints.by_id.get_mut("d").unwrap().outcomes.add(0, 200.0);
     controller.detect_outliers(at(5.0));
     assert!(controller.endpoints.by_id.values().all(|s| s.ejection_level == 0));
@@ -520,7 +557,7 @@
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
-    assert!(controller.admission.levels[0] <= admission::MIN_LEVEL && controller.admission.levels[1] == 1.0);
+    assert!(controller.admission.levels[0] <= MIN_LEVEL && controller.admission.levels[1] == 1.0);
 }
 
 /// What a supervisor knows three seconds after its start: a few tries of the first proxies that joined it.
@@ -655,8 +692,12 @@
         );
         controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
     }
-    assert!(controller.endpoints.by_id.len() < 20 && controller.tbls[&0].lines.len() == 1);
-    assert!(controller.ledger.retained_entries() < 200, "{}", controller.ledger.retained_entries());
+    assert!(controller.endpoints.by_id.len() < 20 && controller.tables.by_number[&0].weights.len() == 1);
+    assert!(
+        controller.channel.backlog.retained_entries() < 200,
+        "{}",
+        controller.channel.backlog.retained_entries()
+    );
 }
 
 #[test]
@@ -700,9 +741,9 @@
 #[test]
 fn strays_wait_for_bars_from_when_a_server_leaves_although_no_order_gets_out() {
     let mut controller = crowded(3.0, 20);
-    controller.ledger = ChannelBacklog::default();
+    controller.channel.backlog = ChannelBacklog::default();
     controller.commands_lost(at(2.0), false);
-    controller.proxies.values_mut().for_each(|p| (p.bound, p.reached) = (false, false));
+    controller.proxies.joined.values_mut().for_each(|p| (p.is_assigned, p.receives_updates) = (false, false));
     controller.endpoints_updated(at(2.1), &[listing("12", 0, Draining, None)]);
     controller.commands_accepted(at(4.0));
     assert_eq!(controller.host.count("withdraw 12 true"), 1);
@@ -723,19 +764,19 @@
 #[test]
 fn commands_that_may_have_been_carried_out_count_twice() {
     let mut controller = running(config(), &["a", "b"], 1);
-    let waiting = controller.ledger.queued_lines(at(0.2));
+    let waiting = controller.channel.backlog.queued_lines(at(0.2));
     controller.commands_lost(at(0.2), true);
-    assert!(controller.ledger.queued_lines(at(0.2)) >= 2.0 * waiting);
+    assert!(controller.channel.backlog.queued_lines(at(0.2)) >= 2.0 * waiting);
 }
 
 #[test]
 fn lost_commands_that_reach_nobody_wait_for_nobodys_lines() {
     let mut controller = running(config(), &["a", "b"], 1);
-    let lines = controller.ledger.recorded_lines;
-    controller.turn(at(1.0));
+    let lines = controller.channel.backlog.recorded_lines;
+    controller.issue_commands(at(1.0));
     controller.commands_lost(at(1.0), true);
     assert_eq!(
-        (controller.ledger.recorded_lines, controller.host.said.last().unwrap().as_str()),
+        (controller.channel.backlog.recorded_lines, controller.host.said.last().unwrap().as_str()),
         (lines, "wake 5 50000")
     );
 }
@@ -745,7 +786,7 @@
     let mut controller = running(config(), &["a", "b"], 1);
     (0..50).for_each(|n| controller.commands_lost(at(1.0 + f64::from(n)), true));
     controller.acknowledged(at(51.0), 50, 0);
-    assert_eq!((controller.host.count("mark"), controller.ledger.queued_lines(at(51.0))), (50, 0.0));
+    assert_eq!((controller.host.count("mark"), controller.channel.backlog.queued_lines(at(51.0))), (50, 0.0));
 }
 
 #[test]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,7 +9,6 @@
 pub mod histogram;
 pub mod host;
 pub mod seeded_rng;
-mod state;
 #[cfg(test)]
 mod testing;
 pub mod time;
