--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -98,7 +98,7 @@
     let within_grace = config.drain_grace * CARRY_GRACE_PART - config.max_transit;
     let max_time = if config.removal_not_binding { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
     let still_answers = |id: &EndpointId| {
-        endpoints.by_id.get(id).is_some_and(|endpoint| {
+        endpoints.get(id).is_some_and(|endpoint| {
             endpoint.state == EndpointState::Removed
                 && endpoint.last_answered.is_some_and(|at| now - at < MAX_CARRY_TIME)
         })
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -34,7 +34,7 @@
 impl<H: Host> Controller<H> {
     /// Starts the clock of the drain grace for ejections that can't be sent since commands are waiting to be resent.
     pub(super) fn note_pending_ejections(&mut self, now: Moment) {
-        let is_pending = self.endpoints.by_id.values().any(|endpoint| endpoint.needs_ejection());
+        let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
             self.ejection.pending_since.get_or_insert(now);
         }
@@ -63,7 +63,7 @@
         let cost = |count| self.ejection_cost(count, limits);
         let count = if is_queue_short { limits.largest_batch(leaving.len(), room, cost) } else { 0 };
         for id in &leaving[..count] {
-            let endpoint = self.endpoints.by_id.get_mut(id).expect("leaving endpoints are registered");
+            let endpoint = self.endpoints.get_mut(id).expect("leaving endpoints are registered");
             endpoint.mark_ejected();
             self.host.eject_endpoint(id);
         }
@@ -78,7 +78,7 @@
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
         let mut leaving = Vec::new();
-        for (id, endpoint) in &self.endpoints.by_id {
+        for (id, endpoint) in self.endpoints.iter() {
             if endpoint.needs_ejection() && !in_tables.contains(id) {
                 leaving.push((endpoint.left, id.clone()));
             }
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -105,9 +105,11 @@
 /// The known endpoints, by id.
 #[derive(Default)]
 pub(super) struct EndpointRegistry {
-    pub(super) by_id: BTreeMap<EndpointId, Endpoint>,
+    by_id: BTreeMap<EndpointId, Endpoint>,
     /// The most weight that was ready of late.
     peak_ready_weight: f64,
+    /// When the list could not be watched last.
+    last_watch_failure: Option<Moment>,
 }
 
 impl EndpointRegistry {
@@ -133,14 +135,46 @@
         }
     }
 
+    /// The delay before the list is watched again after a failure. There is none after a first failure, since the grace
+    /// of a drain that was missed meanwhile is running.
+    pub(super) fn watch_retry_delay(&mut self, now: Moment, rng: &mut SeededRng) -> Span {
+        let previous = self.last_watch_failure.replace(now);
+        let failed_lately = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
+        if failed_lately {
+            WATCH_RETRY_DELAY * (0.5 + rng.next_f64())
+        } else {
+            Span::ZERO
+        }
+    }
+
+    /// A known endpoint.
+    pub(super) fn get(&self, id: &str) -> Option<&Endpoint> {
+        self.by_id.get(id)
+    }
+
+    /// A known endpoint, to change what is known about it.
+    pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
+        self.by_id.get_mut(id)
+    }
+
+    /// All known endpoints, by id.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
+        self.by_id.iter()
+    }
+
+    /// All known endpoints by id, to change what is known about them.
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&EndpointId, &mut Endpoint)> {
+        self.by_id.iter_mut()
+    }
+
     /// The number of known endpoints, whatever their state.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
     /// Whether an endpoint is known and ready.
-    pub(super) fn is_ready(&self, id: &EndpointId) -> bool {
-        self.by_id.get(id).is_some_and(Endpoint::is_ready)
+    pub(super) fn is_ready(&self, id: &str) -> bool {
+        self.get(id).is_some_and(Endpoint::is_ready)
     }
 
     /// The ready endpoints, by id.
@@ -192,23 +226,3 @@
         expired.iter().filter_map(|id| self.by_id.remove_entry(id)).collect()
     }
 }
-
-/// Paces the attempts to watch the endpoint list.
-#[derive(Default)]
-pub(super) struct EndpointWatch {
-    last_failure: Option<Moment>,
-}
-
-impl EndpointWatch {
-    /// The delay before the next attempt. There is none after a first failure, since the grace of a drain that was
-    /// missed meanwhile is running.
-    pub(super) fn retry_delay(&mut self, now: Moment, rng: &mut SeededRng) -> Span {
-        let previous = self.last_failure.replace(now);
-        let failed_lately = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
-        if failed_lately {
-            WATCH_RETRY_DELAY * (0.5 + rng.next_f64())
-        } else {
-            Span::ZERO
-        }
-    }
-}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -51,7 +51,7 @@
 use channel::{Channel, ChannelLimits};
 use delivery::DeliveryState;
 use ejection::EjectionState;
-use endpoints::{EndpointRegistry, EndpointWatch};
+use endpoints::EndpointRegistry;
 use fleet_load::FleetLoad;
 use outliers::Outcomes;
 use proxies::ProxyRegistry;
@@ -72,7 +72,6 @@
     rng: SeededRng,
     timers: PendingTimers,
     endpoints: EndpointRegistry,
-    endpoint_watch: EndpointWatch,
     proxies: ProxyRegistry,
     tables: RouteTables,
     shards: ShardMap,
@@ -98,7 +97,6 @@
             rng,
             timers: PendingTimers::default(),
             endpoints: EndpointRegistry::default(),
-            endpoint_watch: EndpointWatch::default(),
             proxies: ProxyRegistry::default(),
             tables: RouteTables::new(ring_salt),
             shards: ShardMap::default(),
@@ -131,7 +129,7 @@
 
     /// The endpoint list could not be read, or its watch ended: what is known stays, and the list is watched again.
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
-        let delay = self.endpoint_watch.retry_delay(now, &mut self.rng);
+        let delay = self.endpoints.watch_retry_delay(now, &mut self.rng);
         self.host.schedule_timer(delay, Timer::WatchRetry);
     }
 
@@ -164,7 +162,7 @@
         latency: Span,
         interval: Span,
     ) {
-        let Some(endpoint) = self.endpoints.by_id.get_mut(id) else { return };
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let answered = (attempts - failed).max(0.0);
         self.fleet_load.record_outcomes(attempts, answered);
         let outcomes = Outcomes { answered, failed, latency, interval };
@@ -195,9 +193,9 @@
         }
     }
 
-    /// The latest commands came to nothing, or, if `unsure`, nobody knows whether they did.
-    pub fn commands_lost(&mut self, now: Moment, unsure: bool) {
-        self.schedule_resend(now, unsure);
+    /// The latest commands were lost, or, with `may_have_arrived`, nobody knows whether they were.
+    pub fn commands_lost(&mut self, now: Moment, may_have_arrived: bool) {
+        self.schedule_resend(now, may_have_arrived);
     }
 
     /// The latest commands were accepted.
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -119,7 +119,9 @@
 }
 
 fn median_score(endpoints: &EndpointRegistry, scores: &[EndpointScore], min_attempts: f64) -> f64 {
-    let has_attempts = |scored: &&EndpointScore| endpoints.by_id[&scored.id].outcomes.total() >= min_attempts;
+    let has_attempts = |scored: &&EndpointScore| {
+        endpoints.get(&scored.id).is_some_and(|endpoint| endpoint.outcomes.total() >= min_attempts)
+    };
     let known: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
     known.get(known.len() / 2).copied().unwrap_or(0.0)
 }
@@ -133,7 +135,7 @@
         if *score <= limit {
             continue;
         }
-        let endpoint = endpoints.by_id.get_mut(id).expect("scored endpoints are registered");
+        let endpoint = endpoints.get_mut(id).expect("scored endpoints are registered");
         let levels = if *score >= HOPELESS_SCORE { HOPELESS_LEVELS } else { 1 };
         let level = (endpoint.ejection_level + levels).min(MAX_EJECTION_LEVEL);
         ejected += endpoint.weight * (kept(endpoint) - WEIGHT_KEPT[level]);
@@ -148,7 +150,7 @@
 }
 
 fn recover(endpoints: &mut EndpointRegistry, limit: f64, now: Moment) {
-    for endpoint in endpoints.by_id.values_mut() {
+    for (_, endpoint) in endpoints.iter_mut() {
         if !endpoint.is_ready() || endpoint.ejection_level == 0 {
             continue;
         }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -58,7 +58,7 @@
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
             if change.is_urgent {
-                let left = endpoints.by_id.get(&change.id).map(|endpoint| endpoint.left);
+                let left = endpoints.get(&change.id).map(|endpoint| endpoint.left);
                 ordered.insert((left, change.id.clone()));
             }
         }
@@ -233,7 +233,7 @@
         let mut restored = 0;
         for WeightChange { id, weight, .. } in changes {
             // An endpoint that returns is restored with its first weight and not before: it may be cold.
-            let endpoint = self.endpoints.by_id.get_mut(&id);
+            let endpoint = self.endpoints.get_mut(&id);
             if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.ejected && endpoint.is_ready()) {
                 endpoint.mark_restored();
                 self.host.restore_endpoint(&id);
@@ -241,12 +241,11 @@
             }
             self.host.set_endpoint_weight(number, &id, weight);
             commands += 1;
-            table.weights.insert(id, weight);
+            table.publish_weight(id, weight);
         }
-        table.weights.retain(|_, weight| *weight > 0.0);
         if with_admission {
             for (class, level) in self.admission.levels.iter().copied().enumerate() {
-                if table.admission_levels.insert(class, level) != Some(level) {
+                if table.publish_admission_level(class, level) {
                     self.host.set_admission(number, 1 << class, level, RETRY_POLICY);
                     commands += 1;
                 }
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -37,7 +37,7 @@
     /// The published weights.
     pub(super) weights: BTreeMap<EndpointId, f64>,
     /// The published admission level of each request class.
-    pub(super) admission_levels: BTreeMap<usize, f64>,
+    admission_levels: BTreeMap<usize, f64>,
     /// The part of their weight that endpoints of other zones get.
     remote_factor: f64,
     /// Since when it keeps its weights although all of its endpoints left the list.
@@ -64,6 +64,20 @@
         (self.weights.len() + self.admission_levels.len() + 1) as f64
     }
 
+    /// A weight was published; 0 removes the endpoint.
+    pub(super) fn publish_weight(&mut self, id: EndpointId, weight: f64) {
+        if weight > 0.0 {
+            self.weights.insert(id, weight);
+        } else {
+            self.weights.remove(&id);
+        }
+    }
+
+    /// Marks an admission level as published; false where it was published already.
+    pub(super) fn publish_admission_level(&mut self, class: usize, level: f64) -> bool {
+        self.admission_levels.insert(class, level) != Some(level)
+    }
+
     /// The weights that the table should have: the home zone's endpoints at their weight and the others at a part of
     /// it, as many as the limits allow.
     pub(super) fn desired_weights(
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -77,7 +77,7 @@
     }
 
     fn update_ejections(&mut self) {
-        for (id, endpoint) in &mut self.endpoints.by_id {
+        for (id, endpoint) in self.endpoints.iter_mut() {
             let should_be_ejected = !endpoint.is_ready();
             if endpoint.ejected == should_be_ejected {
                 continue;
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -83,7 +83,7 @@
 #[test]
 fn a_table_that_vanished_while_its_servers_report_is_carried() {
     let mut controller = running(config(), &["a"], 1);
-    controller.endpoints.by_id.get_mut("a").unwrap().last_answered = Some(at(1.5));
+    controller.endpoints.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoint_list_replaced(at(2.0), &[]);
     assert_eq!((controller.host.count("line"), controller.host.count("withdraw")), (0, 0));
 }
@@ -91,8 +91,8 @@
 #[test]
 fn a_carried_table_ends_within_the_grace() {
     let mut controller = running(config(), &["a"], 1);
-    controller.endpoints.by_id.get_mut("a").unwrap().last_answered = Some(at(1.5));
-    controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
+    controller.endpoints.get_mut("a").unwrap().last_answered = Some(at(1.5));
+    controller.endpoints.get_mut("a").unwrap().state = Removed;
     controller.tables.by_number.get_mut(&0).unwrap().carried_since = Some(at(2.0));
     controller.timer_fired(at(3.0), Timer::Recheck);
     assert!(said(&mut controller).contains("withdraw a true"));
@@ -101,7 +101,7 @@
 #[test]
 fn a_returning_server_is_let_back_in_with_its_line() {
     let mut controller = running(config(), &["a", "b"], 1);
-    let back = controller.endpoints.by_id.get_mut("a").unwrap();
+    let back = controller.endpoints.get_mut("a").unwrap();
     (back.state, back.ejected) = (Removed, true);
     controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
     controller.endpoints_updated(at(40.0), &[listing("a", 0, Ready, Some(at(10.0)))]);
@@ -202,7 +202,7 @@
             && controller.tables.by_number.values().all(|t| lines(t) == limits(&controller).max_table_size)
     );
     let homely = |t: &RouteTable| {
-        t.weights.keys().filter(|id| Some(controller.endpoints.by_id[*id].zone) == t.home_zone).count()
+        t.weights.keys().filter(|id| Some(controller.endpoints.get(*id).unwrap().zone) == t.home_zone).count()
     };
     assert!(controller
         .tables
@@ -268,9 +268,9 @@
 #[test]
 fn thin_standing_tables_bind_before_changes_go() {
     let mut controller = running(config(), &["a", "b", "c"], 1);
-    controller.endpoints.by_id.get_mut("a").unwrap().state = Removed;
+    controller.endpoints.get_mut("a").unwrap().state = Removed;
     controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
-    controller.endpoints.by_id.get_mut("c").unwrap().weight = 4.0;
+    controller.endpoints.get_mut("c").unwrap().weight = 4.0;
     controller.proxy_joined(at(2.0), 4, 0, 90.0, true);
     controller.issue_commands(at(2.2));
     assert_eq!((controller.host.count("bind 4"), controller.host.count("line 0 c")), (1, 0));
@@ -313,7 +313,7 @@
 #[test]
 fn of_many_that_left_who_left_first_goes_first() {
     let mut controller = crowded(3.0, 60);
-    for (k, endpoint) in controller.endpoints.by_id.values_mut().enumerate() {
+    for (k, endpoint) in controller.endpoints.iter_mut().map(|(_, endpoint)| endpoint).enumerate() {
         (endpoint.state, endpoint.left) = (Draining, at(9.0 - k as f64 / 100.0));
     }
     controller.issue_commands(at(60.0));
@@ -323,7 +323,7 @@
 #[test]
 fn a_joined_proxy_that_stays_unbound_is_told_who_is_out() {
     let mut controller = running(config(), &["a"], 0);
-    let a = controller.endpoints.by_id.get_mut("a").unwrap();
+    let a = controller.endpoints.get_mut("a").unwrap();
     (a.state, a.ejected) = (Removed, true);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
     controller.issue_commands(at(1.05));
@@ -423,7 +423,7 @@
 #[test]
 fn more_than_a_queue_holds_goes_in_pieces_and_never_waits_for_ever() {
     let mut controller = crowded(10.0, 90);
-    controller.endpoints.by_id.values_mut().skip(1).for_each(|s| s.state = Draining);
+    controller.endpoints.iter_mut().map(|(_, endpoint)| endpoint).skip(1).for_each(|s| s.state = Draining);
     controller.issue_commands(at(90.0));
     assert!((8..79).contains(&controller.host.count("line")));
 }
@@ -431,7 +431,7 @@
 #[test]
 fn while_drains_wait_for_room_nothing_else_goes() {
     let mut controller = crowded(3.0, 70);
-    controller.endpoints.by_id.values_mut().for_each(|s| s.state = Draining);
+    controller.endpoints.iter_mut().map(|(_, endpoint)| endpoint).for_each(|s| s.state = Draining);
     controller.admission.levels[0] = 0.5;
     controller.proxy_joined(at(59.0), 99, 0, 10.0, true);
     controller.issue_commands(at(60.0));
@@ -458,11 +458,16 @@
 #[test]
 fn a_server_that_hurts_more_than_its_peers_goes_down_a_rung() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
-    controller.endpoints.by_id.values_mut().for_each(|s| s.outcomes.add(0, 20.0));
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 20.0);
+    controller.endpoints.iter_mut().map(|(_, endpoint)| endpoint).for_each(|s| s.outcomes.add(0, 20.0));
+    controller.endpoints.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 20.0);
     controller.detect_outliers(at(5.0));
     assert_eq!(
-        controller.endpoints.by_id.values().map(|s| s.ejection_level).collect::<Vec<_>>(),
+        controller
+            .endpoints
+            .iter()
+            .map(|(_, endpoint)| endpoint)
+            .map(|s| s.ejection_level)
+            .collect::<Vec<_>>(),
         [0, 0, 1, 0]
     );
 }
@@ -482,31 +487,35 @@
 fn two_voided_tries_tell_enough_and_hold_a_server_back_until_nothing_hurts() {
     let mut controller = detected(9.0, 2.0, 0.0);
     assert_eq!(
-        (controller.endpoints.by_id["a"].ejection_level, controller.fleet_load.median_score),
+        (controller.endpoints.get("a").unwrap().ejection_level, controller.fleet_load.median_score),
         (3, 0.0)
     );
     controller.endpoint_outcomes(at(9.0), "a", 2.0, 1.0, Span::ZERO, Span::ZERO);
     controller.detect_outliers(at(9.0));
-    assert_eq!(controller.endpoints.by_id["a"].ejection_level, 3, "its rest is over and it still hurts");
+    assert_eq!(
+        controller.endpoints.get("a").unwrap().ejection_level,
+        3,
+        "its rest is over and it still hurts"
+    );
 }
 
 #[test]
 fn late_tries_tell_if_they_are_six_or_a_third_more_than_the_mean_server_has() {
-    assert_eq!(detected(9.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 0);
-    assert_eq!(detected(3.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 0);
-    assert_eq!(detected(2.0, 0.0, 2.0).endpoints.by_id["a"].ejection_level, 3);
+    assert_eq!(detected(9.0, 0.0, 2.0).endpoints.get("a").unwrap().ejection_level, 0);
+    assert_eq!(detected(3.0, 0.0, 2.0).endpoints.get("a").unwrap().ejection_level, 0);
+    assert_eq!(detected(2.0, 0.0, 2.0).endpoints.get("a").unwrap().ejection_level, 3);
 }
 
 #[test]
 fn only_part_of_the_fleet_is_held_back() {
     let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
-    controller.endpoints.by_id.values_mut().for_each(|s| s.outcomes.add(0, 100.0));
+    controller.endpoints.iter_mut().map(|(_, endpoint)| endpoint).for_each(|s| s.outcomes.add(0, 100.0));
     for id in ["a", "b"] {
-        controller.endpoints.by_id.get_mut(id).unwrap().set_ejection_level(5, at(5.0));
+        controller.endpoints.get_mut(id).unwrap().set_ejection_level(5, at(5.0));
     }
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 900.0);
+    controller.endpoints.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 900.0);
     controller.detect_outliers(at(5.0));
-    assert_eq!(controller.endpoints.by_id["c"].ejection_level, 0);
+    assert_eq!(controller.endpoints.get("c").unwrap().ejection_level, 0);
 }
 
 #[test]
@@ -514,23 +523,23 @@
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     controller
         .endpoints
-        .by_id
-        .values_mut()
+        .iter_mut()
+        .map(|(_, endpoint)| endpoint)
         .for_each(|s| (s.outcomes.add(0, 6.0), s.outcomes.add(FAILED_BAND, 4.0)).0);
-    controller.endpoints.by_id.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 90.0);
-    controller.endpoints.by_id.get_mut("d").unwrap().outcomes.add(0, 200.0);
+    controller.endpoints.get_mut("c").unwrap().outcomes.add(FAILED_BAND, 90.0);
+    controller.endpoints.get_mut("d").unwrap().outcomes.add(0, 200.0);
     controller.detect_outliers(at(5.0));
-    assert!(controller.endpoints.by_id.values().all(|s| s.ejection_level == 0));
+    assert!(controller.endpoints.iter().map(|(_, endpoint)| endpoint).all(|s| s.ejection_level == 0));
 }
 
 #[test]
 fn a_rung_is_let_go_after_a_rest_however_late_the_timers_are() {
     for (late, ejection_level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
         let mut controller = running(config(), &["a", "b"], 1);
-        let a = controller.endpoints.by_id.get_mut("a").unwrap();
+        let a = controller.endpoints.get_mut("a").unwrap();
         (a.ejection_level, a.ejection_count, a.ejection_level_since) = (2, 1, at(1.0));
         controller.detect_outliers(at(1.0 + late));
-        assert_eq!(controller.endpoints.by_id["a"].ejection_level, ejection_level);
+        assert_eq!(controller.endpoints.get("a").unwrap().ejection_level, ejection_level);
     }
 }
 
@@ -538,11 +547,11 @@
 fn reports_of_the_weight_before_the_last_move_do_not_count() {
     let mut controller = running(config(), &["a"], 1);
     (
-        controller.endpoints.by_id.get_mut("a").unwrap().ejection_level,
-        controller.endpoints.by_id.get_mut("a").unwrap().ejection_level_since,
+        controller.endpoints.get_mut("a").unwrap().ejection_level,
+        controller.endpoints.get_mut("a").unwrap().ejection_level_since,
     ) = (1, at(5.0));
     controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
-    assert_eq!(controller.endpoints.by_id["a"].outcomes.total(), 0.0);
+    assert_eq!(controller.endpoints.get("a").unwrap().outcomes.total(), 0.0);
 }
 
 #[test]
@@ -669,10 +678,10 @@
     let mut controller = running(config(), &["a", "b"], 1);
     controller.endpoints_updated(at(2.0), &[listing("a", 0, Removed, None)]);
     controller.timer_fired(at(61.0), Timer::Evaluation);
-    assert!(controller.endpoints.by_id.contains_key("a"));
+    assert!(controller.endpoints.get("a").is_some());
     controller.timer_fired(at(63.0), Timer::Evaluation);
     assert!(
-        !controller.endpoints.by_id.contains_key("a")
+        controller.endpoints.get("a").is_none()
             && said(&mut controller).contains("withdraw a false\nforget a")
     );
     controller.endpoints_updated(at(64.0), &[listing("a", 0, Ready, None)]);
@@ -692,7 +701,7 @@
         );
         controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
     }
-    assert!(controller.endpoints.by_id.len() < 20 && controller.tables.by_number[&0].weights.len() == 1);
+    assert!(controller.endpoints.len() < 20 && controller.tables.by_number[&0].weights.len() == 1);
     assert!(
         controller.channel.backlog.retained_entries() < 200,
         "{}",
