--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -22,7 +22,7 @@
 const BUDGET_LIFTED_AT: f64 = 1.2;
 /// While the joined rate exceeds its mean over the window so much, proxies are still joining.
 const JOINING_GROWTH: f64 = 1.25;
-pub(super) const MIN_LEVEL: f64 = 0.1;
+const MIN_LEVEL: f64 = 0.1;
 /// Changes of a level up to this size are not made.
 const LEVEL_STEP: f64 = 0.05;
 /// The initial level where levels are rates: admits everything.
@@ -116,3 +116,6 @@
     classes.sort_by(|a, b| weight(b).total_cmp(&weight(a)));
     classes
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -70,3 +70,6 @@
         self.channel.backlog.record(now, proxy, lines, limits.message_overhead);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/assignment/tests.rs
@@ -0,0 +1,69 @@
+use crate::controller::channel::ChannelLimits;
+use crate::host::{EndpointState, Timer};
+use crate::testing::{assign_table, at, config, running, Command};
+
+#[test]
+fn an_assignment_waits_for_a_usable_endpoint() {
+    let mut controller = running(config(), &[], 0);
+    controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
+    controller.timer_fired(at(9.0), Timer::Heartbeat);
+    assert_eq!(controller.host.assignment_count(), 0);
+}
+
+#[test]
+fn a_first_assignment_is_made_once_the_budget_is_spent() {
+    let mut controller = running(config(), &[], 0);
+    controller.proxy_joined(at(1.0), 4, 9, 10.0, true);
+    controller.timer_fired(at(6.5), Timer::Heartbeat);
+    assert_eq!(controller.host.tables_of(4).len(), 1);
+}
+
+#[test]
+fn waiting_assignments_are_tried_again_on_a_jittered_heartbeat() {
+    let mut controller = running(config(), &[], 0);
+    controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
+    let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
+    controller.assign_waiting(at(1.2), &limits);
+    assert_eq!(controller.host.timer_count(Timer::Heartbeat), 1);
+}
+
+#[test]
+fn proxies_with_an_initial_table_are_assigned_before_those_of_an_earlier_stream() {
+    let mut controller = running(config(), &["a"], 0);
+    controller.proxy_joined(at(1.0), 4, 0, 90.0, false);
+    controller.proxy_joined(at(1.0), 5, 0, 10.0, true);
+    controller.issue_commands(at(1.2));
+    let assigned = |proxy: u32| {
+        let is_assignment =
+            |command: &Command| matches!(command, Command::AssignTable { proxy: p, .. } if *p == proxy);
+        controller.host.commands.iter().position(is_assignment)
+    };
+    assert!(assigned(5).unwrap() < assigned(4).unwrap());
+}
+
+#[test]
+fn proxies_with_thin_tables_are_assigned_before_changes_go() {
+    let mut controller = running(config(), &["a", "b", "c"], 1);
+    controller.endpoints.get_mut("a").unwrap().state = EndpointState::Removed;
+    controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
+    controller.endpoints.get_mut("c").unwrap().weight = 4.0;
+    controller.proxy_joined(at(2.0), 4, 0, 90.0, true);
+    controller.issue_commands(at(2.2));
+    assert_eq!((controller.host.tables_of(4).len(), controller.host.weight(0, "c")), (1, None));
+}
+
+#[test]
+fn a_proxy_that_joins_again_is_assigned_again() {
+    let mut controller = running(config(), &["a"], 1);
+    controller.proxy_joined(at(2.0), 0, 0, 10.0, false);
+    controller.timer_fired(at(2.2), Timer::Recheck);
+    assert_eq!(controller.host.count(|command| *command == assign_table(0, 0)), 1);
+}
+
+#[test]
+fn a_rejected_assignment_is_made_again() {
+    let mut controller = running(config(), &["a"], 1);
+    controller.assignment_rejected(at(2.0), 0);
+    controller.timer_fired(at(2.2), Timer::Recheck);
+    assert_eq!(controller.host.count(|command| *command == assign_table(0, 0)), 1);
+}
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -108,3 +108,6 @@
     }
     table.carried_since.is_some_and(|since| now - since < max_time)
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -10,9 +10,9 @@
 use crate::time::{Moment, Span};
 
 /// The part of the queue that may be used at all.
-pub(super) const MAX_QUEUE_PART: f64 = 0.9;
+const MAX_QUEUE_PART: f64 = 0.9;
 /// The part of the usable queue that ordinary commands may always use.
-pub(super) const MIN_ORDINARY_QUEUE_PART: f64 = 0.08;
+const MIN_ORDINARY_QUEUE_PART: f64 = 0.08;
 /// The part of a proxy's messages that ordinary commands may use.
 const ORDINARY_PUSH_PART: f64 = 0.5;
 /// Messages that urgent commands may send to a proxy without a pause.
@@ -214,3 +214,6 @@
         !limits.is_nearly_idle(self.backlog.queued_lines(now))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/channel/tests.rs
@@ -0,0 +1,67 @@
+use super::{ChannelLimits, Urgency, MAX_QUEUE_PART, MIN_ORDINARY_QUEUE_PART};
+use crate::channel_backlog::ChannelBacklog;
+use crate::config::ControllerConfig;
+use crate::host::Timer;
+use crate::testing::{at, config, draining, ready_since, running, TestController};
+use crate::time::{Moment, Span};
+
+/// The room for commands to proxy 0.
+fn room(controller: &mut TestController, now: Moment, urgency: Urgency) -> f64 {
+    let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
+    controller.channel.room(now, urgency, &[0], &limits)
+}
+
+#[test]
+fn ordinary_changes_leave_messages_for_urgent_ones() {
+    let mut controller = running(config(), &["a"], 1);
+    for secs in 1..=6 {
+        controller.channel.backlog.record(at(f64::from(secs)), 0, 1.0, 0.0);
+    }
+    assert_eq!(room(&mut controller, at(7.0), Urgency::Ordinary), 0.0);
+    assert!(room(&mut controller, at(8.5), Urgency::Urgent) > 0.0);
+}
+
+#[test]
+fn urgent_changes_never_exceed_the_message_limit() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    for message in 0..12 {
+        controller.channel.backlog.record(at(1.0 + 0.1 * f64::from(message)), 0, 1.0, 0.0);
+    }
+    controller.endpoints_updated(at(4.0), &[draining("a")]);
+    assert_eq!((controller.host.weight_count(), controller.host.timer_count(Timer::Recheck)), (0, 1));
+}
+
+#[test]
+fn a_long_queue_holds_ordinary_changes_back() {
+    let mut controller = running(config(), &["a"], 1);
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.channel.backlog.record(at(2.0), 0, 895.0, 0.0);
+    assert!(room(&mut controller, at(2.0), Urgency::Ordinary) < 1.0);
+    assert!(room(&mut controller, at(2.0), Urgency::Urgent) > 4.0);
+}
+
+#[test]
+fn assignments_wait_for_room_in_the_channel() {
+    let mut controller = running(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
+    for proxy in 0..400 {
+        controller.proxy_joined(at(1.0), proxy, 0, 10.0, true);
+    }
+    controller.timer_fired(at(1.2), Timer::Recheck);
+    let assigned = controller.host.assignment_count();
+    let max_lines = 1000.0 * MAX_QUEUE_PART * MIN_ORDINARY_QUEUE_PART;
+    assert!(assigned as f64 * 7.0 <= max_lines && (assigned + 1) as f64 * 7.0 > max_lines);
+}
+
+#[test]
+fn a_configuration_without_limits_stops_nothing() {
+    let unlimited = ControllerConfig {
+        max_queued_lines: 0.0,
+        channel_rate: 0.0,
+        slow_start_window: Span::ZERO,
+        max_pushes: 0,
+        ..config()
+    };
+    let mut controller = running(unlimited, &["a"], 2);
+    controller.endpoints_updated(at(2.0), &[ready_since("b", 2.0)]);
+    assert_eq!(controller.host.weight(0, "b"), Some(2.0));
+}
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -65,3 +65,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/delivery/tests.rs
@@ -0,0 +1,86 @@
+use crate::config::ControllerConfig;
+use crate::host::Timer;
+use crate::testing::{at, config, draining, eject, running, schedule_timer, set_weight, Command};
+use crate::time::Span;
+
+#[test]
+fn a_long_queue_requests_an_acknowledgement_that_shortens_it() {
+    let mut controller = running(config(), &["a"], 0);
+    for proxy in 0..40 {
+        controller.proxy_joined(at(1.0), proxy, 0, 10.0, true);
+    }
+    controller.timer_fired(at(1.2), Timer::Recheck);
+    let queued = controller.channel.backlog.queued_lines(at(1.3));
+    controller.acknowledged(at(1.3), 1, 7);
+    assert_eq!(controller.host.acknowledgement_numbers(), [1]);
+    assert!(controller.channel.backlog.queued_lines(at(1.3)) < queued);
+}
+
+#[test]
+fn where_all_acknowledgements_are_lost_one_proxy_is_assigned_anew() {
+    let config = ControllerConfig { max_transit: Span::secs(0.1), ..config() };
+    let mut controller = running(config, &["a", "b"], 2);
+    controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
+    controller.issue_commands(at(2.5));
+    assert_eq!(controller.host.assignment_count(), 0);
+    controller.issue_commands(at(2.7));
+    let acknowledgements = controller.host.acknowledgement_numbers().len();
+    assert_eq!((controller.host.assignment_count(), acknowledgements), (1, 1));
+}
+
+#[test]
+fn lost_commands_are_resent_and_nothing_overtakes_them() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.commands_lost(at(2.0), false);
+    controller.endpoints_updated(at(2.0), &[draining("a")]);
+    controller.timer_fired(at(2.1), Timer::Resend);
+    let resend_soon = schedule_timer(Timer::Resend, Span::from_us(50_000));
+    assert_eq!(controller.host.commands, [resend_soon, Command::ResendCommands]);
+}
+
+#[test]
+fn what_was_held_back_behind_lost_commands_goes_once_they_are_accepted() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.commands_lost(at(2.0), false);
+    controller.endpoints_updated(at(2.0), &[draining("a")]);
+    controller.commands_accepted(at(2.1));
+    assert_eq!(controller.host.commands[1..], [set_weight(0, "a", 0.0), eject("a")]);
+}
+
+#[test]
+fn commands_that_may_have_arrived_count_twice() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    let queued = controller.channel.backlog.queued_lines(at(0.2));
+    controller.commands_lost(at(0.2), true);
+    assert!(controller.channel.backlog.queued_lines(at(0.2)) >= 2.0 * queued);
+}
+
+#[test]
+fn lost_commands_that_reach_no_proxy_wait_for_no_lines() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    let recorded = controller.channel.backlog.recorded_lines;
+    controller.issue_commands(at(1.0));
+    controller.commands_lost(at(1.0), true);
+    assert_eq!(controller.channel.backlog.recorded_lines, recorded);
+    let resend_soon = schedule_timer(Timer::Resend, Span::from_us(50_000));
+    assert_eq!(controller.host.commands.last(), Some(&resend_soon));
+}
+
+#[test]
+fn resent_commands_are_acknowledged_and_clear_the_queue() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    for n in 0..50 {
+        controller.commands_lost(at(1.0 + f64::from(n)), true);
+    }
+    controller.acknowledged(at(51.0), 50, 0);
+    assert_eq!(controller.host.acknowledgement_numbers().len(), 50);
+    assert_eq!(controller.channel.backlog.queued_lines(at(51.0)), 0.0);
+}
+
+#[test]
+fn a_rejected_weight_is_sent_again() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.weight_rejected(0, &"b".into());
+    controller.timer_fired(at(2.0), Timer::Recheck);
+    assert_eq!(controller.host.weight(0, "b"), Some(2.0));
+}
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -119,3 +119,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -226,3 +226,6 @@
         expired.iter().filter_map(|id| self.by_id.remove_entry(id)).collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/endpoints/tests.rs
@@ -0,0 +1,59 @@
+use crate::config::ControllerConfig;
+use crate::host::Timer;
+use crate::testing::{at, config, eject, forget, ready, removed, restore, running, schedule_timer};
+use crate::time::Span;
+
+#[test]
+fn an_endpoint_missing_from_a_complete_list_is_removed() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.endpoint_list_replaced(at(2.0), &[ready("b")]);
+    assert!(controller.host.commands.contains(&eject("a")));
+}
+
+#[test]
+fn an_endpoint_removed_long_ago_is_forgotten_and_used_again_when_its_id_returns() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.endpoints_updated(at(2.0), &[removed("a")]);
+    controller.timer_fired(at(61.0), Timer::Evaluation);
+    assert!(controller.endpoints.get("a").is_some());
+    controller.timer_fired(at(63.0), Timer::Evaluation);
+    assert!(controller.endpoints.get("a").is_none());
+    assert!(controller.host.commands.windows(2).any(|pair| pair == [restore("a"), forget("a")]));
+    controller.endpoints_updated(at(64.0), &[ready("a")]);
+    controller.timer_fired(at(65.0), Timer::Evaluation);
+    assert_eq!(controller.host.weight(0, "a"), Some(2.0));
+}
+
+#[test]
+fn a_fleet_replaced_for_hours_leaves_nothing_behind() {
+    let mut controller = running(config(), &["s0"], 2);
+    let id = |n: u32| format!("s{n}");
+    for n in 1..3_000_u32 {
+        let now = at(f64::from(n) * 4.0);
+        controller.endpoints_updated(now, &[removed(&id(n - 1)), ready(&id(n))]);
+        controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
+    }
+    assert!(controller.endpoints.len() < 20);
+    assert_eq!(controller.tables.by_number[&0].weights.len(), 1);
+    let retained_entries = controller.channel.backlog.retained_entries();
+    assert!(retained_entries < 200, "{retained_entries}");
+}
+
+#[test]
+fn a_failed_watch_is_retried() {
+    let mut controller = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
+    controller.endpoint_watch_failed(at(3.0));
+    assert_eq!(controller.host.timer_count(Timer::WatchRetry), 1);
+}
+
+#[test]
+fn the_first_failure_of_the_watch_is_retried_at_once_and_those_right_after_it_with_a_delay() {
+    let mut controller = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
+    for (now, at_once) in [(3.0, true), (3.1, false), (4.2, false), (6.0, true)] {
+        controller.host.commands.clear();
+        controller.endpoint_watch_failed(at(now));
+        let commands = &controller.host.commands;
+        let retries_at_once = *commands == [schedule_timer(Timer::WatchRetry, Span::ZERO)];
+        assert_eq!(retries_at_once, at_once, "at {now}: {commands:?}");
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -40,7 +40,7 @@
 mod sharding;
 mod slow_start;
 #[cfg(test)]
-mod tests;
+mod test_support;
 mod timers;
 
 use crate::config::ControllerConfig;
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -15,7 +15,7 @@
 /// The upper ends of the bands of answered attempts, as parts of the latency objective.
 const LATENCY_BANDS: [f64; OUTCOME_BANDS - 2] = [0.4, 0.6, 1.0];
 /// The band of attempts that failed without an answer.
-pub(super) const FAILED_BAND: usize = OUTCOME_BANDS - 1;
+const FAILED_BAND: usize = OUTCOME_BANDS - 1;
 /// What an attempt adds to the outlier score, by band.
 const BAND_SCORES: [f64; OUTCOME_BANDS] = [0.0, 0.0, 0.3, 1.0, 1.0];
 
@@ -166,3 +166,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -107,3 +107,6 @@
         rates
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -261,3 +261,6 @@
         self.record_ejections(now, restored, limits);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/publication/tests.rs
@@ -0,0 +1,99 @@
+use super::TableChanges;
+use crate::channel_backlog::ChannelBacklog;
+use crate::config::ControllerConfig;
+use crate::controller::channel::ChannelLimits;
+use crate::controller::routing::RouteTable;
+use crate::controller::test_support::running_crowded;
+use crate::host::{EndpointState, RetryPolicy};
+use crate::testing::{
+    at, config, draining, eject, ready, ready_since, restore, running, set_weight, Command,
+};
+use crate::time::Span;
+
+#[test]
+fn ordinary_changes_are_batched() {
+    let mut controller = running(config(), &["a"], 1);
+    controller.publication.batched_until = at(2.0);
+    controller.endpoints_updated(at(1.5), &[ready("b")]);
+    assert_eq!(controller.host.weight_count(), 0);
+}
+
+#[test]
+fn a_draining_endpoint_leaves_at_once_while_ordinary_changes_are_batched() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    controller.publication.batched_until = at(2.0);
+    controller.endpoints_updated(at(1.1), &[draining("a")]);
+    assert_eq!(controller.host.commands, [set_weight(0, "a", 0.0), eject("a")]);
+}
+
+#[test]
+fn a_returning_endpoint_is_restored_with_its_weight() {
+    let mut controller = running(config(), &["a", "b"], 1);
+    let returning = controller.endpoints.get_mut("a").unwrap();
+    returning.state = EndpointState::Removed;
+    returning.ejected = true;
+    controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
+    controller.endpoints_updated(at(40.0), &[ready_since("a", 10.0)]);
+    assert_eq!(controller.host.commands, [restore("a"), set_weight(0, "a", 2.0)]);
+}
+
+#[test]
+fn of_many_endpoints_that_left_the_first_goes_first() {
+    let mut controller = running_crowded(3.0, 60);
+    for (k, (_, endpoint)) in controller.endpoints.iter_mut().enumerate() {
+        endpoint.state = EndpointState::Draining;
+        endpoint.left = at(9.0 - k as f64 / 100.0);
+    }
+    controller.issue_commands(at(60.0));
+    assert_eq!(controller.host.weight(0, "59"), Some(0.0));
+    assert!(controller.host.weight(0, "10").is_none());
+}
+
+#[test]
+fn urgent_changes_are_batched_while_the_queue_is_long() {
+    let config = ControllerConfig { max_transit: Span::secs(0.1), ..config() };
+    let mut controller = running(config, &["a", "b", "c"], 1);
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
+    controller.endpoints_updated(at(2.0), &[draining("a")]);
+    controller.endpoints_updated(at(2.5), &[draining("b")]);
+    assert_eq!(controller.host.weight_count(), 0);
+    controller.channel.backlog = ChannelBacklog::default();
+    controller.issue_commands(at(2.6));
+    assert_eq!((controller.host.weight(0, "a"), controller.host.weight(0, "b")), (Some(0.0), Some(0.0)));
+}
+
+#[test]
+fn more_than_a_queue_holds_goes_in_batches_and_never_waits_for_ever() {
+    let mut controller = running_crowded(10.0, 90);
+    for (_, endpoint) in controller.endpoints.iter_mut().skip(1) {
+        endpoint.state = EndpointState::Draining;
+    }
+    controller.issue_commands(at(90.0));
+    assert!((8..79).contains(&controller.host.weight_count()));
+}
+
+#[test]
+fn while_urgent_changes_wait_for_room_nothing_else_goes() {
+    let mut controller = running_crowded(3.0, 70);
+    for (_, endpoint) in controller.endpoints.iter_mut() {
+        endpoint.state = EndpointState::Draining;
+    }
+    controller.admission.levels[0] = 0.5;
+    controller.proxy_joined(at(59.0), 99, 0, 10.0, true);
+    controller.issue_commands(at(60.0));
+    assert!(controller.host.weight_count() < 60);
+    assert_eq!(controller.host.admission_count() + controller.host.assignment_count(), 0);
+}
+
+#[test]
+fn no_retry_is_ever_ordered() {
+    let mut controller = running(config(), &["a"], 0);
+    controller.tables.by_number.insert(0, RouteTable::new(None));
+    let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
+    let no_changes = TableChanges { table: 0, receivers: Vec::new(), changes: Vec::new() };
+    controller.send_changes(at(1.0), &limits, no_changes, true);
+    let never_retries = |command: &Command| matches!(command, Command::SetAdmission { retry, .. } if *retry == RetryPolicy::Never);
+    assert_eq!(controller.host.admission_count(), controller.host.count(never_retries));
+    assert_eq!(controller.host.admission_count(), 2);
+}
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -17,9 +17,9 @@
 use std::collections::BTreeMap;
 
 /// Tables of one zone, each with an arc of the ring, where none may hold the whole fleet.
-pub(super) const ARCS_PER_ZONE: u32 = 16;
+const ARCS_PER_ZONE: u32 = 16;
 /// One endpoint in so many of a table is reserved for other zones.
-pub(super) const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
+const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
 /// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes would push
 /// another in or out.
 const ARC_SLACK_DIVISOR: usize = 8;
@@ -301,3 +301,6 @@
     let mix = |hash: u32| (hash ^ hash >> 15).wrapping_mul(0x2c1b_3c6d);
     mix(mix(hash))
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -145,3 +145,6 @@
         classes
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/controller/sharding/tests.rs
@@ -0,0 +1,26 @@
+use crate::config::ControllerConfig;
+use crate::host::RetryPolicy;
+use crate::testing::{at, config, draining, eject, removed, running, set_weight, Command};
+
+#[test]
+fn a_shard_whose_endpoint_left_gets_another() {
+    let mut controller = running(ControllerConfig { shards: 2, ..config() }, &["a", "b"], 0);
+    controller.shard_assigned(1);
+    controller.shard_weight_restored(1, &"a".into(), 1.0);
+    controller.endpoints_updated(at(2.0), &[removed("a")]);
+    let commands = [eject("a"), set_weight(1, "a", 0.0), set_weight(1, "b", 1.0)];
+    assert_eq!(controller.host.commands, commands);
+}
+
+#[test]
+fn a_shard_with_a_single_writer_stops_its_writes_before_it_moves() {
+    let mut config = ControllerConfig { shards: 2, single_writer: true, ..config() };
+    config.request_classes[1].writes = true;
+    let mut controller = running(config, &["a", "b"], 0);
+    controller.shard_assigned(1);
+    controller.shard_weight_restored(1, &"a".into(), 1.0);
+    controller.endpoints_updated(at(2.0), &[draining("a")]);
+    let stop_writes =
+        Command::SetAdmission { table: 1, classes: 1 << 1, admitted: 0.0, retry: RetryPolicy::Never };
+    assert_eq!(controller.host.commands, [eject("a"), stop_writes]);
+}
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -16,7 +16,7 @@
 /// endpoint needs the spare capacity itself.
 const INITIAL_FACTOR: f64 = 0.1;
 /// The curve of the ramp; 1 would be a straight line.
-pub(super) const RAMP_EXPONENT: f64 = 1.3;
+const RAMP_EXPONENT: f64 = 1.3;
 /// The most load on the warm endpoints of a table, as a multiple of their capacity, so that cold ones get less.
 const MAX_WARM_LOAD: f64 = 2.0;
 /// Endpoints below this factor get no requests from a struggling fleet whose proxies eject endpoints themselves.
@@ -85,3 +85,6 @@
     }
     weights
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,72 +1,161 @@
-//! What the module's tests share: a host that writes down what it is told, a config, rules to start from.
+//! Test support: a host that records its commands, a configuration, and builders for endpoints and controllers.
 
 use crate::config::{AdmissionMode, ControllerConfig, RequestClass};
 use crate::controller::Controller;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
 use crate::time::{Moment, Span};
 
+/// A controller whose commands are recorded.
+pub type TestController = Controller<Recorder>;
+
+/// A command that the controller gave its host.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Command {
+    SetWeight { table: u32, endpoint: EndpointId, weight: f64 },
+    AssignTable { proxy: u32, table: u32 },
+    Eject(EndpointId),
+    Restore(EndpointId),
+    Forget(EndpointId),
+    SetAdmission { table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy },
+    RequestAcknowledgement(u32),
+    ResendCommands,
+    WatchEndpoints,
+    ScheduleTimer { after: Span, timer: Timer },
+}
+
+pub fn set_weight(table: u32, endpoint: &str, weight: f64) -> Command {
+    Command::SetWeight { table, endpoint: endpoint.into(), weight }
+}
+
+pub fn assign_table(proxy: u32, table: u32) -> Command {
+    Command::AssignTable { proxy, table }
+}
+
+pub fn eject(endpoint: &str) -> Command {
+    Command::Eject(endpoint.into())
+}
+
+pub fn restore(endpoint: &str) -> Command {
+    Command::Restore(endpoint.into())
+}
+
+pub fn forget(endpoint: &str) -> Command {
+    Command::Forget(endpoint.into())
+}
+
+pub fn schedule_timer(timer: Timer, after: Span) -> Command {
+    Command::ScheduleTimer { after, timer }
+}
+
+/// A host that records the commands it is given.
 #[derive(Default)]
 pub struct Recorder {
-    pub said: Vec<String>,
+    pub commands: Vec<Command>,
 }
 
 impl Recorder {
-    pub fn count(&self, start: &str) -> usize {
-        self.said.iter().filter(|s| s.starts_with(start)).count()
+    pub fn count(&self, matches: impl Fn(&Command) -> bool) -> usize {
+        self.commands.iter().filter(|command| matches(command)).count()
+    }
+
+    /// The latest weight of an endpoint in a table.
+    pub fn weight(&self, table: u32, id: &str) -> Option<f64> {
+        self.commands.iter().rev().find_map(|command| match command {
+            Command::SetWeight { table: t, endpoint, weight } if *t == table && &**endpoint == id => {
+                Some(*weight)
+            }
+            _ => None,
+        })
+    }
+
+    pub fn weight_count(&self) -> usize {
+        self.count(|command| matches!(command, Command::SetWeight { .. }))
+    }
+
+    pub fn assignment_count(&self) -> usize {
+        self.count(|command| matches!(command, Command::AssignTable { .. }))
+    }
+
+    pub fn admission_count(&self) -> usize {
+        self.count(|command| matches!(command, Command::SetAdmission { .. }))
+    }
+
+    pub fn timer_count(&self, timer: Timer) -> usize {
+        self.count(|command| matches!(command, Command::ScheduleTimer { timer: t, .. } if *t == timer))
+    }
+
+    /// The ejections and restorations, in order.
+    pub fn ejections(&self) -> Vec<Command> {
+        let is_ejection = |command: &&Command| matches!(command, Command::Eject(_) | Command::Restore(_));
+        self.commands.iter().filter(is_ejection).cloned().collect()
     }
 
-    pub fn weight(&self, tbl: u32, id: &str) -> Option<f64> {
-        let start = format!("line {tbl} {id} ");
-        self.said.iter().rev().find_map(|s| s.strip_prefix(&start)?.parse().ok())
+    /// The numbers of all requested acknowledgements, in order.
+    pub fn acknowledgement_numbers(&self) -> Vec<u32> {
+        let number = |command: &Command| match command {
+            Command::RequestAcknowledgement(number) => Some(*number),
+            _ => None,
+        };
+        self.commands.iter().filter_map(number).collect()
+    }
+
+    /// The tables that a proxy was assigned, in order.
+    pub fn tables_of(&self, proxy: u32) -> Vec<u32> {
+        let table = |command: &Command| match command {
+            Command::AssignTable { proxy: p, table } if *p == proxy => Some(*table),
+            _ => None,
+        };
+        self.commands.iter().filter_map(table).collect()
     }
 }
 
 impl Host for Recorder {
-    fn set_endpoint_weight(&mut self, tbl: u32, server: &EndpointId, weight: f64) {
-        self.said.push(format!("line {tbl} {server} {weight}"));
+    fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
+        self.commands.push(set_weight(table, endpoint, weight));
     }
-    fn assign_table(&mut self, proxy: u32, tbl: u32) {
-        self.said.push(format!("bind {proxy} {tbl}"));
+    fn assign_table(&mut self, proxy: u32, table: u32) {
+        self.commands.push(assign_table(proxy, table));
     }
-    fn eject_endpoint(&mut self, server: &EndpointId) {
-        self.said.push(format!("withdraw {server} true"));
+    fn eject_endpoint(&mut self, endpoint: &EndpointId) {
+        self.commands.push(eject(endpoint));
     }
-    fn restore_endpoint(&mut self, server: &EndpointId) {
-        self.said.push(format!("withdraw {server} false"));
+    fn restore_endpoint(&mut self, endpoint: &EndpointId) {
+        self.commands.push(restore(endpoint));
     }
-    fn forget_endpoint(&mut self, server: &EndpointId) {
-        self.said.push(format!("forget {server}"));
+    fn forget_endpoint(&mut self, endpoint: &EndpointId) {
+        self.commands.push(forget(endpoint));
     }
-    fn set_admission(&mut self, tbl: u32, products: RequestClassSet, admitted: f64, retry: RetryPolicy) {
-        self.said.push(format!("level {tbl} {products} {admitted:.2} {retry:?}"));
+    fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy) {
+        self.commands.push(Command::SetAdmission { table, classes, admitted, retry });
     }
     fn request_acknowledgement(&mut self, number: u32) {
-        self.said.push(format!("mark {number}"));
+        self.commands.push(Command::RequestAcknowledgement(number));
     }
     fn resend_commands(&mut self) {
-        self.said.push("repeat".into());
+        self.commands.push(Command::ResendCommands);
     }
     fn watch_endpoints(&mut self) {
-        self.said.push("follow".into());
+        self.commands.push(Command::WatchEndpoints);
     }
     fn schedule_timer(&mut self, after: Span, timer: Timer) {
-        self.said.push(format!("wake {} {}", timer.label(), after.as_us()));
+        self.commands.push(schedule_timer(timer, after));
     }
 }
 
+/// A moment some seconds after the start of a test.
 pub fn at(secs: f64) -> Moment {
     Moment::from_us(1_000_000_000) + Span::secs(secs)
 }
 
 pub fn config() -> ControllerConfig {
-    let product = |revenue| RequestClass {
+    let class = |priority_weight| RequestClass {
         latency_objective: Span::secs(1.0),
-        priority_weight: revenue,
+        priority_weight,
         zone_local: false,
         writes: false,
     };
     ControllerConfig {
-        request_classes: vec![product(1.0), product(3.0)],
+        request_classes: vec![class(1.0), class(3.0)],
         polls_endpoint_list: false,
         cross_zone_costs: false,
         admission: AdmissionMode::Fraction,
@@ -91,18 +180,33 @@
     }
 }
 
-pub fn listing(id: &str, zone: u32, standing: EndpointState, started: Option<Moment>) -> EndpointUpdate {
-    EndpointUpdate { id: id.into(), zone, weight: 2.0, state: standing, started }
+/// An endpoint of zone 0 with weight 2 that is ready and long warm.
+pub fn ready(id: &str) -> EndpointUpdate {
+    EndpointUpdate { id: id.into(), zone: 0, weight: 2.0, state: EndpointState::Ready, started: None }
 }
 
-/// Controller that know `ids`, ready and long warm in zone 0, and whose proxies are bound.
-pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> Controller<Recorder> {
+/// A ready endpoint that started some seconds after the start of the test.
+pub fn ready_since(id: &str, started_secs: f64) -> EndpointUpdate {
+    EndpointUpdate { started: Some(at(started_secs)), ..ready(id) }
+}
+
+pub fn draining(id: &str) -> EndpointUpdate {
+    EndpointUpdate { state: EndpointState::Draining, ..ready(id) }
+}
+
+pub fn removed(id: &str) -> EndpointUpdate {
+    EndpointUpdate { state: EndpointState::Removed, ..ready(id) }
+}
+
+/// A controller that knows these endpoints, ready and long warm in zone 0, and whose proxies are assigned.
+pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
     let mut controller = Controller::start(Recorder::default(), config, 7, at(0.0));
-    let listings: Vec<EndpointUpdate> =
-        ids.iter().map(|id| listing(id, 0, EndpointState::Ready, None)).collect();
-    controller.endpoint_list_replaced(at(0.0), &listings);
-    (0..proxies).for_each(|proxy| controller.proxy_joined(at(0.0), proxy, 0, 10.0, true));
+    let updates: Vec<EndpointUpdate> = ids.iter().map(|id| ready(id)).collect();
+    controller.endpoint_list_replaced(at(0.0), &updates);
+    for proxy in 0..proxies {
+        controller.proxy_joined(at(0.0), proxy, 0, 10.0, true);
+    }
     controller.timer_fired(at(0.2), Timer::Recheck);
-    controller.host().said.clear();
+    controller.host().commands.clear();
     controller
 }
