--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -1,7 +1,7 @@
 //! Accounting of the channel to the proxies: what was sent into it, and what is known to have left it.
 //!
-//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog counts and decides
-//! nothing: the budgets that are compared with it belong to the controller's `channel` module.
+//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog counts and
+//! decides nothing: the budgets that are compared with it belong to the controller's `channel` module.
 
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
@@ -53,8 +53,8 @@
 }
 
 impl ChannelBacklog {
-    /// Batches that are kept for their acknowledgements. The channel's queue bounds them long before this; the
-    /// cap is for acknowledgements that never come. A slow channel holds hundreds of batches, and an
+    /// Batches that are kept for their acknowledgements. The channel's queue bounds them long before this;
+    /// the cap is for acknowledgements that never come. A slow channel holds hundreds of batches, and an
     /// acknowledgement of a batch that was dropped here would be lost.
     const MAX_BATCHES: usize = 2048;
 
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -1,17 +1,17 @@
 //! Admission control: how much of each request class the proxies admit, and their retry policy.
 //!
-//! [`Controller`](super::Controller) runs [`Admission::shed_load`] once an evaluation; publication sends the levels.
-//! While the fleet is overloaded no more is admitted than it answered of late, the classes of the highest priority
-//! weight first. The limit grows again step by step once the fleet is well. No level falls below a floor, so that
-//! load reports go on telling about every class.
+//! [`Controller`](super::Controller) runs [`Admission::shed_load`] once an evaluation; publication sends the
+//! levels. While the fleet is overloaded no more is admitted than it answered of late, the classes of the
+//! highest priority weight first. The limit grows again step by step once the fleet is well. No level falls
+//! below a floor, so that load reports go on telling about every class.
 
 use super::fleet_load::{FleetLoad, REPORT_DELAY};
 use crate::config::{AdmissionMode, ControllerConfig};
 use crate::host::RetryPolicy;
 use crate::time::Moment;
 
-/// Proxies never retry on our commands: a retry could run a write twice, and would add load to a zone that has just
-/// become full.
+/// Proxies never retry on our commands: a retry could run a write twice, and would add load to a zone that
+/// has just become full.
 pub(super) const RETRY_POLICY: RetryPolicy = RetryPolicy::Never;
 
 /// The part of what was served that an overloaded fleet is given.
@@ -94,8 +94,8 @@
         if config.admission != AdmissionMode::Fraction {
             return;
         }
-        // The budget was measured for the proxies joined then. It grows with those that come back, or a zone that
-        // was cut off would be rejected for as long as the budget takes to grow.
+        // The budget was measured for the proxies joined then. It grows with those that come back, or a zone
+        // that was cut off would be rejected for as long as the budget takes to grow.
         let growth = (joined_rate / self.budget_joined_rate.max(1e-9)).max(1.0);
         let mut remaining = self.budget.map_or(f64::INFINITY, |budget| budget * growth);
         let window = load.window_secs();
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -1,8 +1,8 @@
 //! Assignment: when a proxy that joined is put on its route table.
 //!
-//! [`Controller`] assigns at the end of each event, after everything else found room. A proxy waits until its table
-//! holds a usable endpoint and the channel has room; one that was never assigned waits for no longer than a budget
-//! and then gets what there is. A standing assignment is never touched.
+//! [`Controller`] assigns at the end of each event, after everything else found room. A proxy waits until its
+//! table holds a usable endpoint and the channel has room; one that was never assigned waits for no longer
+//! than a budget and then gets what there is. A standing assignment is never touched.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
@@ -17,7 +17,8 @@
 const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
 /// How long a proxy without any table of a controller waits for a usable endpoint.
 const FIRST_ASSIGNMENT_BUDGET: Span = Span::from_us(5_000_000);
-/// Joins are collected for so long: what a table keeps in its zone depends on all proxies that join at a time.
+/// Joins are collected for so long: what a table keeps in its zone depends on all proxies that join at a
+/// time.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
 /// The part of the known endpoints whose leaving makes the stale tables of unassigned proxies thin.
 const THIN_TABLES_PART: f64 = 0.2;
@@ -25,13 +26,15 @@
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
-    /// Whether so many endpoints left that stale tables may soon be empty: then assignments go before changes of tables.
+    /// Whether so many endpoints left that stale tables may soon be empty: then assignments go before changes
+    /// of tables.
     pub(super) fn assignments_go_first(&self) -> bool {
         let left = self.endpoints.unready_count() as f64;
         left > self.endpoints.len() as f64 * THIN_TABLES_PART && self.proxies.any_unassigned()
     }
 
-    /// Assigns the waiting proxies that may be: those with the poorest tables first, then those with most traffic.
+    /// Assigns the waiting proxies that may be: those with the poorest tables first, then those with most
+    /// traffic.
     pub(super) fn assign_waiting(&mut self, now: Moment, limits: &ChannelLimits) {
         let max_lines = limits.max_lines(Urgency::Ordinary);
         for number in self.waiting_proxies() {
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -1,9 +1,9 @@
-//! Changes: how the desired weights of a route table differ from the published ones, and which differences are worth
-//! sending.
+//! Changes: how the desired weights of a route table differ from the published ones, and which differences
+//! are worth sending.
 //!
-//! Publication asks here for the changes of every table. Small differences are not worth the lines that they cost.
-//! A table whose endpoints all vanished from the list while they still answer is carried for a while: a list that
-//! drops them all at once is more often wrong than right.
+//! Publication asks here for the changes of every table. Small differences are not worth the lines that they
+//! cost. A table whose endpoints all vanished from the list while they still answer is carried for a while: a
+//! list that drops them all at once is more often wrong than right.
 
 use super::assignment::HEARTBEAT_INTERVAL;
 use super::channel::ChannelLimits;
@@ -21,8 +21,8 @@
 const MIN_WARM_RATIO: f64 = 1.001;
 /// A cold endpoint whose weight is too high by more than this ratio restarted: its change is urgent.
 const URGENT_COLD_RATIO: f64 = 2.0;
-/// The least difference worth sending, as a multiple of the mean weight, for each second that a line to all proxies of
-/// the table takes.
+/// The least difference worth sending, as a multiple of the mean weight, for each second that a line to all
+/// proxies of the table takes.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
 /// The longest time for which a table is carried.
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -1,8 +1,9 @@
-//! Budgets of the channel to the proxies: how many lines may be queued, how many messages each proxy may get, and
-//! how large a route table may be so that all of this holds.
+//! Budgets of the channel to the proxies: how many lines may be queued, how many messages each proxy may get,
+//! and how large a route table may be so that all of this holds.
 //!
-//! Every module that sends commands asks here for room first, and records in the [`ChannelBacklog`] what it sent. Urgent
-//! commands may use nearly all of the queue; ordinary ones leave room for a part of the fleet to leave at once.
+//! Every module that sends commands asks here for room first, and records in the [`ChannelBacklog`] what it
+//! sent. Urgent commands may use nearly all of the queue; ordinary ones leave room for a part of the fleet to
+//! leave at once.
 
 use super::endpoints::EndpointRegistry;
 use crate::channel_backlog::ChannelBacklog;
@@ -27,8 +28,8 @@
 const SIMULTANEOUS_LEAVES_PART: f64 = 0.2;
 /// The part of the lines of a drain grace that leaving endpoints may take.
 const LEAVES_GRACE_PART: f64 = 0.78;
-/// The least part of the queue that one of several batches of urgent commands fills: each batch costs the overhead of
-/// its messages again.
+/// The least part of the queue that one of several batches of urgent commands fills: each batch costs the
+/// overhead of its messages again.
 const MIN_BATCH_QUEUE_PART: f64 = 0.4;
 /// A queue below this many lines is empty.
 const EMPTY_QUEUE_LINES: f64 = 1.0;
@@ -104,8 +105,8 @@
         queued_lines <= self.max_queued_lines * ACKNOWLEDGED_QUEUE_PART
     }
 
-    /// How many of `total` urgent items fit into the room, where `cost` grows with their number; none where the batch
-    /// would be incomplete and small.
+    /// How many of `total` urgent items fit into the room, where `cost` grows with their number; none where
+    /// the batch would be incomplete and small.
     pub(super) fn largest_batch(&self, total: usize, room: f64, cost: impl Fn(usize) -> f64) -> usize {
         let mut fits = 0;
         let mut too_many = total + 1;
@@ -129,8 +130,8 @@
     config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_PART) * LEAVES_GRACE_PART
 }
 
-/// How many endpoints a table may hold so that, with all proxies joined here, a part of the fleet can leave while as
-/// many lines are still queued, and so that no endpoint gets more connections than it accepts.
+/// How many endpoints a table may hold so that, with all proxies joined here, a part of the fleet can leave
+/// while as many lines are still queued, and so that no endpoint gets more connections than it accepts.
 fn max_table_size(config: &ControllerConfig, endpoints: &EndpointRegistry) -> usize {
     let proxies = f64::from(config.proxy_count.max(1));
     let mut by_lines = f64::INFINITY;
@@ -163,8 +164,8 @@
         Channel { backlog: ChannelBacklog::new(config.channel_rate * RELIED_ON_RATE_PART) }
     }
 
-    /// Whether the queue is short enough for urgent commands: behind a long queue they would arrive no sooner, and what
-    /// else becomes urgent meanwhile would cost another message to each proxy.
+    /// Whether the queue is short enough for urgent commands: behind a long queue they would arrive no
+    /// sooner, and what else becomes urgent meanwhile would cost another message to each proxy.
     pub(super) fn is_queue_short(&self, now: Moment, limits: &ChannelLimits) -> bool {
         self.backlog.queued_lines(now) <= limits.max_ordinary_lines
     }
@@ -188,8 +189,8 @@
         (limits.max_lines(urgency) - queued).max(least)
     }
 
-    /// Whether a proxy may get a message now. Urgent messages go at once a few times, then at a pace that the limit
-    /// bears for ever.
+    /// Whether a proxy may get a message now. Urgent messages go at once a few times, then at a pace that the
+    /// limit bears for ever.
     fn may_push(&mut self, now: Moment, urgency: Urgency, proxy: u32, limits: &ChannelLimits) -> bool {
         if limits.max_pushes == 0 {
             return true;
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -1,8 +1,9 @@
 //! Delivery: what happens when commands are lost, and how acknowledgements are kept coming.
 //!
-//! Commands that came to nothing, or of which nobody knows, are sent again as they were, and nothing else is sent
-//! before they are accepted: what piled up behind them would arrive in one burst. Where all acknowledgements are lost,
-//! with their proxies or with the event stream, one proxy is assigned anew so that it acknowledges.
+//! Commands that came to nothing, or of which nobody knows, are sent again as they were, and nothing else is
+//! sent before they are accepted: what piled up behind them would arrive in one burst. Where all
+//! acknowledgements are lost, with their proxies or with the event stream, one proxy is assigned anew so that
+//! it acknowledges.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
@@ -29,7 +30,8 @@
         self.delivery.is_resend_pending = true;
         let mut resend_delay = RESEND_DELAY;
         if may_have_arrived {
-            // If they did arrive, their lines are queued twice. An acknowledgement of the resent ones clears both.
+            // If they did arrive, their lines are queued twice. An acknowledgement of the resent ones clears
+            // both.
             let (lines, number) = self.channel.backlog.record_resend(now, self.delivery.last_commands);
             if let Some(number) = number {
                 self.host.request_acknowledgement(number);
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -1,9 +1,10 @@
 //! Ejection of draining and removed endpoints from proxies that hold stale tables.
 //!
-//! A proxy that is not assigned yet may hold tables that are not ours: the few endpoints that it drew at its start, or a
-//! table of an earlier stream. No change of our tables reaches it, only an ejection. [`Controller`] ejects at the end of
-//! each event every endpoint that left and is in no table of ours, those that left first first. While many proxies are
-//! unassigned, ejections are collected for a part of the drain grace, since assignment makes them unnecessary.
+//! A proxy that is not assigned yet may hold tables that are not ours: the few endpoints that it drew at its
+//! start, or a table of an earlier stream. No change of our tables reaches it, only an ejection.
+//! [`Controller`] ejects at the end of each event every endpoint that left and is in no table of ours, those
+//! that left first first. While many proxies are unassigned, ejections are collected for a part of the drain
+//! grace, since assignment makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -32,7 +33,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Starts the clock of the drain grace for ejections that can't be sent since commands are waiting to be resent.
+    /// Starts the clock of the drain grace for ejections that can't be sent since commands are waiting to be
+    /// resent.
     pub(super) fn note_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
@@ -87,8 +89,8 @@
         leaving.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// What some ejections or restorations cost at each unassigned proxy. An initial table holds few endpoints, one of
-    /// an earlier stream as many as ours.
+    /// What some ejections or restorations cost at each unassigned proxy. An initial table holds few
+    /// endpoints, one of an earlier stream as many as ours.
     fn stale_proxy_costs(
         &self,
         ejections: usize,
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -1,8 +1,9 @@
 //! The endpoint registry: every endpoint that the list named and that is not forgotten yet.
 //!
-//! [`Controller`](super::Controller) applies list updates here; every other module reads the endpoints from here.
-//! The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and that nothing
-//! is forgotten that a route table still holds. It also paces the attempts to watch the list again.
+//! [`Controller`](super::Controller) applies list updates here; every other module reads the endpoints from
+//! here. The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and
+//! that nothing is forgotten that a route table still holds. It also paces the attempts to watch the list
+//! again.
 
 use crate::histogram::Histogram;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -13,8 +14,8 @@
 /// The least weight of a listed endpoint.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// How long a removed endpoint is remembered: longer than a proxy is ever cut off with its tables, and longer than
-/// any drain grace.
+/// How long a removed endpoint is remembered: longer than a proxy is ever cut off with its tables, and longer
+/// than any drain grace.
 const REMOVED_RETENTION: Span = Span::from_us(60_000_000);
 
 /// The part of the peak of ready weight that is kept at each evaluation.
@@ -38,18 +39,34 @@
     pub(super) last_answered: Option<Moment>,
     /// When it was ready last.
     pub(super) left: Moment,
-    /// It was ejected from all proxies that were joined at some time.
+    /// It left and was ejected from the proxies that were joined then.
     pub(super) ejected: bool,
-    /// It was ejected from all proxies that hold stale tables now.
+    /// Its ejection reached all proxies that hold stale tables, also those that joined since.
     pub(super) ejected_everywhere: bool,
+    /// How it fares; written by outlier detection.
+    pub(super) outlier: OutlierState,
+}
+
+/// How the attempts at an endpoint ended, and how much of its weight that costs it.
+#[derive(Default)]
+pub(super) struct OutlierState {
     /// Recent attempts, by latency band.
     pub(super) outcomes: Histogram<OUTCOME_BANDS>,
-    /// How much of its weight outlier detection takes away; 0: nothing.
+    /// How much of its weight is taken away; 0: nothing.
     pub(super) ejection_level: usize,
-    /// How often outlier detection lowered its weight, up to its last full recovery.
+    /// How often its weight was lowered since its last full recovery.
     pub(super) ejection_count: u32,
-    /// When `ejection_level` changed last.
-    pub(super) ejection_level_since: Moment,
+    /// When the ejection level changed last.
+    pub(super) level_since: Moment,
+}
+
+impl OutlierState {
+    /// Changes the ejection level; outcomes under the former level no longer count.
+    pub(super) fn set_level(&mut self, level: usize, now: Moment) {
+        self.ejection_level = level;
+        self.level_since = now;
+        self.outcomes = Histogram::default();
+    }
 }
 
 impl Endpoint {
@@ -83,18 +100,11 @@
         self.ejected_everywhere = false;
     }
 
-    /// Changes the ejection level; outcomes under the former level no longer count.
-    pub(super) fn set_ejection_level(&mut self, level: usize, now: Moment) {
-        self.ejection_level = level;
-        self.ejection_level_since = now;
-        self.outcomes = Histogram::default();
-    }
-
     fn apply(&mut self, now: Moment, update: &EndpointUpdate) {
         if update.started > self.started {
             self.started = update.started;
-            self.set_ejection_level(0, now);
-            self.ejection_count = 0;
+            self.outlier.set_level(0, now);
+            self.outlier.ejection_count = 0;
         }
         self.weight = if update.weight.is_finite() { update.weight.max(MIN_WEIGHT) } else { MIN_WEIGHT };
         self.zone = update.zone;
@@ -135,8 +145,8 @@
         }
     }
 
-    /// The delay before the list is watched again after a failure. There is none after a first failure, since the grace
-    /// of a drain that was missed meanwhile is running.
+    /// The delay before the list is watched again after a failure. There is none after a first failure, since
+    /// the grace of a drain that was missed meanwhile is running.
     pub(super) fn watch_retry_delay(&mut self, now: Moment, rng: &mut SeededRng) -> Span {
         let previous = self.last_watch_failure.replace(now);
         let failed_lately = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
@@ -200,7 +210,7 @@
     /// Lets old outcomes and the peak of ready weight fade; called once an evaluation.
     pub(super) fn decay(&mut self) {
         for endpoint in self.by_id.values_mut() {
-            endpoint.outcomes.halve();
+            endpoint.outlier.outcomes.halve();
         }
         self.peak_ready_weight = (self.peak_ready_weight * PEAK_DECAY).max(self.ready_weight());
     }
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -1,7 +1,8 @@
 //! The measured load of the whole fleet, fading over the last seconds, and whether the fleet struggles.
 //!
-//! [`Controller`](super::Controller) records demand and outcomes here as load reports arrive. Admission control and
-//! slow start read it. The verdict has hysteresis: a fleet that struggles does so until it is clearly well.
+//! [`Controller`](super::Controller) records demand and outcomes here as load reports arrive. Admission
+//! control and slow start read it. The verdict has hysteresis: a fleet that struggles does so until it is
+//! clearly well.
 
 use crate::time::Span;
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,8 +1,9 @@
 //! All decisions of a controller.
 //!
-//! The host calls one method of [`Controller`] for each event, with the present moment; the controller acts at once
-//! through the [`Host`] that it was given at its start. It does no I/O, reads no clock and draws random numbers from its
-//! seed alone, so the same events always give the same commands. The commands of one moment travel together.
+//! The host calls one method of [`Controller`] for each event, with the present moment; the controller acts
+//! at once through the [`Host`] that it was given at its start. It does no I/O, reads no clock and draws
+//! random numbers from its seed alone, so the same events always give the same commands. The commands of one
+//! moment travel together.
 //!
 //! Each module owns one concern, its state and its tuned values:
 //!
@@ -84,7 +85,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Starts a controller that knows no endpoint and no proxy, and asks for the endpoint list where it must be polled.
+    /// Starts a controller that knows no endpoint and no proxy, and asks for the endpoint list where it must
+    /// be polled.
     pub fn start(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
         if config.polls_endpoint_list {
             host.watch_endpoints();
@@ -127,14 +129,15 @@
         self.issue_commands(now);
     }
 
-    /// The endpoint list could not be read, or its watch ended: what is known stays, and the list is watched again.
+    /// The endpoint list could not be read, or its watch ended: what is known stays, and the list is watched
+    /// again.
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
         let delay = self.endpoints.watch_retry_delay(now, &mut self.rng);
         self.host.schedule_timer(delay, Timer::WatchRetry);
     }
 
-    /// A proxy joined. `rate` is its usual load in requests a second, and `has_initial_table` says that it holds the
-    /// endpoints that it drew at its start.
+    /// A proxy joined. `rate` is its usual load in requests a second, and `has_initial_table` says that it
+    /// holds the endpoints that it drew at its start.
     pub fn proxy_joined(&mut self, now: Moment, proxy: u32, zone: u32, rate: f64, has_initial_table: bool) {
         let limits = ChannelLimits::new(&self.config, &self.endpoints);
         let placement = routing::table_for(proxy, zone, &self.config, &self.endpoints, &limits);
@@ -151,8 +154,8 @@
         self.channel.backlog.proxy_left(now, proxy);
     }
 
-    /// A load report told of attempts at an endpoint: how many there were and failed without an answer, the latency of
-    /// those answered, and the interval that the report covers.
+    /// A load report told of attempts at an endpoint: how many there were and failed without an answer, the
+    /// latency of those answered, and the interval that the report covers.
     pub fn endpoint_outcomes(
         &mut self,
         now: Moment,
@@ -252,8 +255,8 @@
         self.admission.shed_load(now, &mut self.fleet_load, joined_rate, &self.config);
     }
 
-    /// Lifts the ejection of endpoints that were removed long ago, so that their ids may return as new ones. Without this,
-    /// each proxy that joins would be told of all endpoints that ever were.
+    /// Lifts the ejection of endpoints that were removed long ago, so that their ids may return as new ones.
+    /// Without this, each proxy that joins would be told of all endpoints that ever were.
     fn forget_removed_endpoints(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             return;
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -1,9 +1,9 @@
-//! Outlier detection: endpoints whose attempts end late or fail more often than those of their peers get less of
-//! their weight, in levels, and recover level by level.
+//! Outlier detection: endpoints whose attempts end late or fail more often than those of their peers get less
+//! of their weight, in levels, and recover level by level.
 //!
-//! [`Controller`](super::Controller) records the outcomes as load reports arrive and runs the detection once an
-//! evaluation. No endpoint loses all of its weight, and only a bounded part of the fleet's weight is taken away.
-//! While the median endpoint fares badly none is ejected: that would only move the overload.
+//! [`Controller`](super::Controller) records the outcomes as load reports arrive and runs the detection once
+//! an evaluation. No endpoint loses all of its weight, and only a bounded part of the fleet's weight is taken
+//! away. While the median endpoint fares badly none is ejected: that would only move the overload.
 
 use super::endpoints::{Endpoint, EndpointRegistry, OUTCOME_BANDS};
 use super::fleet_load::{MEDIAN_SCORE, MIN_ATTEMPTS, REPORT_DELAY};
@@ -26,8 +26,8 @@
 const HOPELESS_LEVELS: usize = 3;
 const HOPELESS_SCORE: f64 = 0.7;
 
-/// Attempts that judge an endpoint, as a multiple of those that the mean endpoint has, where that is fewer than
-/// [`MIN_ATTEMPTS`].
+/// Attempts that judge an endpoint, as a multiple of those that the mean endpoint has, where that is fewer
+/// than [`MIN_ATTEMPTS`].
 const MIN_ATTEMPTS_OF_MEAN: f64 = 1.3;
 /// Failed attempts that judge an endpoint, however few attempts it has.
 const MIN_FAILED_ATTEMPTS: f64 = 2.0;
@@ -57,23 +57,24 @@
     if outcomes.answered > 0.0 {
         endpoint.last_answered = Some(now);
     }
-    // Reports arrive late and cover attempts that began earlier: they tell of the weight before the last change.
-    let since_change = now - endpoint.ejection_level_since;
-    if endpoint.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
+    // Reports arrive late and cover attempts that began earlier: they tell of the weight before the last
+    // change.
+    let since_change = now - endpoint.outlier.level_since;
+    if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
         return;
     }
     let band = LATENCY_BANDS.iter().filter(|part| outcomes.latency >= objective * **part).count();
-    endpoint.outcomes.add(FAILED_BAND, outcomes.failed);
-    endpoint.outcomes.add(band, outcomes.answered);
+    endpoint.outlier.outcomes.add(FAILED_BAND, outcomes.failed);
+    endpoint.outlier.outcomes.add(band, outcomes.answered);
 }
 
 /// The weight that outlier detection leaves to an endpoint.
 pub(super) fn effective_weight(endpoint: &Endpoint) -> f64 {
-    endpoint.weight * WEIGHT_KEPT[endpoint.ejection_level]
+    endpoint.weight * WEIGHT_KEPT[endpoint.outlier.ejection_level]
 }
 
-/// Ejects outliers and lets earlier ones recover. Returns the median outlier score of the endpoints that are known
-/// well enough.
+/// Ejects outliers and lets earlier ones recover. Returns the median outlier score of the endpoints that are
+/// known well enough.
 pub(super) fn detect_outliers(endpoints: &mut EndpointRegistry, now: Moment) -> f64 {
     let fleet = fleet_outcomes(endpoints);
     let fleet_score = outlier_score(&fleet).unwrap_or(0.0);
@@ -96,7 +97,7 @@
 fn fleet_outcomes(endpoints: &EndpointRegistry) -> Histogram<OUTCOME_BANDS> {
     let mut fleet = Histogram::default();
     for (_, endpoint) in endpoints.ready() {
-        fleet.merge(&endpoint.outcomes);
+        fleet.merge(&endpoint.outlier.outcomes);
     }
     fleet
 }
@@ -108,7 +109,7 @@
 fn scores_worst_first(endpoints: &EndpointRegistry, min_attempts: f64) -> Vec<EndpointScore> {
     let mut scores = Vec::new();
     for (id, endpoint) in endpoints.ready() {
-        let outcomes = &endpoint.outcomes;
+        let outcomes = &endpoint.outlier.outcomes;
         if outcomes.total() >= min_attempts || outcomes.last_bin() >= MIN_FAILED_ATTEMPTS {
             let score = outlier_score(outcomes).unwrap_or(0.0);
             scores.push(EndpointScore { id: id.clone(), score });
@@ -120,14 +121,14 @@
 
 fn median_score(endpoints: &EndpointRegistry, scores: &[EndpointScore], min_attempts: f64) -> f64 {
     let has_attempts = |scored: &&EndpointScore| {
-        endpoints.get(&scored.id).is_some_and(|endpoint| endpoint.outcomes.total() >= min_attempts)
+        endpoints.get(&scored.id).is_some_and(|endpoint| endpoint.outlier.outcomes.total() >= min_attempts)
     };
     let known: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
     known.get(known.len() / 2).copied().unwrap_or(0.0)
 }
 
 fn eject_outliers(endpoints: &mut EndpointRegistry, scores: &[EndpointScore], limit: f64, now: Moment) {
-    let kept = |endpoint: &Endpoint| WEIGHT_KEPT[endpoint.ejection_level];
+    let kept = |endpoint: &Endpoint| WEIGHT_KEPT[endpoint.outlier.ejection_level];
     let mut ejected: f64 =
         endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - kept(endpoint))).sum();
     let max_ejected = endpoints.ready_weight() * MAX_EJECTED_PART;
@@ -137,31 +138,32 @@
         }
         let endpoint = endpoints.get_mut(id).expect("scored endpoints are registered");
         let levels = if *score >= HOPELESS_SCORE { HOPELESS_LEVELS } else { 1 };
-        let level = (endpoint.ejection_level + levels).min(MAX_EJECTION_LEVEL);
+        let level = (endpoint.outlier.ejection_level + levels).min(MAX_EJECTION_LEVEL);
         ejected += endpoint.weight * (kept(endpoint) - WEIGHT_KEPT[level]);
         if ejected > max_ejected {
             break;
         }
-        if level > endpoint.ejection_level {
-            endpoint.ejection_count = (endpoint.ejection_count + 1).min(MAX_EJECTION_COUNT);
-            endpoint.set_ejection_level(level, now);
+        if level > endpoint.outlier.ejection_level {
+            endpoint.outlier.ejection_count = (endpoint.outlier.ejection_count + 1).min(MAX_EJECTION_COUNT);
+            endpoint.outlier.set_level(level, now);
         }
     }
 }
 
 fn recover(endpoints: &mut EndpointRegistry, limit: f64, now: Moment) {
     for (_, endpoint) in endpoints.iter_mut() {
-        if !endpoint.is_ready() || endpoint.ejection_level == 0 {
+        if !endpoint.is_ready() || endpoint.outlier.ejection_level == 0 {
             continue;
         }
         // Half an evaluation more, so that a late timer doesn't prolong the ejection by a whole one.
-        let ejection_time = EJECTION_TIME * f64::from(endpoint.ejection_count) + EVALUATION_INTERVAL * 0.5;
+        let ejection_time =
+            EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
         // An endpoint without outcomes may recover.
-        let fares_well = outlier_score(&endpoint.outcomes) <= Some(limit);
-        if fares_well && now - endpoint.ejection_level_since > ejection_time {
-            endpoint.set_ejection_level(endpoint.ejection_level - 1, now);
-            if endpoint.ejection_level == 0 {
-                endpoint.ejection_count = 0;
+        let fares_well = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
+        if fares_well && now - endpoint.outlier.level_since > ejection_time {
+            endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
+            if endpoint.outlier.ejection_level == 0 {
+                endpoint.outlier.ejection_count = 0;
             }
         }
     }
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -3,23 +3,23 @@
 use crate::time::Span;
 
 fn ejection_level(controller: &TestController, id: &str) -> usize {
-    controller.endpoints.get(id).unwrap().ejection_level
+    controller.endpoints.get(id).unwrap().outlier.ejection_level
 }
 
 fn add_outcomes(controller: &mut TestController, id: &str, band: usize, attempts: f64) {
-    controller.endpoints.get_mut(id).unwrap().outcomes.add(band, attempts);
+    controller.endpoints.get_mut(id).unwrap().outlier.outcomes.add(band, attempts);
 }
 
 #[test]
 fn an_endpoint_that_fares_worse_than_its_peers_goes_to_the_next_ejection_level() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
-        endpoint.outcomes.add(0, 20.0);
+        endpoint.outlier.outcomes.add(0, 20.0);
     }
     add_outcomes(&mut controller, "c", FAILED_BAND, 20.0);
     controller.detect_outliers(at(5.0));
     let levels: Vec<usize> =
-        controller.endpoints.iter().map(|(_, endpoint)| endpoint.ejection_level).collect();
+        controller.endpoints.iter().map(|(_, endpoint)| endpoint.outlier.ejection_level).collect();
     assert_eq!(levels, [0, 0, 1, 0]);
 }
 
@@ -55,10 +55,10 @@
 fn only_a_part_of_the_fleet_is_ejected() {
     let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
-        endpoint.outcomes.add(0, 100.0);
+        endpoint.outlier.outcomes.add(0, 100.0);
     }
     for id in ["a", "b"] {
-        controller.endpoints.get_mut(id).unwrap().set_ejection_level(5, at(5.0));
+        controller.endpoints.get_mut(id).unwrap().outlier.set_level(5, at(5.0));
     }
     add_outcomes(&mut controller, "c", FAILED_BAND, 900.0);
     controller.detect_outliers(at(5.0));
@@ -69,13 +69,13 @@
 fn while_the_median_endpoint_fares_badly_none_is_ejected() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
-        endpoint.outcomes.add(0, 6.0);
-        endpoint.outcomes.add(FAILED_BAND, 4.0);
+        endpoint.outlier.outcomes.add(0, 6.0);
+        endpoint.outlier.outcomes.add(FAILED_BAND, 4.0);
     }
     add_outcomes(&mut controller, "c", FAILED_BAND, 90.0);
     add_outcomes(&mut controller, "d", 0, 200.0);
     controller.detect_outliers(at(5.0));
-    assert!(controller.endpoints.iter().all(|(_, endpoint)| endpoint.ejection_level == 0));
+    assert!(controller.endpoints.iter().all(|(_, endpoint)| endpoint.outlier.ejection_level == 0));
 }
 
 #[test]
@@ -83,9 +83,9 @@
     for (late, level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
         let mut controller = running(config(), &["a", "b"], 1);
         let endpoint = controller.endpoints.get_mut("a").unwrap();
-        endpoint.ejection_level = 2;
-        endpoint.ejection_count = 1;
-        endpoint.ejection_level_since = at(1.0);
+        endpoint.outlier.ejection_level = 2;
+        endpoint.outlier.ejection_count = 1;
+        endpoint.outlier.level_since = at(1.0);
         controller.detect_outliers(at(1.0 + late));
         assert_eq!(ejection_level(&controller, "a"), level);
     }
@@ -95,10 +95,10 @@
 fn reports_about_the_weight_before_the_last_change_do_not_count() {
     let mut controller = running(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
-    endpoint.ejection_level = 1;
-    endpoint.ejection_level_since = at(5.0);
+    endpoint.outlier.ejection_level = 1;
+    endpoint.outlier.level_since = at(5.0);
     controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
-    assert_eq!(controller.endpoints.get("a").unwrap().outcomes.total(), 0.0);
+    assert_eq!(controller.endpoints.get("a").unwrap().outlier.outcomes.total(), 0.0);
 }
 
 #[test]
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -1,7 +1,8 @@
-//! The proxies: those that are joined, the route table that each is on, and the usual load of all that were ever seen.
+//! The proxies: those that are joined, the route table that each is on, and the usual load of all that were
+//! ever seen.
 //!
-//! [`Controller`](super::Controller) enters joins and leaves here, assignment puts the proxies on their tables, and
-//! routing reads the usual rates of the zones.
+//! [`Controller`](super::Controller) enters joins and leaves here, assignment puts the proxies on their
+//! tables, and routing reads the usual rates of the zones.
 
 use crate::time::Moment;
 use std::collections::BTreeMap;
@@ -12,7 +13,8 @@
     pub(super) rate: f64,
     /// When it joined, or when its assignment was rejected last.
     pub(super) joined: Moment,
-    /// It was never assigned a table, by any controller: it holds the few endpoints that it drew at its start.
+    /// It was never assigned a table, by any controller: it holds the few endpoints that it drew at its
+    /// start.
     pub(super) has_initial_table: bool,
     /// The table that it is on, or will be.
     pub(super) table: u32,
@@ -47,8 +49,8 @@
         table: u32,
     ) {
         let was_seen = self.seen.insert(proxy, SeenProxy { zone, rate }).is_some();
-        // A proxy that joins again without having left may never have lost its table. Until it is assigned again,
-        // changes of that table reach it as before.
+        // A proxy that joins again without having left may never have lost its table. Until it is assigned
+        // again, changes of that table reach it as before.
         let receives_updates =
             self.joined.get(&proxy).is_some_and(|former| former.receives_updates && former.table == table);
         let proxy_state = Proxy {
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,9 +1,9 @@
 //! Publication: when the changes of the route tables are sent, and in which order.
 //!
-//! [`Controller`] publishes at the end of each event. Urgent changes go as soon as the queue is short, in batches that
-//! fit, the endpoints that left first in the first batch; they take along what else has changed and fits. Ordinary
-//! changes are batched, the longer the more of the channel they take. Nothing is marked as published that was not
-//! sent to the host.
+//! [`Controller`] publishes at the end of each event. Urgent changes go as soon as the queue is short, in
+//! batches that fit, the endpoints that left first in the first batch; they take along what else has changed
+//! and fits. Ordinary changes are batched, the longer the more of the channel they take. Nothing is marked as
+//! published that was not sent to the host.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -177,8 +177,8 @@
         changes::weight_changes(table, desired, receivers, limits)
     }
 
-    /// Sends the urgent changes of a table that go now, and ordinary ones as far as they are due and fit. Returns whether
-    /// ordinary changes found no room.
+    /// Sends the urgent changes of a table that go now, and ordinary ones as far as they are due and fit.
+    /// Returns whether ordinary changes found no room.
     fn publish_table(
         &mut self,
         now: Moment,
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -93,7 +93,10 @@
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
     let no_changes = TableChanges { table: 0, receivers: Vec::new(), changes: Vec::new() };
     controller.send_changes(at(1.0), &limits, no_changes, true);
-    let never_retries = |command: &Command| matches!(command, Command::SetAdmission { retry, .. } if *retry == RetryPolicy::Never);
-    assert_eq!(controller.host.admission_count(), controller.host.count(never_retries));
+    for command in &controller.host.commands {
+        if let Command::SetAdmission { retry, .. } = command {
+            assert_eq!(*retry, RetryPolicy::Never);
+        }
+    }
     assert_eq!(controller.host.admission_count(), 2);
 }
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -1,8 +1,8 @@
 //! Routing: which endpoints a route table should hold, and how much of the traffic leaves the home zone.
 //!
-//! Publication asks here for the desired weights of every table. One table serves all proxies, or all of a zone where
-//! crossing zones costs. It holds the whole fleet as long as the channel could carry the news to all proxies in
-//! time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
+//! Publication asks here for the desired weights of every table. One table serves all proxies, or all of a
+//! zone where crossing zones costs. It holds the whole fleet as long as the channel could carry the news to
+//! all proxies in time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
 
 use super::candidate::Candidate;
 use super::channel::ChannelLimits;
@@ -20,13 +20,13 @@
 const ARCS_PER_ZONE: u32 = 16;
 /// One endpoint in so many of a table is reserved for other zones.
 const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
-/// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes would push
-/// another in or out.
+/// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes
+/// would push another in or out.
 const ARC_SLACK_DIVISOR: usize = 8;
 /// The largest part of a zone's requests that stays in the zone where crossing zones costs.
 const MAX_HOME_PART: f64 = 0.9;
-/// Changes of a table's remote factor up to this ratio are not made, or each ejection would move every weight of the
-/// other zones.
+/// Changes of a table's remote factor up to this ratio are not made, or each ejection would move every weight
+/// of the other zones.
 const REMOTE_FACTOR_RATIO: f64 = 1.5;
 const MIN_REMOTE_FACTOR: f64 = 0.01;
 
@@ -78,8 +78,8 @@
         self.admission_levels.insert(class, level) != Some(level)
     }
 
-    /// The weights that the table should have: the home zone's endpoints at their weight and the others at a part of
-    /// it, as many as the limits allow.
+    /// The weights that the table should have: the home zone's endpoints at their weight and the others at a
+    /// part of it, as many as the limits allow.
     pub(super) fn desired_weights(
         &mut self,
         number: u32,
@@ -105,8 +105,8 @@
         slow_start_weights(candidates, &snapshot.fleet)
     }
 
-    /// Endpoints of other zones carry what the home zone's own don't cover, and a small part in any case. Those in the
-    /// table stand for those left out.
+    /// Endpoints of other zones carry what the home zone's own don't cover, and a small part in any case.
+    /// Those in the table stand for those left out.
     fn update_remote_factor(&mut self, all: &ZoneCapacity, held: &ZoneCapacity, snapshot: &RoutingSnapshot) {
         let mut factor = 1.0;
         if let Some(home_zone) = self.home_zone {
@@ -124,8 +124,8 @@
         }
     }
 
-    /// This table's arc of a ring of endpoints, at most `max` long but for endpoints just beyond its ends that the
-    /// table holds already.
+    /// This table's arc of a ring of endpoints, at most `max` long but for endpoints just beyond its ends
+    /// that the table holds already.
     fn ring_arc<'a>(&self, number: u32, ring: Vec<&'a Candidate>, max: usize) -> Vec<&'a Candidate> {
         let len = ring.len();
         if len <= max {
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,8 +1,9 @@
 //! Shards of keys: which endpoint serves each, and how a shard with a single writer changes hands.
 //!
-//! [`Controller`] publishes the shards at the end of each event where the deployment has any; there are no route tables
-//! of zones then. A shard stays where it is while an endpoint of its table is usable. With a single writer, writes to a
-//! shard stop before it moves, until those in flight or sent under a lease have ended.
+//! [`Controller`] publishes the shards at the end of each event where the deployment has any; there are no
+//! route tables of zones then. A shard stays where it is while an endpoint of its table is usable. With a
+//! single writer, writes to a shard stop before it moves, until those in flight or sent under a lease have
+//! ended.
 
 use super::admission::RETRY_POLICY;
 use super::routing;
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: the weights of endpoints that are warming up.
 //!
-//! Routing and sharding ask here for the weight of every candidate. An endpoint starts at a small part of its weight
-//! and grows to all of it within the configured window, counted from its start and not from its appearance in the
-//! list. A fleet that shrank or rejects requests gives its cold endpoints less than that.
+//! Routing and sharding ask here for the weight of every candidate. An endpoint starts at a small part of its
+//! weight and grows to all of it within the configured window, counted from its start and not from its
+//! appearance in the list. A fleet that shrank or rejects requests gives its cold endpoints less than that.
 
 use super::candidate::Candidate;
 use super::endpoints::EndpointRegistry;
@@ -12,14 +12,16 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The part of its weight that an endpoint has at its start. Less than it could bear then: in a burst of load a cold
-/// endpoint needs the spare capacity itself.
+/// The part of its weight that an endpoint has at its start. Less than it could bear then: in a burst of load
+/// a cold endpoint needs the spare capacity itself.
 const INITIAL_FACTOR: f64 = 0.1;
 /// The curve of the ramp; 1 would be a straight line.
 const RAMP_EXPONENT: f64 = 1.3;
-/// The most load on the warm endpoints of a table, as a multiple of their capacity, so that cold ones get less.
+/// The most load on the warm endpoints of a table, as a multiple of their capacity, so that cold ones get
+/// less.
 const MAX_WARM_LOAD: f64 = 2.0;
-/// Endpoints below this factor get no requests from a struggling fleet whose proxies eject endpoints themselves.
+/// Endpoints below this factor get no requests from a struggling fleet whose proxies eject endpoints
+/// themselves.
 const MIN_FACTOR_WHILE_STRUGGLING: f64 = 0.35;
 /// The least factor by which the weights of cold endpoints are reduced.
 const MIN_COLD_REDUCTION: f64 = 0.05;
--- a/src/controller/test_support.rs
+++ b/src/controller/test_support.rs
@@ -3,7 +3,8 @@
 use crate::config::ControllerConfig;
 use crate::testing::{config, running, TestController};
 
-/// A controller of thirty assigned proxies and endpoints "10" to below `end`, more than the channel carries at once.
+/// A controller of thirty assigned proxies and endpoints "10" to below `end`, more than the channel carries
+/// at once.
 pub(super) fn running_crowded(message_overhead_lines: f64, end: u32) -> TestController {
     let ids: Vec<String> = (10..end).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,4 +1,5 @@
-//! The interface between the controller and the program that embeds it, whatever protocol carries its commands.
+//! The interface between the controller and the program that embeds it, whatever protocol carries its
+//! commands.
 
 use crate::time::{Moment, Span};
 use std::rc::Rc;
@@ -79,7 +80,8 @@
 
 /// What the controller needs of the program that embeds it.
 ///
-/// Commands take effect in the order of the calls; those of one moment travel together as one message to each proxy.
+/// Commands take effect in the order of the calls; those of one moment travel together as one message to each
+/// proxy.
 pub trait Host {
     /// Sets the weight of an endpoint in a route table; weight 0 removes it.
     fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64);
@@ -95,11 +97,12 @@
     fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy);
     /// Asks each proxy that this moment's commands reach to acknowledge them with this number.
     fn request_acknowledgement(&mut self, number: u32);
-    /// Sends the commands that [`Controller::commands_lost`](crate::controller::Controller::commands_lost) was
-    /// told of once more.
+    /// Sends the commands that [`Controller::commands_lost`](crate::controller::Controller::commands_lost)
+    /// was told of once more.
     fn resend_commands(&mut self);
     /// Subscribes to the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this timer after a span.
+    /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this timer after a
+    /// span.
     fn schedule_timer(&mut self, after: Span, timer: Timer);
 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,4 +1,5 @@
-//! Test support: a host that records its commands, a configuration, and builders for endpoints and controllers.
+//! Test support: a host that records its commands, a configuration, and builders for endpoints and
+//! controllers.
 
 use crate::config::{AdmissionMode, ControllerConfig, RequestClass};
 use crate::controller::Controller;
