--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -3,7 +3,7 @@
 //! [`Controller`](super::Controller) runs [`Admission::shed_load`] once an evaluation; publication sends the
 //! levels. While the fleet is overloaded no more is admitted than it answered of late, the classes of the
 //! highest priority weight first. The limit grows again step by step once the fleet is well. No level falls
-//! below a floor, so that load reports go on telling about every class.
+//! below a floor, so that load reports go on covering every class.
 
 use super::fleet_load::{FleetLoad, REPORT_DELAY};
 use crate::config::{AdmissionMode, ControllerConfig};
@@ -14,8 +14,8 @@
 /// has just become full.
 pub(super) const RETRY_POLICY: RetryPolicy = RetryPolicy::Never;
 
-/// The part of what was served that an overloaded fleet is given.
-const BUDGET_PART_OF_SERVED: f64 = 0.9;
+/// The fraction of what was served that an overloaded fleet is given.
+const BUDGET_FRACTION_OF_SERVED: f64 = 0.9;
 /// The growth of the budget at each evaluation of a fleet that is well.
 const BUDGET_GROWTH: f64 = 1.08;
 /// The budget is lifted once it exceeds the demand so much.
@@ -75,12 +75,12 @@
         config: &ControllerConfig,
     ) {
         let window = load.window_secs();
-        // Reports tell of the proxies that were joined then: while more join, they are no measure for all.
+        // Reports cover the proxies that were joined then: while more join, they are no measure for all.
         if joined_rate * window > load.joined_rates * JOINING_GROWTH {
             self.last_measured = now;
         }
         if overloaded && now - self.last_measured >= REPORT_DELAY + config.report_interval {
-            self.budget = Some(load.served / window * BUDGET_PART_OF_SERVED);
+            self.budget = Some(load.served / window * BUDGET_FRACTION_OF_SERVED);
             self.budget_joined_rate = load.joined_rates / window;
             self.last_measured = now;
         } else if !load.struggling {
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -20,8 +20,8 @@
 /// Joins are collected for so long: what a table keeps in its zone depends on all proxies that join at a
 /// time.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
-/// The part of the known endpoints whose leaving makes the stale tables of unassigned proxies thin.
-const THIN_TABLES_PART: f64 = 0.2;
+/// Once this fraction of the known endpoints left, the stale tables of unassigned proxies may soon be empty.
+const THIN_TABLES_FRACTION: f64 = 0.2;
 /// A queue up to this many lines takes an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
@@ -30,7 +30,7 @@
     /// of tables.
     pub(super) fn assignments_go_first(&self) -> bool {
         let left = self.endpoints.unready_count() as f64;
-        left > self.endpoints.len() as f64 * THIN_TABLES_PART && self.proxies.any_unassigned()
+        left > self.endpoints.len() as f64 * THIN_TABLES_FRACTION && self.proxies.any_unassigned()
     }
 
     /// Assigns the waiting proxies that may be: those with the poorest tables first, then those with most
--- a/src/controller/candidate.rs
+++ b/src/controller/candidate.rs
@@ -9,7 +9,7 @@
     pub(super) zone: u32,
     /// Its listed weight, less what outlier detection and zone routing take away.
     pub(super) weight: f64,
-    /// The part of its load that it can bear by now; 1 once it is warm.
+    /// The fraction of its load that it can carry by now; 1 once it is warm.
     pub(super) slow_start_factor: f64,
 }
 
@@ -19,7 +19,7 @@
         self.slow_start_factor >= 1.0
     }
 
-    /// The load that it can bear by now.
+    /// The load that it can carry by now.
     pub(super) fn capacity(&self) -> f64 {
         self.weight * self.slow_start_factor
     }
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -27,8 +27,8 @@
 
 /// The longest time for which a table is carried.
 const MAX_CARRY_TIME: Span = HEARTBEAT_INTERVAL;
-/// The part of the drain grace for which a table is carried at most.
-const CARRY_GRACE_PART: f64 = 0.6;
+/// The fraction of the drain grace for which a table is carried at most.
+const CARRY_GRACE_FRACTION: f64 = 0.6;
 
 /// A weight to set in a table.
 pub(super) struct WeightChange {
@@ -95,7 +95,7 @@
     config: &ControllerConfig,
     now: Moment,
 ) -> bool {
-    let within_grace = config.drain_grace * CARRY_GRACE_PART - config.max_transit;
+    let within_grace = config.drain_grace * CARRY_GRACE_FRACTION - config.max_transit;
     let max_time = if config.removal_not_binding { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
     let still_answers = |id: &EndpointId| {
         endpoints.get(id).is_some_and(|endpoint| {
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -10,27 +10,27 @@
 use crate::config::ControllerConfig;
 use crate::time::{Moment, Span};
 
-/// The part of the queue that may be used at all.
-const MAX_QUEUE_PART: f64 = 0.9;
-/// The part of the usable queue that ordinary commands may always use.
-const MIN_ORDINARY_QUEUE_PART: f64 = 0.08;
-/// The part of a proxy's messages that ordinary commands may use.
-const ORDINARY_PUSH_PART: f64 = 0.5;
+/// The fraction of the queue that may be used at all.
+const MAX_QUEUE_FRACTION: f64 = 0.9;
+/// The fraction of the usable queue that ordinary commands may always use.
+const MIN_ORDINARY_QUEUE_FRACTION: f64 = 0.08;
+/// The fraction of a proxy's messages that ordinary commands may use.
+const ORDINARY_PUSH_FRACTION: f64 = 0.5;
 /// Messages that urgent commands may send to a proxy without a pause.
 const URGENT_BURST: usize = 3;
 /// Ordinary commands keep the channel busy for so many transits, until acknowledgements have come back.
 const ORDINARY_TRANSITS: f64 = 3.0;
-/// The part of the channel's stated rate that is relied on without acknowledgements.
-const RELIED_ON_RATE_PART: f64 = 0.04;
-/// The part of the queue from which on acknowledgements are requested.
-const ACKNOWLEDGED_QUEUE_PART: f64 = 0.05;
-/// The part of the fleet that may leave at once, within the drain grace.
-const SIMULTANEOUS_LEAVES_PART: f64 = 0.2;
-/// The part of the lines of a drain grace that leaving endpoints may take.
-const LEAVES_GRACE_PART: f64 = 0.78;
-/// The least part of the queue that one of several batches of urgent commands fills: each batch costs the
+/// The fraction of the channel's stated rate that is relied on without acknowledgements.
+const RELIED_ON_RATE_FRACTION: f64 = 0.04;
+/// The fraction of the queue from which on acknowledgements are requested.
+const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
+/// The fraction of the fleet that may leave at once, within the drain grace.
+const SIMULTANEOUS_LEAVES_FRACTION: f64 = 0.2;
+/// The fraction of the lines of a drain grace that leaving endpoints may take.
+const LEAVES_GRACE_FRACTION: f64 = 0.78;
+/// The least fraction of the queue that one of several batches of urgent commands fills: each batch costs the
 /// overhead of its messages again.
-const MIN_BATCH_QUEUE_PART: f64 = 0.4;
+const MIN_BATCH_QUEUE_FRACTION: f64 = 0.4;
 /// A queue below this many lines is empty.
 const EMPTY_QUEUE_LINES: f64 = 1.0;
 
@@ -66,14 +66,14 @@
     /// The budgets for the endpoints known now.
     pub(super) fn new(config: &ControllerConfig, endpoints: &EndpointRegistry) -> Self {
         let max_table_size = max_table_size(config, endpoints);
-        let is_unlimited = config.max_queued_lines * MAX_QUEUE_PART <= 0.0 || config.channel_rate <= 0.0;
+        let is_unlimited = config.max_queued_lines * MAX_QUEUE_FRACTION <= 0.0 || config.channel_rate <= 0.0;
         let or_unlimited = |lines: f64| if is_unlimited { f64::INFINITY } else { lines };
         let largest_table = max_table_size.min(endpoints.len());
         ChannelLimits {
             max_table_size,
             message_overhead: config.message_overhead_lines,
             max_ordinary_lines: or_unlimited(max_ordinary_lines(config, largest_table)),
-            max_urgent_lines: or_unlimited(config.max_queued_lines * MAX_QUEUE_PART),
+            max_urgent_lines: or_unlimited(config.max_queued_lines * MAX_QUEUE_FRACTION),
             min_message_lines: config.message_overhead_lines + config.request_classes.len() as f64 + 1.0,
             max_queued_lines: config.max_queued_lines,
             rate: config.channel_rate,
@@ -102,7 +102,7 @@
 
     /// Whether so many queued lines are few enough to need no acknowledgement.
     pub(super) fn is_nearly_idle(&self, queued_lines: f64) -> bool {
-        queued_lines <= self.max_queued_lines * ACKNOWLEDGED_QUEUE_PART
+        queued_lines <= self.max_queued_lines * ACKNOWLEDGED_QUEUE_FRACTION
     }
 
     /// How many of `total` urgent items fit into the room, where `cost` grows with their number; none where
@@ -118,7 +118,7 @@
                 too_many = middle;
             }
         }
-        if fits < total && cost(fits) < self.max_queued_lines * MIN_BATCH_QUEUE_PART {
+        if fits < total && cost(fits) < self.max_queued_lines * MIN_BATCH_QUEUE_FRACTION {
             return 0;
         }
         fits
@@ -127,7 +127,7 @@
 
 /// The lines that leaving endpoints may take within the drain grace.
 fn lines_for_leaves(config: &ControllerConfig) -> f64 {
-    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_PART) * LEAVES_GRACE_PART
+    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * LEAVES_GRACE_FRACTION
 }
 
 /// How many endpoints a table may hold so that, with all proxies joined here, a part of the fleet can leave
@@ -137,7 +137,7 @@
     let mut by_lines = f64::INFINITY;
     if config.channel_rate * config.max_queued_lines > 0.0 {
         let lines_per_proxy = lines_for_leaves(config) / 2.0 / proxies - config.message_overhead_lines;
-        by_lines = lines_per_proxy / SIMULTANEOUS_LEAVES_PART;
+        by_lines = lines_per_proxy / SIMULTANEOUS_LEAVES_FRACTION;
     }
     let connections = f64::from(config.min_endpoint_connections) * endpoints.ready().count() as f64 / proxies;
     let by_connections = if connections > 0.0 { connections } else { f64::INFINITY };
@@ -146,11 +146,11 @@
 }
 
 fn max_ordinary_lines(config: &ControllerConfig, largest_table: usize) -> f64 {
-    let leaves_per_table = largest_table as f64 * SIMULTANEOUS_LEAVES_PART;
+    let leaves_per_table = largest_table as f64 * SIMULTANEOUS_LEAVES_FRACTION;
     let reserved = f64::from(config.proxy_count) * (config.message_overhead_lines + leaves_per_table);
     let in_transit = (config.max_transit * ORDINARY_TRANSITS).as_secs() * config.channel_rate;
-    let least = config.max_queued_lines * MAX_QUEUE_PART * MIN_ORDINARY_QUEUE_PART;
-    (lines_for_leaves(config) / LEAVES_GRACE_PART - reserved).min(in_transit).max(least)
+    let least = config.max_queued_lines * MAX_QUEUE_FRACTION * MIN_ORDINARY_QUEUE_FRACTION;
+    (lines_for_leaves(config) / LEAVES_GRACE_FRACTION - reserved).min(in_transit).max(least)
 }
 
 /// The channel: what is queued in it, and whether more may be sent.
@@ -161,7 +161,7 @@
 impl Channel {
     /// An idle channel.
     pub(super) fn new(config: &ControllerConfig) -> Self {
-        Channel { backlog: ChannelBacklog::new(config.channel_rate * RELIED_ON_RATE_PART) }
+        Channel { backlog: ChannelBacklog::new(config.channel_rate * RELIED_ON_RATE_FRACTION) }
     }
 
     /// Whether the queue is short enough for urgent commands: behind a long queue they would arrive no
@@ -200,7 +200,7 @@
             return true;
         }
         match urgency {
-            Urgency::Ordinary => (count as f64) < limits.max_pushes as f64 * ORDINARY_PUSH_PART,
+            Urgency::Ordinary => (count as f64) < limits.max_pushes as f64 * ORDINARY_PUSH_FRACTION,
             Urgency::Urgent => {
                 let paced_pushes = limits.max_pushes.saturating_sub(URGENT_BURST).max(1);
                 let pace = limits.push_window * (1.0 / paced_pushes as f64);
--- a/src/controller/channel/tests.rs
+++ b/src/controller/channel/tests.rs
@@ -1,4 +1,4 @@
-use super::{ChannelLimits, Urgency, MAX_QUEUE_PART, MIN_ORDINARY_QUEUE_PART};
+use super::{ChannelLimits, Urgency, MAX_QUEUE_FRACTION, MIN_ORDINARY_QUEUE_FRACTION};
 use crate::channel_backlog::ChannelBacklog;
 use crate::config::ControllerConfig;
 use crate::host::Timer;
@@ -48,7 +48,7 @@
     }
     controller.timer_fired(at(1.2), Timer::Recheck);
     let assigned = controller.host.assignment_count();
-    let max_lines = 1000.0 * MAX_QUEUE_PART * MIN_ORDINARY_QUEUE_PART;
+    let max_lines = 1000.0 * MAX_QUEUE_FRACTION * MIN_ORDINARY_QUEUE_FRACTION;
     assert!(assigned as f64 * 7.0 <= max_lines && (assigned + 1) as f64 * 7.0 > max_lines);
 }
 
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -13,9 +13,10 @@
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
-/// The part of the drain grace, less a transit, for which ejections are collected.
-const COLLECTION_GRACE_PART: f64 = 0.25;
-/// The lines of ejections to one proxy, as a multiple of their mean: stale tables hold endpoints by chance.
+/// The fraction of the drain grace, less a transit, for which ejections are collected.
+const COLLECTION_GRACE_FRACTION: f64 = 0.25;
+/// The lines of ejections to one proxy, as a multiple of their mean: which endpoints a stale table holds is
+/// random.
 const STALE_LINES_MARGIN: f64 = 1.5;
 
 /// Which ejections are outstanding.
@@ -52,7 +53,7 @@
         let leaving = self.endpoints_to_eject();
         let total_cost = self.ejection_cost(leaving.len(), limits);
         let since = self.ejection.pending_since.unwrap_or(now);
-        let collection_time = (self.config.drain_grace - self.config.max_transit) * COLLECTION_GRACE_PART;
+        let collection_time = (self.config.drain_grace - self.config.max_transit) * COLLECTION_GRACE_FRACTION;
         // On a busy channel the few endpoints of each moment would cost every unassigned proxy a message.
         let is_idle = limits.is_nearly_idle(total_cost + self.channel.backlog.queued_lines(now));
         if !is_idle && total_cost > 0.0 && now - since < collection_time {
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -18,7 +18,7 @@
 /// than any drain grace.
 const REMOVED_RETENTION: Span = Span::from_us(60_000_000);
 
-/// The part of the peak of ready weight that is kept at each evaluation.
+/// The fraction of the peak of ready weight that is kept at each evaluation.
 const PEAK_DECAY: f64 = 0.99;
 
 /// The mean delay before the list is watched again after repeated failures.
@@ -35,7 +35,7 @@
     pub(super) state: EndpointState,
     /// Its latest start; `None` where that is long past.
     pub(super) started: Option<Moment>,
-    /// When a load report last told of an answer.
+    /// When a load report last covered an answer.
     pub(super) last_answered: Option<Moment>,
     /// When it was ready last.
     pub(super) left: Moment,
@@ -203,7 +203,7 @@
     }
 
     /// The ready weight as a part of its recent peak.
-    pub(super) fn ready_part_of_peak(&self) -> f64 {
+    pub(super) fn ready_fraction_of_peak(&self) -> f64 {
         self.ready_weight() / self.peak_ready_weight.max(1e-9)
     }
 
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -19,10 +19,10 @@
 
 /// The median outlier score above which the fleet struggles.
 pub(super) const MEDIAN_SCORE: Hysteresis = Hysteresis { enter: 0.2, leave: 0.15 };
-/// The part of the attempts that is answered, below which the fleet struggles.
-const ANSWERED_PART: Hysteresis = Hysteresis { enter: 0.85, leave: 0.92 };
-/// The part of the attempts that is answered, below which the fleet is overloaded.
-const OVERLOADED_ANSWERED_PART: f64 = 0.7;
+/// The fraction of the attempts that is answered, below which the fleet struggles.
+const ANSWERED_FRACTION: Hysteresis = Hysteresis { enter: 0.85, leave: 0.92 };
+/// The fraction of the attempts that is answered, below which the fleet is overloaded.
+const OVERLOADED_ANSWERED_FRACTION: f64 = 0.7;
 /// The shortest window over which rates are computed.
 const MIN_WINDOW_SECS: f64 = 0.1;
 
@@ -80,12 +80,14 @@
     /// Decides whether the fleet struggles, and returns whether it is overloaded.
     pub(super) fn assess(&mut self) -> bool {
         let enough = self.attempts >= MIN_ATTEMPTS;
-        let answered_part = if self.attempts < MIN_ATTEMPTS { 1.0 } else { self.answered / self.attempts };
-        let overloaded =
-            answered_part < OVERLOADED_ANSWERED_PART || self.median_score > MEDIAN_SCORE.enter && enough;
-        let still_unwell = answered_part < ANSWERED_PART.leave || self.median_score > MEDIAN_SCORE.leave;
+        let answered_fraction =
+            if self.attempts < MIN_ATTEMPTS { 1.0 } else { self.answered / self.attempts };
+        let overloaded = answered_fraction < OVERLOADED_ANSWERED_FRACTION
+            || self.median_score > MEDIAN_SCORE.enter && enough;
+        let is_still_unwell =
+            answered_fraction < ANSWERED_FRACTION.leave || self.median_score > MEDIAN_SCORE.leave;
         self.struggling =
-            overloaded || answered_part < ANSWERED_PART.enter || self.struggling && still_unwell;
+            overloaded || answered_fraction < ANSWERED_FRACTION.enter || self.struggling && is_still_unwell;
         overloaded
     }
 
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -49,6 +49,7 @@
 use crate::seeded_rng::SeededRng;
 use crate::time::{Moment, Span};
 use admission::Admission;
+use candidate::Candidate;
 use channel::{Channel, ChannelLimits};
 use delivery::DeliveryState;
 use ejection::EjectionState;
@@ -59,6 +60,7 @@
 use publication::PublicationState;
 use routing::RouteTables;
 use sharding::ShardMap;
+use slow_start::FleetCondition;
 use timers::PendingTimers;
 
 /// The interval at which load, outliers and admission are evaluated.
@@ -93,14 +95,14 @@
         }
         host.schedule_timer(EVALUATION_INTERVAL, Timer::Evaluation);
         let mut rng = SeededRng::new(seed);
-        let ring_salt = (rng.next_f64() * f64::from(u32::MAX)) as u32;
+        let ring_seed = (rng.next_f64() * f64::from(u32::MAX)) as u32;
         Controller {
             host,
             rng,
             timers: PendingTimers::default(),
             endpoints: EndpointRegistry::default(),
             proxies: ProxyRegistry::default(),
-            tables: RouteTables::new(ring_salt),
+            tables: RouteTables::new(ring_seed),
             shards: ShardMap::default(),
             fleet_load: FleetLoad::new(config.request_classes.len()),
             admission: Admission::new(&config),
@@ -154,7 +156,7 @@
         self.channel.backlog.proxy_left(now, proxy);
     }
 
-    /// A load report told of attempts at an endpoint: how many there were and failed without an answer, the
+    /// A load report covers attempts at an endpoint: how many there were and failed without an answer, the
     /// latency of those answered, and the interval that the report covers.
     pub fn endpoint_outcomes(
         &mut self,
@@ -172,7 +174,7 @@
         outliers::record_outcomes(endpoint, now, &outcomes, self.config.shortest_latency_objective());
     }
 
-    /// A load report told of requests of a class that clients asked for.
+    /// A load report covers requests of a class, as clients asked for them.
     pub fn demand(&mut self, class: u32, requests: f64) {
         self.fleet_load.record_demand(class as usize, requests);
     }
@@ -256,7 +258,7 @@
     }
 
     /// Lifts the ejection of endpoints that were removed long ago, so that their ids may return as new ones.
-    /// Without this, each proxy that joins would be told of all endpoints that ever were.
+    /// Without this, each proxy that joins would get the ejections of all endpoints that ever were.
     fn forget_removed_endpoints(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             return;
@@ -269,6 +271,15 @@
         }
     }
 
+    /// The ready endpoints with what they can carry now, by id.
+    fn candidates(&self, now: Moment) -> Vec<Candidate> {
+        routing::candidates(now, &self.config, &self.endpoints)
+    }
+
+    fn fleet_condition(&self) -> FleetCondition {
+        FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load)
+    }
+
     /// Issues all commands of a moment.
     fn issue_commands(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -19,7 +19,7 @@
 /// What an attempt adds to the outlier score, by band.
 const BAND_SCORES: [f64; OUTCOME_BANDS] = [0.0, 0.0, 0.3, 1.0, 1.0];
 
-/// The part of its weight that an endpoint keeps, by ejection level.
+/// The fraction of its weight that an endpoint keeps, by ejection level.
 const WEIGHT_KEPT: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
 const MAX_EJECTION_LEVEL: usize = WEIGHT_KEPT.len() - 1;
 /// Levels for an endpoint at or above [`HOPELESS_SCORE`]; one level for any other outlier.
@@ -39,10 +39,10 @@
 /// The time at a level before the next recovery, for each ejection so far.
 const EJECTION_TIME: Span = Span::from_us(4_000_000);
 const MAX_EJECTION_COUNT: u32 = 3;
-/// The part of the ready weight that may be taken away in all.
-const MAX_EJECTED_PART: f64 = 0.35;
+/// The fraction of the ready weight that may be taken away in all.
+const MAX_EJECTED_FRACTION: f64 = 0.35;
 
-/// The outcomes of an endpoint's attempts, as a load report tells them.
+/// The outcomes of an endpoint's attempts, as a load report states them.
 pub(super) struct Outcomes {
     pub(super) answered: f64,
     pub(super) failed: f64,
@@ -57,7 +57,7 @@
     if outcomes.answered > 0.0 {
         endpoint.last_answered = Some(now);
     }
-    // Reports arrive late and cover attempts that began earlier: they tell of the weight before the last
+    // Reports arrive late and cover attempts that began earlier: they reflect the weight before the last
     // change.
     let since_change = now - endpoint.outlier.level_since;
     if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
@@ -131,7 +131,7 @@
     let kept = |endpoint: &Endpoint| WEIGHT_KEPT[endpoint.outlier.ejection_level];
     let mut ejected: f64 =
         endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - kept(endpoint))).sum();
-    let max_ejected = endpoints.ready_weight() * MAX_EJECTED_PART;
+    let max_ejected = endpoints.ready_weight() * MAX_EJECTED_FRACTION;
     for EndpointScore { id, score } in scores {
         if *score <= limit {
             continue;
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -38,7 +38,7 @@
 }
 
 impl ProxyRegistry {
-    /// A proxy joined; `has_initial_table` is its own word for it.
+    /// A proxy joined; `has_initial_table` is what it said itself.
     pub(super) fn join(
         &mut self,
         now: Moment,
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -88,6 +88,18 @@
         };
         pending.iter().map(table_cost).sum::<f64>()
     }
+
+    /// Keeps the urgent changes that go now, and the first `max_ordinary` ordinary ones.
+    fn retain_sendable(&self, changes: &mut Vec<WeightChange>, max_ordinary: usize) {
+        let mut ordinary = 0;
+        changes.retain(|change| {
+            if change.is_urgent {
+                return self.includes(change);
+            }
+            ordinary += 1;
+            ordinary <= max_ordinary
+        });
+    }
 }
 
 impl<H: Host> Controller<H> {
@@ -148,13 +160,12 @@
     }
 
     fn routing_snapshot(&self, now: Moment, limits: &ChannelLimits) -> RoutingSnapshot {
-        RoutingSnapshot::new(
-            now,
+        let rates_by_zone = self.proxies.rates_by_zone();
+        self.tables.snapshot(
+            self.candidates(now),
+            self.fleet_condition(),
+            rates_by_zone,
             &self.config,
-            &self.endpoints,
-            &self.proxies,
-            &self.fleet_load,
-            &self.tables,
             limits,
         )
     }
@@ -194,31 +205,34 @@
             self.recheck_soon();
             return false;
         }
-        let total_room = self.channel.room(now, Urgency::Ordinary, &table.receivers, limits);
-        let room_per_receiver = total_room / table.receivers.len() as f64;
-        let committed = if urgent == 0 { limits.message_overhead } else { urgent as f64 };
-        let room = room_per_receiver - committed - self.admission.levels.len() as f64;
+        let room = self.room_for_ordinary(now, limits, &table.receivers, urgent);
         let fitting = room as usize;
         let found_no_room = fitting < rest;
         let is_worth_a_message = room >= 0.0 && (!found_no_room || room >= limits.message_overhead);
         if urgent == 0 && !is_worth_a_message {
             return found_no_room;
         }
-        let mut ordinary_left = if batch.is_complete() { fitting } else { 0 };
-        table.changes.retain(|change| {
-            if batch.includes(change) {
-                return true;
-            }
-            let fits = !change.is_urgent && ordinary_left > 0;
-            if fits {
-                ordinary_left -= 1;
-            }
-            fits
-        });
+        let max_ordinary = if batch.is_complete() { fitting } else { 0 };
+        batch.retain_sendable(&mut table.changes, max_ordinary);
         self.send_changes(now, limits, table, batch.is_complete());
         found_no_room
     }
 
+    /// The lines for ordinary changes to each receiver of a table, besides its urgent changes and all
+    /// admission levels.
+    fn room_for_ordinary(
+        &mut self,
+        now: Moment,
+        limits: &ChannelLimits,
+        receivers: &[u32],
+        urgent_lines: usize,
+    ) -> f64 {
+        let total = self.channel.room(now, Urgency::Ordinary, receivers, limits);
+        // Ordinary changes alone pay for the message.
+        let committed = if urgent_lines == 0 { limits.message_overhead } else { urgent_lines as f64 };
+        total / receivers.len() as f64 - committed - self.admission.levels.len() as f64
+    }
+
     /// Sends changes of a table and marks them as published; with them the admission levels that changed.
     pub(super) fn send_changes(
         &mut self,
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -1,15 +1,13 @@
 //! Routing: which endpoints a route table should hold, and how much of the traffic leaves the home zone.
 //!
 //! Publication asks here for the desired weights of every table. One table serves all proxies, or all of a
-//! zone where crossing zones costs. It holds the whole fleet as long as the channel could carry the news to
-//! all proxies in time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
+//! zone where crossing zones costs. It holds the whole fleet as long as the channel could notify all proxies
+//! in time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
 
 use super::candidate::Candidate;
 use super::channel::ChannelLimits;
 use super::endpoints::EndpointRegistry;
-use super::fleet_load::FleetLoad;
 use super::outliers;
-use super::proxies::ProxyRegistry;
 use super::slow_start::{slow_start_factor, slow_start_weights, EndpointWeight, FleetCondition};
 use crate::config::ControllerConfig;
 use crate::host::EndpointId;
@@ -23,8 +21,8 @@
 /// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes
 /// would push another in or out.
 const ARC_SLACK_DIVISOR: usize = 8;
-/// The largest part of a zone's requests that stays in the zone where crossing zones costs.
-const MAX_HOME_PART: f64 = 0.9;
+/// The largest fraction of a zone's requests that stays in the zone where crossing zones costs.
+const MAX_HOME_FRACTION: f64 = 0.9;
 /// Changes of a table's remote factor up to this ratio are not made, or each ejection would move every weight
 /// of the other zones.
 const REMOTE_FACTOR_RATIO: f64 = 1.5;
@@ -38,7 +36,7 @@
     pub(super) weights: BTreeMap<EndpointId, f64>,
     /// The published admission level of each request class.
     admission_levels: BTreeMap<usize, f64>,
-    /// The part of their weight that endpoints of other zones get.
+    /// The fraction of their weight that endpoints of other zones get.
     remote_factor: f64,
     /// Since when it keeps its weights although all of its endpoints left the list.
     pub(super) carried_since: Option<Moment>,
@@ -79,7 +77,7 @@
     }
 
     /// The weights that the table should have: the home zone's endpoints at their weight and the others at a
-    /// part of it, as many as the limits allow.
+    /// fraction of it, as many as the limits allow.
     pub(super) fn desired_weights(
         &mut self,
         number: u32,
@@ -112,9 +110,9 @@
         if let Some(home_zone) = self.home_zone {
             let due = snapshot.capacity_due(home_zone);
             if held.home > 0.0 && held.remote > 0.0 && due > 0.0 {
-                let home_part = (all.home / due).min(1.0) * MAX_HOME_PART;
+                let home_fraction = (all.home / due).min(1.0) * MAX_HOME_FRACTION;
                 let even = all.remote / held.remote * held.home / all.home;
-                let needed = held.home * (1.0 - home_part) / (home_part * held.remote);
+                let needed = held.home * (1.0 - home_fraction) / (home_fraction * held.remote);
                 factor = needed.min(even).max(MIN_REMOTE_FACTOR);
             }
         }
@@ -194,14 +192,14 @@
 /// All route tables, by number.
 pub(super) struct RouteTables {
     pub(super) by_number: BTreeMap<u32, RouteTable>,
-    /// Each controller orders the ring by a number of its own.
-    ring_salt: u32,
+    /// Each controller has an order of the ring of its own.
+    ring_seed: u32,
 }
 
 impl RouteTables {
     /// No tables yet.
-    pub(super) fn new(ring_salt: u32) -> Self {
-        RouteTables { by_number: BTreeMap::new(), ring_salt }
+    pub(super) fn new(ring_seed: u32) -> Self {
+        RouteTables { by_number: BTreeMap::new(), ring_seed }
     }
 
     /// Creates a table where it doesn't exist.
@@ -219,6 +217,27 @@
         self.by_number[&number].weights.keys().any(|id| endpoints.is_ready(id))
     }
 
+    /// The inputs of all tables at this moment.
+    pub(super) fn snapshot(
+        &self,
+        mut candidates: Vec<Candidate>,
+        fleet: FleetCondition,
+        rates_by_zone: BTreeMap<u32, f64>,
+        config: &ControllerConfig,
+        limits: &ChannelLimits,
+    ) -> RoutingSnapshot {
+        candidates.sort_by_cached_key(|candidate| ring_position(&candidate.id, self.ring_seed));
+        let served = candidates.iter().filter(|candidate| rates_by_zone.contains_key(&candidate.zone));
+        RoutingSnapshot {
+            served_capacity: routable_capacity(served),
+            candidates,
+            rates_by_zone,
+            max_table_size: limits.max_table_size,
+            is_zone_local: has_zone_local_class(config),
+            fleet,
+        }
+    }
+
     /// A weight was rejected and doesn't stand.
     pub(super) fn remove_weight(&mut self, number: u32, id: &EndpointId) {
         if let Some(table) = self.by_number.get_mut(&number) {
@@ -242,31 +261,7 @@
 }
 
 impl RoutingSnapshot {
-    /// The inputs as they are now.
-    pub(super) fn new(
-        now: Moment,
-        config: &ControllerConfig,
-        endpoints: &EndpointRegistry,
-        proxies: &ProxyRegistry,
-        load: &FleetLoad,
-        tables: &RouteTables,
-        limits: &ChannelLimits,
-    ) -> Self {
-        let mut candidates = candidates(now, config, endpoints);
-        candidates.sort_by_cached_key(|candidate| ring_position(&candidate.id, tables.ring_salt));
-        let rates_by_zone = proxies.rates_by_zone();
-        let served = candidates.iter().filter(|candidate| rates_by_zone.contains_key(&candidate.zone));
-        RoutingSnapshot {
-            served_capacity: routable_capacity(served),
-            candidates,
-            rates_by_zone,
-            max_table_size: limits.max_table_size,
-            is_zone_local: has_zone_local_class(config),
-            fleet: FleetCondition::new(config, endpoints, load),
-        }
-    }
-
-    /// The part of the served capacity that a zone's traffic is due.
+    /// The fraction of the served capacity that a zone's traffic is due.
     fn capacity_due(&self, zone: u32) -> f64 {
         let rate = self.rates_by_zone.get(&zone).unwrap_or(&0.0);
         let all_rates = self.rates_by_zone.values().sum::<f64>();
@@ -274,7 +269,7 @@
     }
 }
 
-/// The ready endpoints with what they can bear now, by id.
+/// The ready endpoints with what they can carry now, by id.
 pub(super) fn candidates(
     now: Moment,
     config: &ControllerConfig,
@@ -293,8 +288,8 @@
 }
 
 /// The position of an endpoint on the ring: a hash of its id.
-fn ring_position(id: &str, salt: u32) -> u32 {
-    let mut hash = salt;
+fn ring_position(id: &str, seed: u32) -> u32 {
+    let mut hash = seed;
     for byte in id.bytes() {
         hash = (hash.rotate_left(5) ^ u32::from(byte)).wrapping_mul(0x0100_0193);
     }
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -6,8 +6,7 @@
 //! ended.
 
 use super::admission::RETRY_POLICY;
-use super::routing;
-use super::slow_start::{slow_start_weights, EndpointWeight, FleetCondition};
+use super::slow_start::{slow_start_weights, EndpointWeight};
 use super::Controller;
 use crate::host::{EndpointId, Host, RequestClassSet};
 use crate::time::{Moment, Span};
@@ -93,9 +92,7 @@
     }
 
     fn usable_endpoints(&self, now: Moment) -> UsableEndpoints {
-        let candidates = routing::candidates(now, &self.config, &self.endpoints);
-        let fleet = FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load);
-        let weights = slow_start_weights(candidates, &fleet);
+        let weights = slow_start_weights(self.candidates(now), &self.fleet_condition());
         let total = weights.values().map(|endpoint| endpoint.weight).sum::<f64>();
         UsableEndpoints { weights, total }
     }
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -12,8 +12,8 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The part of its weight that an endpoint has at its start. Less than it could bear then: in a burst of load
-/// a cold endpoint needs the spare capacity itself.
+/// The fraction of its weight that an endpoint has at its start. Less than it could carry then: in a burst of
+/// load a cold endpoint needs the spare capacity itself.
 const INITIAL_FACTOR: f64 = 0.1;
 /// The curve of the ramp; 1 would be a straight line.
 const RAMP_EXPONENT: f64 = 1.3;
@@ -32,10 +32,10 @@
     pub(super) is_warm: bool,
 }
 
-/// What of the fleet's state bears on its cold endpoints.
+/// What of the fleet's state affects its cold endpoints.
 pub(super) struct FleetCondition {
-    /// The part of its recent peak load that the fleet can answer by its size and its answers, 0 to 1.
-    answerable_part: f64,
+    /// The fraction of its recent peak load that the fleet can answer by its size and its answers, 0 to 1.
+    answerable_fraction: f64,
     /// Proxies leave failing endpoints for those that they have not tried yet, however small their weight.
     keep_coldest_out: bool,
 }
@@ -43,16 +43,16 @@
 impl FleetCondition {
     /// The fleet's condition now.
     pub(super) fn new(config: &ControllerConfig, endpoints: &EndpointRegistry, load: &FleetLoad) -> Self {
-        let answered_part = load.answered.max(1.0) / load.attempts.max(1.0);
-        let answerable_part = endpoints.ready_part_of_peak() * answered_part;
+        let answered_fraction = load.answered.max(1.0) / load.attempts.max(1.0);
+        let answerable_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
         FleetCondition {
-            answerable_part: answerable_part.clamp(MIN_COLD_REDUCTION, 1.0),
+            answerable_fraction: answerable_fraction.clamp(MIN_COLD_REDUCTION, 1.0),
             keep_coldest_out: config.proxy_ejects_after_failures > 0 && load.struggling,
         }
     }
 }
 
-/// The part of its weight that an endpoint may have at its age; 1 where its start is long past.
+/// The fraction of its weight that an endpoint may have at its age; 1 where its start is long past.
 pub(super) fn slow_start_factor(window: Span, started: Option<Moment>, now: Moment) -> f64 {
     let Some(started) = started else { return 1.0 };
     let age = now - started;
@@ -73,7 +73,7 @@
     let (cold, warm) = (capacity(false), capacity(true));
     // Cold weights are reduced only as far as the warm endpoints can take over.
     let least = ((cold + warm) / MAX_WARM_LOAD - warm) / cold.max(1e-9);
-    let reduction = fleet.answerable_part.max(least).min(1.0);
+    let reduction = fleet.answerable_fraction.max(least).min(1.0);
     let keep_coldest_out = fleet.keep_coldest_out && warm > 0.0;
     let mut weights = BTreeMap::new();
     for candidate in candidates {
--- a/src/host.rs
+++ b/src/host.rs
@@ -97,8 +97,8 @@
     fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy);
     /// Asks each proxy that this moment's commands reach to acknowledge them with this number.
     fn request_acknowledgement(&mut self, number: u32);
-    /// Sends the commands that [`Controller::commands_lost`](crate::controller::Controller::commands_lost)
-    /// was told of once more.
+    /// Sends the commands once more that were reported to
+    /// [`Controller::commands_lost`](crate::controller::Controller::commands_lost).
     fn resend_commands(&mut self);
     /// Subscribes to the endpoint list.
     fn watch_endpoints(&mut self);
