--- a/src/config.rs
+++ b/src/config.rs
@@ -80,10 +80,4 @@
     pub fn lines_within_grace(&self) -> f64 {
         (self.drain_grace - self.max_transit).as_secs() * self.channel_rate
     }
-
-    /// The shortest latency objective of all request classes; zero without classes.
-    pub fn shortest_latency_objective(&self) -> Span {
-        let objectives = self.request_classes.iter().map(|class| class.latency_objective);
-        objectives.min().unwrap_or_default()
-    }
 }
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -11,9 +11,9 @@
 
 /// The mean interval of the heartbeat while an assignment waits for a usable endpoint.
 pub(super) const HEARTBEAT_INTERVAL: Span = Span::from_us(3_000_000);
-/// The shortest heartbeat, as a part of its interval.
+/// The shortest heartbeat, as a fraction of its interval.
 const HEARTBEAT_JITTER_MIN: f64 = 0.8;
-/// The range over which the heartbeat is spread evenly, as a part of its interval.
+/// The range over which the heartbeat is spread evenly, as a fraction of its interval.
 const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
 /// How long a proxy without any table of a controller waits for a usable endpoint.
 const FIRST_ASSIGNMENT_BUDGET: Span = Span::from_us(5_000_000);
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -202,7 +202,7 @@
         self.ready().map(|(_, endpoint)| endpoint.weight).sum()
     }
 
-    /// The ready weight as a part of its recent peak.
+    /// The ready weight as a fraction of its recent peak.
     pub(super) fn ready_fraction_of_peak(&self) -> f64 {
         self.ready_weight() / self.peak_ready_weight.max(1e-9)
     }
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -80,8 +80,7 @@
     /// Decides whether the fleet struggles, and returns whether it is overloaded.
     pub(super) fn assess(&mut self) -> bool {
         let enough = self.attempts >= MIN_ATTEMPTS;
-        let answered_fraction =
-            if self.attempts < MIN_ATTEMPTS { 1.0 } else { self.answered / self.attempts };
+        let answered_fraction = if enough { self.answered / self.attempts } else { 1.0 };
         let overloaded = answered_fraction < OVERLOADED_ANSWERED_FRACTION
             || self.median_score > MEDIAN_SCORE.enter && enough;
         let is_still_unwell =
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -171,7 +171,7 @@
         let answered = (attempts - failed).max(0.0);
         self.fleet_load.record_outcomes(attempts, answered);
         let outcomes = Outcomes { answered, failed, latency, interval };
-        outliers::record_outcomes(endpoint, now, &outcomes, self.config.shortest_latency_objective());
+        outliers::record_outcomes(endpoint, now, &outcomes, &self.config);
     }
 
     /// A load report covers requests of a class, as clients asked for them.
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -8,6 +8,7 @@
 use super::endpoints::{Endpoint, EndpointRegistry, OUTCOME_BANDS};
 use super::fleet_load::{MEDIAN_SCORE, MIN_ATTEMPTS, REPORT_DELAY};
 use super::EVALUATION_INTERVAL;
+use crate::config::ControllerConfig;
 use crate::histogram::Histogram;
 use crate::host::EndpointId;
 use crate::time::{Moment, Span};
@@ -53,7 +54,12 @@
 }
 
 /// Records the outcomes of an endpoint's attempts.
-pub(super) fn record_outcomes(endpoint: &mut Endpoint, now: Moment, outcomes: &Outcomes, objective: Span) {
+pub(super) fn record_outcomes(
+    endpoint: &mut Endpoint,
+    now: Moment,
+    outcomes: &Outcomes,
+    config: &ControllerConfig,
+) {
     if outcomes.answered > 0.0 {
         endpoint.last_answered = Some(now);
     }
@@ -63,11 +69,18 @@
     if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
         return;
     }
+    let objective = shortest_latency_objective(config);
     let band = LATENCY_BANDS.iter().filter(|part| outcomes.latency >= objective * **part).count();
     endpoint.outlier.outcomes.add(FAILED_BAND, outcomes.failed);
     endpoint.outlier.outcomes.add(band, outcomes.answered);
 }
 
+/// Reports don't say which class an attempt was for: all are compared with the strictest objective.
+fn shortest_latency_objective(config: &ControllerConfig) -> Span {
+    let objectives = config.request_classes.iter().map(|class| class.latency_objective);
+    objectives.min().unwrap_or_default()
+}
+
 /// The weight that outlier detection leaves to an endpoint.
 pub(super) fn effective_weight(endpoint: &Endpoint) -> f64 {
     endpoint.weight * WEIGHT_KEPT[endpoint.outlier.ejection_level]
