--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,7 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
-# CONFIG is the file that the supervisor reads at its start: make run CONFIG=config.json
+# CONFIG is the file that the control plane reads at its start: make run CONFIG=config.json
 run: build
 	GW_CONFIG=$(CONFIG) target/release/otterwinch serve
 
