--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -34,7 +34,7 @@
         zone: u32,
         /// Its usual rate in requests per second.
         rate: f64,
-        /// Whether it holds no route table yet.
+        /// Whether the relay marks it as new.
         fresh: bool,
     },
     /// A proxy left the relay.
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -27,6 +27,8 @@
 mod metrics;
 mod observed_fleet;
 mod proxy_event;
+mod proxy_snapshot;
+mod proxy_stream_connection;
 mod proxy_streams;
 mod relay_host;
 mod server;
--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -22,7 +22,7 @@
         zone: u32,
         /// Its usual rate in requests per second.
         rate: f64,
-        /// Whether it holds no route table yet.
+        /// Whether the relay marks it as new.
         fresh: bool,
     },
     /// A proxy left.
--- /dev/null
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -0,0 +1,109 @@
+//! One connection that carries the relay's event stream, with the snapshot of joined proxies that it opens with.
+
+use crate::call_error::CallError;
+use crate::client::Peer;
+use crate::event::Event;
+use crate::proxy_event::ProxyEvent;
+use crate::proxy_snapshot::ProxySnapshot;
+use crate::timeout::within;
+use futures_util::{Stream, StreamExt, TryStreamExt};
+use http_body_util::BodyDataStream;
+use hyper::body::Bytes;
+use hyper::Method;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::time::Duration;
+use tokio_util::codec::{FramedRead, LinesCodec};
+use tokio_util::io::StreamReader;
+
+const PATH: &str = "/v3/kv/stream";
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
+/// The relay sends a heartbeat each second. To open another stream in vain costs only an assignment for each proxy.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
+const MAX_LINE_BYTES: usize = 64 << 10;
+
+type Chunks = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
+type Lines = FramedRead<StreamReader<Chunks, Bytes>, LinesCodec>;
+
+/// An open stream that has sent its first line.
+pub struct ProxyStream {
+    /// Where the relay was when it was opened.
+    pub address: SocketAddr,
+    lines: Lines,
+    /// The first line, until it is read.
+    first_line: Option<String>,
+    snapshot: ProxySnapshot,
+}
+
+impl ProxyStream {
+    /// Opens a stream and waits for its first line.
+    ///
+    /// # Errors
+    /// The relay can't be reached, rejects the request, or sends no line in time.
+    pub async fn open(peer: &Peer) -> Result<Self, CallError> {
+        let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
+        if !response.status().is_success() {
+            return Err(CallError::Rejected(format!("status {}", response.status()).into()));
+        }
+        let chunks: Chunks = Box::pin(BodyDataStream::new(response.into_body()).map_err(io::Error::other));
+        let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
+        let mut lines = FramedRead::new(StreamReader::new(chunks), codec);
+        let Some(first_line) = read_line(&mut lines).await? else {
+            return Err(CallError::NoAnswer("no first line".into()));
+        };
+        Ok(ProxyStream {
+            address: peer.address,
+            lines,
+            first_line: Some(first_line),
+            snapshot: ProxySnapshot::default(),
+        })
+    }
+
+    /// The next line; nothing where the stream is silent. Cancelled, it loses no line.
+    ///
+    /// # Errors
+    /// The stream ended, or a line is too long or no text.
+    pub async fn next_line(&mut self) -> Result<Option<String>, CallError> {
+        match self.first_line.take() {
+            Some(first_line) => Ok(Some(first_line)),
+            None => read_line(&mut self.lines).await,
+        }
+    }
+
+    /// Keeps the snapshot in step with an event; returns what the control loop has to know of it.
+    pub fn track(&mut self, event: ProxyEvent) -> Option<Event> {
+        match event {
+            ProxyEvent::Blank => None,
+            ProxyEvent::Heartbeat => self.snapshot.complete().map(|joined| Event::ProxySnapshot { joined }),
+            ProxyEvent::Joined { proxy, zone, rate, fresh } => {
+                self.snapshot.proxy_present(proxy);
+                Some(Event::ProxyJoined { proxy, zone, rate, fresh })
+            }
+            ProxyEvent::Left { proxy } => {
+                self.snapshot.proxy_left(proxy);
+                Some(Event::ProxyLeft { proxy })
+            }
+            ProxyEvent::Acknowledged { proxy, number } => Some(Event::Acknowledged { proxy, number }),
+        }
+    }
+
+    /// Keeps the snapshot in step with an invalid event. Its proxy is not missing; one that does not name its proxy may be
+    /// about any.
+    pub fn track_invalid(&mut self, proxy: Option<u32>) {
+        match proxy {
+            Some(proxy) => self.snapshot.proxy_present(proxy),
+            None => self.snapshot.give_up(),
+        }
+    }
+}
+
+/// The next line; nothing where none comes in time.
+async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
+    match within(SILENCE_TIMEOUT, lines.next()).await {
+        None => Ok(None),
+        Some(None) => Err(CallError::UnusableAnswer("ended".into())),
+        Some(Some(Ok(line))) => Ok(Some(line)),
+        Some(Some(Err(error))) => Err(CallError::UnusableAnswer(error.into())),
+    }
+}
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -7,32 +7,19 @@
 use crate::call_error::CallError;
 use crate::client::Peer;
 use crate::deployment_names::DeploymentNames;
-use crate::event::{Event, EventSender};
+use crate::event::EventSender;
 use crate::log::LogRateLimit;
 use crate::proxy_event::{InvalidEvent, InvalidLine, ProxyEvent};
-use crate::timeout::within;
-use futures_util::{Stream, StreamExt, TryStreamExt};
-use http_body_util::BodyDataStream;
-use hyper::body::Bytes;
-use hyper::Method;
+use crate::proxy_stream_connection::{ProxyStream, SILENCE_TIMEOUT};
 use slog::{info, warn, Logger};
-use std::collections::BTreeSet;
 use std::future::{pending, Future};
-use std::io;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::sleep;
-use tokio_util::codec::{FramedRead, LinesCodec};
-use tokio_util::io::StreamReader;
 
-const PATH: &str = "/v3/kv/stream";
-const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// The relay sends a heartbeat each second. To open another stream in vain costs only an assignment for each proxy.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
-const MAX_LINE_BYTES: usize = 64 << 10;
 /// Pauses before an attempt to open a stream, by the number of attempts that failed before it.
 const BACKOFF: [Duration; 4] = [
     Duration::from_millis(20),
@@ -213,89 +200,3 @@
         ProxyStream::open(&peer).await
     })
 }
-
-type Chunks = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
-type Lines = FramedRead<StreamReader<Chunks, Bytes>, LinesCodec>;
-
-/// An open stream that has sent its first line.
-struct ProxyStream {
-    address: SocketAddr,
-    lines: Lines,
-    /// The first line, until it is read.
-    first_line: Option<String>,
-    /// The proxies that the stream has named as joined, until its first heartbeat completes them.
-    snapshot: Option<BTreeSet<u32>>,
-}
-
-impl ProxyStream {
-    /// Opens a stream and waits for its first line.
-    async fn open(peer: &Peer) -> Result<Self, CallError> {
-        let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
-        if !response.status().is_success() {
-            return Err(CallError::Rejected(format!("status {}", response.status()).into()));
-        }
-        let chunks: Chunks = Box::pin(BodyDataStream::new(response.into_body()).map_err(io::Error::other));
-        let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
-        let mut lines = FramedRead::new(StreamReader::new(chunks), codec);
-        let Some(first_line) = read_line(&mut lines).await? else {
-            return Err(CallError::NoAnswer("no first line".into()));
-        };
-        Ok(ProxyStream {
-            address: peer.address,
-            lines,
-            first_line: Some(first_line),
-            snapshot: Some(BTreeSet::new()),
-        })
-    }
-
-    /// The next line; nothing where the stream is silent.
-    async fn next_line(&mut self) -> Result<Option<String>, CallError> {
-        match self.first_line.take() {
-            Some(first_line) => Ok(Some(first_line)),
-            None => read_line(&mut self.lines).await,
-        }
-    }
-
-    /// Keeps the snapshot in step with an event; returns what the control loop has to know of it.
-    fn track(&mut self, event: ProxyEvent) -> Option<Event> {
-        match event {
-            ProxyEvent::Blank => None,
-            ProxyEvent::Heartbeat => self.snapshot.take().map(|joined| Event::ProxySnapshot { joined }),
-            ProxyEvent::Joined { proxy, zone, rate, fresh } => {
-                if let Some(snapshot) = &mut self.snapshot {
-                    snapshot.insert(proxy);
-                }
-                Some(Event::ProxyJoined { proxy, zone, rate, fresh })
-            }
-            ProxyEvent::Left { proxy } => {
-                if let Some(snapshot) = &mut self.snapshot {
-                    snapshot.remove(&proxy);
-                }
-                Some(Event::ProxyLeft { proxy })
-            }
-            ProxyEvent::Acknowledged { proxy, number } => Some(Event::Acknowledged { proxy, number }),
-        }
-    }
-
-    /// A proxy with an invalid event is not missing. An event that does not name its proxy may be about any, so the
-    /// snapshot is given up.
-    fn track_invalid(&mut self, proxy: Option<u32>) {
-        match (proxy, &mut self.snapshot) {
-            (Some(proxy), Some(snapshot)) => {
-                snapshot.insert(proxy);
-            }
-            (Some(_), None) => {}
-            (None, _) => self.snapshot = None,
-        }
-    }
-}
-
-/// The next line; nothing where none comes in time.
-async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
-    match within(SILENCE_TIMEOUT, lines.next()).await {
-        None => Ok(None),
-        Some(None) => Err(CallError::UnusableAnswer("ended".into())),
-        Some(Some(Ok(line))) => Ok(Some(line)),
-        Some(Some(Err(error))) => Err(CallError::UnusableAnswer(error.into())),
-    }
-}
