--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -196,3 +196,6 @@
         CallError::UnusableAnswer(cause)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -120,7 +120,7 @@
         }
         self.failing = true;
         // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
-        // refuse to tell what is newer than a version that it does not know.
+        // reject a poll since a version that it does not know.
         if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
             self.wait_for_request().await;
         } else {
@@ -195,8 +195,8 @@
 
 /// Checks that an answer goes on from the version that was asked for.
 ///
-/// A change older than that was delayed on its way, or the list counts its versions anew: only the whole list tells
-/// which. Where the whole list was asked for, a part would be mistaken for it.
+/// A change older than that was delayed on its way, or the list has lost its state and its versions begin again: only the
+/// whole list shows which. Where the whole list was requested, a part would be mistaken for it.
 fn check_continues(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
         return Ok(());
@@ -209,3 +209,6 @@
         Some(_) => Ok(()),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -24,7 +24,7 @@
         /// The entries.
         updates: Vec<EndpointUpdate>,
     },
-    /// A call to the endpoint list failed, or told less than there is to know.
+    /// A call to the endpoint list failed, or its answer may lack a change.
     EndpointWatchFailed,
     /// A proxy joined the relay. One that is joined already may have left and joined again unnoticed.
     ProxyJoined {
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,7 +1,7 @@
 //! Follows the relay's event stream: which proxies are joined, and what they have acknowledged.
 //!
 //! A stream that is silent is kept while another is opened beside it: one that speaks again has missed nothing, and no
-//! proxy need be assigned anew. One that ended may have missed any joining or leaving: the next names all joined proxies,
+//! proxy need be reassigned. One that ended may have missed any joining or leaving: the next names all joined proxies,
 //! and those that it does not name have left. A relay that has moved is followed as soon as it speaks at its new address.
 
 use crate::call_error::CallError;
