--- /dev/null
+++ b/control-plane/src/server.rs
@@ -0,0 +1,121 @@
+//! Starts the tasks of the control plane, connects them, and runs them until a signal ends the process.
+
+use crate::config::Config;
+use crate::config_reload::ConfigReload;
+use crate::connection::ConnectionContext;
+use crate::control_loop::{ControlLoop, ControlLoopHandles};
+use crate::endpoint_watch::EndpointWatch;
+use crate::listener::Listener;
+use crate::proxy_streams::ProxyStreams;
+use crate::shutdown::{ServerTasks, ShutdownSignals, TaskError};
+use crate::status_pages;
+use crate::task_restart::restart_on_panic;
+use slog::{info, Logger};
+use std::io;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, SignalKind};
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio_util::sync::CancellationToken;
+
+/// Why the control plane ended by itself.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The runtime, a signal handler or the address could not be set up.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A task that runs until the shutdown ended without one.
+    #[error(transparent)]
+    Task(#[from] TaskError),
+    /// The handler of SIGHUP is gone.
+    #[error("no more signals can be received")]
+    SignalsClosed,
+}
+
+/// Runs the control plane until SIGTERM or SIGINT.
+pub async fn serve(config: Config, log: Logger) -> Result<(), ServeError> {
+    let server = Server::start(Rc::new(config), log).await?;
+    server.run().await
+}
+
+/// A control plane whose tasks are started.
+struct Server {
+    signals: ShutdownSignals,
+    reload: ConfigReload,
+    tasks: ServerTasks,
+    /// Ends the tasks.
+    shutdown: CancellationToken,
+    log: Logger,
+}
+
+impl Server {
+    async fn start(config: Rc<Config>, log: Logger) -> io::Result<Self> {
+        // Installed before the listener answers anybody: without a handler a SIGHUP ends the process.
+        let signals = ShutdownSignals::install()?;
+        let hangups = signal(SignalKind::hangup())?;
+        let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
+        let (relay_address, relay) = watch::channel(config.relay);
+        let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
+        let ControlLoopHandles { events, status, watch_requests } = handles;
+        let socket = TcpListener::bind(config.listen).await?;
+        info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
+        spawn_endpoint_watch(EndpointWatch {
+            address: endpoint_list,
+            max_answer_bytes: config.max_list_bytes,
+            names: config.names.clone(),
+            requests: watch_requests,
+            events: events.clone(),
+            log: log.clone(),
+        });
+        spawn_proxy_streams(ProxyStreams {
+            address: relay,
+            names: config.names.clone(),
+            events: events.clone(),
+            log: log.clone(),
+        });
+        let context = ConnectionContext {
+            names: config.names.clone(),
+            events: events.clone(),
+            status_pages: status_pages::router(status),
+            log: log.clone(),
+        };
+        let shutdown = CancellationToken::new();
+        let listener = Listener::new(socket, context, config.max_connections, shutdown.clone());
+        let tasks = ServerTasks {
+            listener: spawn_local(listener.run()),
+            control_loop: spawn_local(control_loop.run(shutdown.clone())),
+        };
+        let reload = ConfigReload {
+            hangups,
+            config,
+            endpoint_list: list_address,
+            relay: relay_address,
+            metrics: events.metrics,
+            log: log.clone(),
+        };
+        Ok(Server { signals, reload, tasks, shutdown, log })
+    }
+
+    /// Runs until a signal and the shutdown that follows it, or until a task fails.
+    async fn run(mut self) -> Result<(), ServeError> {
+        let signal = tokio::select! {
+            error = self.tasks.unexpected_end() => return Err(error.into()),
+            () = self.reload.run() => return Err(ServeError::SignalsClosed),
+            signal = self.signals.received() => signal,
+        };
+        info!(self.log, "shutting down"; "signal" => signal);
+        self.shutdown.cancel();
+        Ok(self.tasks.finish(&self.log).await?)
+    }
+}
+
+// A panic in the task of a peer restarts that task alone.
+
+fn spawn_endpoint_watch(watch: EndpointWatch) {
+    restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
+}
+
+fn spawn_proxy_streams(streams: ProxyStreams) {
+    restart_on_panic("proxy stream", streams.log.clone(), move || streams.clone().run());
+}
--- /dev/null
+++ b/control-plane/src/shutdown.rs
@@ -0,0 +1,94 @@
+//! The end of the process: the signals that ask for it, and the tasks that have to finish before it.
+
+use crate::timeout::within;
+use slog::{warn, Logger};
+use std::io;
+use std::time::Duration;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::task::{JoinError, JoinHandle};
+
+/// The platform kills the process 0.7 s after the signal.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
+const LISTENER: &str = "the listener";
+const CONTROL_LOOP: &str = "the control loop";
+
+/// A task that runs until the shutdown ended without one, or panicked.
+#[derive(Debug, thiserror::Error)]
+pub enum TaskError {
+    /// It returned.
+    #[error("{task} ended")]
+    Ended {
+        /// Which task.
+        task: &'static str,
+    },
+    /// It panicked.
+    #[error("{task} panicked")]
+    Panicked {
+        /// Which task.
+        task: &'static str,
+        /// The panic.
+        source: JoinError,
+    },
+}
+
+/// The signals that end the process.
+pub struct ShutdownSignals {
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl ShutdownSignals {
+    /// Installs their handlers.
+    pub fn install() -> io::Result<Self> {
+        Ok(ShutdownSignals {
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+        })
+    }
+
+    /// Waits for one of them; its name.
+    pub async fn received(&mut self) -> &'static str {
+        tokio::select! {
+            _ = self.terminate.recv() => "SIGTERM",
+            _ = self.interrupt.recv() => "SIGINT",
+        }
+    }
+}
+
+/// The tasks that run until the shutdown and finish their work then.
+pub struct ServerTasks {
+    /// Accepts connections.
+    pub listener: JoinHandle<()>,
+    /// Owns the controller.
+    pub control_loop: JoinHandle<()>,
+}
+
+impl ServerTasks {
+    /// Waits for one of them to end although there is no shutdown.
+    pub async fn unexpected_end(&mut self) -> TaskError {
+        let (task, ended) = tokio::select! {
+            ended = &mut self.control_loop => (CONTROL_LOOP, ended),
+            ended = &mut self.listener => (LISTENER, ended),
+        };
+        match ended {
+            Ok(()) => TaskError::Ended { task },
+            Err(source) => TaskError::Panicked { task, source },
+        }
+    }
+
+    /// Waits for all of them, for as long as a shutdown may take.
+    ///
+    /// # Errors
+    /// The panic of one of them.
+    pub async fn finish(self, log: &Logger) -> Result<(), TaskError> {
+        let all = async { tokio::join!(self.control_loop, self.listener) };
+        let Some((control_loop, listener)) = within(SHUTDOWN_TIMEOUT, all).await else {
+            let timeout = SHUTDOWN_TIMEOUT.as_millis() as u64;
+            warn!(log, "shutdown timed out with work pending"; "after_ms" => timeout);
+            return Ok(());
+        };
+        control_loop.map_err(|source| TaskError::Panicked { task: CONTROL_LOOP, source })?;
+        listener.map_err(|source| TaskError::Panicked { task: LISTENER, source })?;
+        Ok(())
+    }
+}
