--- /dev/null
+++ b/fleet/src/load_profile/generator.rs
@@ -0,0 +1,136 @@
+//! Generates the requests of a load profile.
+
+use super::LoadProfile;
+use crate::load::ScheduledRequest;
+use crate::model::Fleet;
+use crate::sampling::{random_stream, sample_work};
+use otterwinch_traffic_capture::RequestRecord;
+use rand::RngExt;
+use rand_distr::{Distribution, Exp, Zipf};
+use rand_pcg::Pcg64Mcg;
+
+/// Requests in the order of their arrival. The same seed generates the same ones.
+///
+/// Arrivals are a Poisson process whose rate varies: they are drawn at the highest rate that occurs, and each is kept
+/// with the probability of the present rate against the highest.
+pub struct LoadGenerator {
+    fleet: Fleet,
+    profile: LoadProfile,
+    /// The time of the latest arrival, in seconds.
+    at: f64,
+    /// An upper bound of the rate at any time.
+    max_rate: f64,
+    key_distribution: Option<Zipf<f64>>,
+    arrivals: Pcg64Mcg,
+    places: Pcg64Mcg,
+    work: Pcg64Mcg,
+    keys: Pcg64Mcg,
+}
+
+impl LoadGenerator {
+    /// The load of a profile for a fleet.
+    pub fn new(fleet: &Fleet, profile: &LoadProfile, seed: u64) -> Self {
+        let changes = profile.bursts.iter().map(|burst| burst.starts_at).chain([0.0]);
+        let max_rate = changes.map(|at| profile.rate(fleet, at)).fold(0.0, f64::max);
+        let key_distribution =
+            profile.keys.and_then(|keys| Zipf::new(f64::from(keys.distinct), keys.skew).ok());
+        LoadGenerator {
+            fleet: fleet.clone(),
+            profile: profile.clone(),
+            at: 0.0,
+            max_rate: max_rate * (1.0 + profile.curve.depth),
+            key_distribution,
+            arrivals: random_stream(seed, "arrivals", 0),
+            places: random_stream(seed, "places", 0),
+            work: random_stream(seed, "work", 0),
+            keys: random_stream(seed, "keys", 0),
+        }
+    }
+
+    /// The same requests as a simulation or an emulation takes them.
+    pub fn requests(self) -> impl Iterator<Item = ScheduledRequest> {
+        self.map(|record| ScheduledRequest {
+            at: record.at_us as f64 / 1e6,
+            request_class: record.request_class as usize,
+            zone: record.zone as usize,
+            work: record.work_us.unwrap_or(0) as f64 / 1e6,
+            idempotency_key: record.idempotency_key,
+        })
+    }
+
+    /// Moves on to the next arrival, and returns the rate then; `None` when the load is over.
+    fn next_arrival(&mut self) -> Option<f64> {
+        if self.max_rate <= 0.0 {
+            return None;
+        }
+        let gap = Exp::new(self.max_rate).expect("the rate is above 0");
+        loop {
+            self.at += gap.sample(&mut self.arrivals);
+            if self.at >= self.profile.duration_seconds {
+                return None;
+            }
+            let rate = self.profile.rate(&self.fleet, self.at);
+            let kept_below = rate * self.profile.curve.factor(self.at);
+            if self.arrivals.random::<f64>() * self.max_rate < kept_below {
+                return Some(rate);
+            }
+        }
+    }
+
+    /// Draws the request class and the zone of a request that arrives now, by their parts of the rate.
+    fn sample_class_and_zone(&mut self, rate: f64) -> (usize, usize) {
+        let mut remaining = self.places.random::<f64>() * rate;
+        let mut latest_possible = (0, 0);
+        for request_class in 0..self.fleet.request_classes.len() {
+            for zone in 0..self.fleet.zones.len() {
+                let share = self.profile.rate_share(&self.fleet, self.at, request_class, zone);
+                remaining -= share * self.profile.requests_per_second;
+                if share <= 0.0 {
+                    continue;
+                }
+                latest_possible = (request_class, zone);
+                if remaining < 0.0 {
+                    return latest_possible;
+                }
+            }
+        }
+        // Rounding may leave a rest.
+        latest_possible
+    }
+
+    /// Draws the work of a request that arrives now, in seconds.
+    fn sample_work(&mut self, request_class: usize, zone: usize) -> f64 {
+        let mut work = sample_work(&self.fleet.request_classes[request_class].work, &mut self.work);
+        for burst in &self.profile.bursts {
+            if !burst.concerns(self.at, request_class, zone) {
+                continue;
+            }
+            let costly_sample = self.work.random::<f64>();
+            let factor_sample = self.work.random::<f64>();
+            if costly_sample < burst.costly_share {
+                let (least, greatest) = burst.costly_factor;
+                work *= least + (greatest - least) * factor_sample;
+            }
+        }
+        work
+    }
+}
+
+impl Iterator for LoadGenerator {
+    type Item = RequestRecord;
+
+    fn next(&mut self) -> Option<RequestRecord> {
+        let rate = self.next_arrival()?;
+        let (request_class, zone) = self.sample_class_and_zone(rate);
+        let work = self.sample_work(request_class, zone);
+        let key = self.key_distribution.as_ref().map(|keys| keys.sample(&mut self.keys) as u64);
+        Some(RequestRecord {
+            at_us: (self.at * 1e6) as i64,
+            request_class: request_class as u32,
+            zone: zone as u32,
+            work_us: Some((work * 1e6).round() as u64),
+            idempotency_key: key,
+            attempt: 0,
+        })
+    }
+}
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -1,17 +1,18 @@
-//! More or less of the same load: what a plan calls a multiple of it.
+//! A load made heavier or lighter.
 
 use crate::load::ScheduledRequest;
 use crate::sampling::random_stream;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
+use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Copies are due so long before or after their original, in seconds, at even chance: close enough to keep the load's
-/// shape, far enough not to come as one.
-const JITTER: f64 = 0.5;
+/// A copy is due up to this long before or after its original: near enough to keep the shape of the load, far enough not
+/// to coincide with it.
+const JITTER_SECONDS: f64 = 0.5;
 
-/// A load `times` as heavy. Each txn goes on so often in the mean, at its own product, hall and work; the shape through
-/// time stays, bursts and holes as well. At 1 the load goes through untouched.
+/// A load with `factor` times as many requests. Each request occurs `factor` times in the mean, with its own class, zone
+/// and work; the shape through time stays, with bursts and gaps. A factor of 1 leaves the load as it is.
 ///
 /// ```
 /// use otterwinch_fleet::{scale::ScaledLoad, ScheduledRequest};
@@ -22,70 +23,84 @@
 /// ```
 pub struct ScaledLoad<I> {
     load: I,
-    times: f64,
-    draws: Pcg64Mcg,
-    waiting: BinaryHeap<Waits>,
-    nth: u64,
-    /// No copy that is still to come is due before this.
-    settled: f64,
+    factor: f64,
+    random: Pcg64Mcg,
+    held: BinaryHeap<Held>,
+    /// Counts the requests that were held.
+    sequence: u64,
+    /// No request that is still to come is due before this, in seconds.
+    settled_until: f64,
 }
 
-struct Waits(ScheduledRequest, u64);
+impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
+    /// Scales a load, which is ordered by time.
+    pub fn new(load: I, factor: f64, seed: u64) -> Self {
+        ScaledLoad {
+            load,
+            factor,
+            random: random_stream(seed, "copies", 0),
+            held: BinaryHeap::new(),
+            sequence: 0,
+            settled_until: f64::NEG_INFINITY,
+        }
+    }
 
-impl PartialEq for Waits {
-    fn eq(&self, other: &Self) -> bool {
-        self.cmp(other).is_eq()
+    fn hold(&mut self, request: ScheduledRequest) {
+        self.sequence += 1;
+        self.held.push(Held { request, sequence: self.sequence });
+    }
+
+    /// Holds as many copies of a request as the factor asks for. The first is the original at its own time.
+    fn copy(&mut self, request: ScheduledRequest) {
+        let copies = (self.factor + self.random.random::<f64>()) as u64;
+        for number in 0..copies {
+            let offset = JITTER_SECONDS * (2.0 * self.random.random::<f64>() - 1.0);
+            let at = if number == 0 { request.at } else { (request.at + offset).max(0.0) };
+            self.hold(ScheduledRequest { at, ..request });
+        }
     }
 }
 
-impl Eq for Waits {}
+impl<I: Iterator<Item = ScheduledRequest>> Iterator for ScaledLoad<I> {
+    type Item = ScheduledRequest;
 
-impl Ord for Waits {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        other.0.at.total_cmp(&self.0.at).then(other.1.cmp(&self.1))
+    fn next(&mut self) -> Option<ScheduledRequest> {
+        if self.factor == 1.0 {
+            return self.load.next();
+        }
+        while self.held.peek().is_none_or(|earliest| earliest.request.at > self.settled_until) {
+            let Some(request) = self.load.next() else { break };
+            self.settled_until = request.at - JITTER_SECONDS;
+            self.copy(request);
+        }
+        self.held.pop().map(|held| held.request)
     }
 }
 
-impl PartialOrd for Waits {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
+struct Held {
+    request: ScheduledRequest,
+    /// Orders requests of the same time.
+    sequence: u64,
 }
 
-impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
-    pub fn new(load: I, times: f64, seed: u64) -> Self {
-        let draws = random_stream(seed, "copies", 0);
-        ScaledLoad { load, times, draws, waiting: BinaryHeap::new(), nth: 0, settled: f64::NEG_INFINITY }
+impl PartialEq for Held {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other).is_eq()
     }
+}
+
+impl Eq for Held {}
 
-    fn push(&mut self, due: ScheduledRequest) {
-        self.nth += 1;
-        self.waiting.push(Waits(due, self.nth));
+impl Ord for Held {
+    /// Reversed, since the heap yields its greatest element and the earliest is wanted.
+    fn cmp(&self, other: &Self) -> Ordering {
+        let by_time = other.request.at.total_cmp(&self.request.at);
+        by_time.then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl<I: Iterator<Item = ScheduledRequest>> Iterator for ScaledLoad<I> {
-    type Item = ScheduledRequest;
-
-    fn next(&mut self) -> Option<ScheduledRequest> {
-        if self.times == 1.0 {
-            return self.load.next();
-        }
-        loop {
-            if self.waiting.peek().is_some_and(|w| w.0.at <= self.settled) {
-                return self.waiting.pop().map(|w| w.0);
-            }
-            let Some(due) = self.load.next() else {
-                return self.waiting.pop().map(|w| w.0);
-            };
-            self.settled = due.at - JITTER;
-            // The original goes first where it goes at all; each further one is a copy.
-            let copies = (self.times + self.draws.random::<f64>()) as u64;
-            for k in 0..copies {
-                let moved = JITTER * (2.0 * self.draws.random::<f64>() - 1.0);
-                let at = if k == 0 { due.at } else { (due.at + moved).max(0.0) };
-                self.push(ScheduledRequest { at, ..due });
-            }
-        }
+impl PartialOrd for Held {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
     }
 }
--- /dev/null
+++ b/fleet/src/validate/mod.rs
@@ -0,0 +1,116 @@
+//! From the messages of the schemas to the validated model: every value within its bounds, every name known, defaults
+//! filled in. The names of the schemas' fields end here.
+//!
+//! Errors of one line are reported in the order of the checks, so the order of the checks matters.
+
+mod clients;
+mod control_plane;
+mod endpoint_groups;
+mod load_profile;
+mod network;
+mod request_classes;
+
+pub(crate) use load_profile::load_profile;
+
+use crate::model::{Fleet, Goal};
+use crate::proto;
+use otterwinch::time::Span;
+use otterwinch_textproto::Validator;
+use std::ops::RangeInclusive;
+
+const MAX_ZONES: usize = 64;
+const MAX_ENDPOINTS: u32 = 20_000;
+const MAX_PROXIES: u32 = 20_000;
+const MAX_REQUEST_CLASSES: usize = 16;
+/// Ten minutes.
+const MAX_MS: f64 = 600_000.0;
+
+/// A validated fleet. Where something is reported, a valid value stands in its place.
+pub(crate) fn fleet(validator: &Validator, message: &proto::Fleet) -> Fleet {
+    let name = validator.field("name").identifier(&message.name);
+    check_lists(validator, message);
+    let zone_names: Vec<String> = message.hall.iter().map(|zone| zone.name.clone()).collect();
+
+    let zones = network::zones(validator, &message.hall);
+    let groups = endpoint_groups::endpoint_groups(validator, &message.group, &zone_names);
+    let request_classes = request_classes::request_classes(validator, &message.product);
+
+    let network = message.network.clone().unwrap_or_default();
+    let network = network::network(&validator.field("network"), &network, &zone_names);
+    let longest_warm_up =
+        groups.iter().filter_map(|group| group.warm_up).map(|warm_up| warm_up.duration).max();
+    let control_plane = control_plane::control_plane(
+        &validator.field("supervisors"),
+        &message.supervisors.unwrap_or_default(),
+        longest_warm_up.unwrap_or(Span::ZERO),
+    );
+    let clients = clients::clients(&validator.field("clients"), &message.clients.unwrap_or_default());
+    let proxies =
+        control_plane::proxies(&validator.field("forwarders"), &message.forwarders.unwrap_or_default());
+    let goal = goal(&validator.field("goal"), &message.goal.unwrap_or_default());
+    Fleet { name, network, zones, groups, request_classes, clients, proxies, control_plane, goal }
+}
+
+/// Checks the lengths of the lists and the names of their elements.
+fn check_lists(validator: &Validator, message: &proto::Fleet) {
+    let (zones, groups, classes) = (&message.hall, &message.group, &message.product);
+    validator.field("hall").require((1..=MAX_ZONES).contains(&zones.len()), || {
+        format!("{} halls are not allowed: 1 to {MAX_ZONES}", zones.len())
+    });
+    validator.field("group").require(!groups.is_empty(), || "a fleet has at least one group of nodes".into());
+    validator.field("product").require((1..=MAX_REQUEST_CLASSES).contains(&classes.len()), || {
+        format!("{} products are not allowed: 1 to {MAX_REQUEST_CLASSES}", classes.len())
+    });
+    validator.unique_names("hall", zones.iter().map(|zone| zone.name.as_str()));
+    validator.unique_names("group", groups.iter().map(|group| group.name.as_str()));
+    validator.unique_names("product", classes.iter().map(|class| class.name.as_str()));
+}
+
+fn goal(validator: &Validator, message: &proto::Goal) -> Goal {
+    let service_level = message.service.unwrap_or(0.95);
+    let class_service_level = message.each_product.unwrap_or(0.0);
+    Goal {
+        service_level: validator.field("service").in_range(service_level, 0.01..=1.0, "of the revenue"),
+        class_service_level: validator.field("each_product").in_range(
+            class_service_level,
+            0.0..=1.0,
+            "of the revenue",
+        ),
+    }
+}
+
+fn millis(value: f64) -> Span {
+    Span::secs(value / 1e3)
+}
+
+/// Scales shares so that they sum to 1; tells whether any is above 0.
+fn normalize<'a>(shares: impl Iterator<Item = &'a mut f64>) -> bool {
+    let shares: Vec<&mut f64> = shares.collect();
+    let sum: f64 = shares.iter().map(|share| **share).sum();
+    let any = sum > 0.0;
+    if any {
+        for share in shares {
+            *share /= sum;
+        }
+    }
+    any
+}
+
+/// A required whole number; the lower bound where it is missing.
+fn required_count(validator: &Validator, value: Option<u32>, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
+    if let Some(value) = value {
+        return validator.count_in_range(value, bounds, unit);
+    }
+    validator.report(format!("is missing: {unit}, {} to {}", bounds.start(), bounds.end()));
+    *bounds.start()
+}
+
+/// A number that was reported as missing if it is; 1 stands in for it.
+fn reported_number(
+    validator: &Validator,
+    value: Option<f64>,
+    bounds: RangeInclusive<f64>,
+    unit: &str,
+) -> f64 {
+    value.map_or(1.0, |value| validator.in_range(value, bounds, unit))
+}
--- /dev/null
+++ b/fleet/src/validate/request_classes.rs
@@ -0,0 +1,103 @@
+//! Request classes and their work.
+
+use super::{millis, normalize, MAX_MS};
+use crate::model::{Idempotency, RequestClass, Work};
+use crate::proto;
+use otterwinch::time::Span;
+use otterwinch_textproto::Validator;
+
+const DEFAULT_MIN_ADMITTED: f64 = 0.1;
+const MIN_WORK_MS: f64 = 0.01;
+
+pub(super) fn request_classes(validator: &Validator, messages: &[proto::Product]) -> Vec<RequestClass> {
+    let elements = messages.iter().enumerate();
+    let mut classes: Vec<RequestClass> = elements
+        .map(|(index, message)| request_class(&validator.element("product", index), message))
+        .collect();
+    let has_share = normalize(classes.iter_mut().map(|class| &mut class.share));
+    validator.field("product").require(has_share || classes.is_empty(), || {
+        "no product has a share: at least one has a share above 0".into()
+    });
+    classes
+}
+
+fn request_class(validator: &Validator, message: &proto::Product) -> RequestClass {
+    let latency_objective =
+        required_ms(&validator.field("sla_ms"), message.sla_ms, 1.0, "the time in which an answer is wanted");
+    let timeout = required_ms(
+        &validator.field("expiry_ms"),
+        message.expiry_ms,
+        latency_objective,
+        "the time after which the client gives up",
+    );
+    let idempotency = idempotency(&validator.field("repeats"), message.repeats());
+    let deduplication = validator.field("discard_s");
+    deduplication
+        .require(message.discard_s.is_none() || idempotency == Idempotency::WithIdempotencyKey, || {
+            "only a REFERENCED product's repeats are dropped: leave this out".into()
+        });
+    let fraction = |field: &str, value: Option<f64>, default: f64| {
+        validator.field(field).in_range(value.unwrap_or(default), 0.0..=1.0, "of the whole")
+    };
+    let share = message.share.unwrap_or(1.0);
+    let priority_weight = message.revenue.unwrap_or(1.0);
+    let deduplication_seconds = message.discard_s.unwrap_or(0.0);
+    RequestClass {
+        name: validator.field("name").identifier(&message.name),
+        share: validator.field("share").in_range(share, 0.0..=1_000.0, "parts of the txns"),
+        work: work(&validator.field("work"), message.work.as_ref()),
+        latency_objective: millis(latency_objective),
+        timeout: millis(timeout),
+        priority_weight: validator.field("revenue").in_range(priority_weight, 0.0..=1e6, "of revenue"),
+        late_value: fraction("late_part", message.late_part, 0.0),
+        idempotency,
+        deduplication_window: Span::secs(deduplication.in_range(deduplication_seconds, 0.0..=600.0, "s")),
+        min_admitted: fraction("floor", message.floor, DEFAULT_MIN_ADMITTED),
+    }
+}
+
+/// A required time; the least allowed where it is missing.
+fn required_ms(validator: &Validator, value: Option<f64>, least: f64, what: &str) -> f64 {
+    if let Some(value) = value {
+        return validator.in_range(value, least..=MAX_MS, "ms");
+    }
+    validator.report(format!("is missing: {what}, in ms"));
+    least
+}
+
+fn idempotency(validator: &Validator, value: proto::Repeats) -> Idempotency {
+    match value {
+        proto::Repeats::InquiryLike => Idempotency::Idempotent,
+        proto::Repeats::Referenced => Idempotency::WithIdempotencyKey,
+        proto::Repeats::OnceOnly => Idempotency::NotIdempotent,
+        proto::Repeats::Unspecified => {
+            validator.report("is missing: INQUIRY_LIKE, REFERENCED or ONCE_ONLY");
+            Idempotency::NotIdempotent
+        }
+    }
+}
+
+fn work(validator: &Validator, message: Option<&proto::Work>) -> Work {
+    let Some(message) = message else {
+        validator.report("is missing: what a txn costs, from_ms to to_ms");
+        return Work { from: 1.0, to: 1.0, costly_share: 0.0, costly_from: 1.0, costly_to: 1.0 };
+    };
+    let from = least_work_ms(&validator.field("from_ms"), message.from_ms);
+    let to = message.to_ms.unwrap_or(from);
+    let to = validator.field("to_ms").in_range(to, from..=MAX_MS, "ms of work");
+    let costly_share = message.costly_share.unwrap_or(0.0);
+    let costly_share = validator.field("costly_share").in_range(costly_share, 0.0..=1.0, "of the txns");
+    let costly_from = message.costly_from.unwrap_or(1.0);
+    let costly_from = validator.field("costly_from").in_range(costly_from, 1.0..=1_000.0, "times the work");
+    let costly_to = message.costly_to.unwrap_or(costly_from);
+    let costly_to = validator.field("costly_to").in_range(costly_to, costly_from..=1_000.0, "times the work");
+    Work { from: from / 1e3, to: to / 1e3, costly_share, costly_from, costly_to }
+}
+
+fn least_work_ms(validator: &Validator, value: Option<f64>) -> f64 {
+    if let Some(value) = value {
+        return validator.in_range(value, MIN_WORK_MS..=MAX_MS, "ms of work");
+    }
+    validator.report("is missing: what a txn costs at least, in ms of work");
+    MIN_WORK_MS
+}
