--- a/fleet/build.rs
+++ b/fleet/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schemas, without protoc: types for the code and a descriptor for the text format.
+//! Compiles the schemas, without protoc: to types for the code and to descriptors for the text format.
 
 use prost::Message;
 use std::path::PathBuf;
--- a/simulation/src/slab.rs
+++ b/simulation/src/slab.rs
@@ -77,3 +77,6 @@
         &mut self.entries[slot as usize].value
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/simulation/tests/simulate.rs
+++ b/simulation/tests/simulate.rs
@@ -17,7 +17,7 @@
         assert!(text.contains(old), "{old}");
         text = text.replace(old, new);
     }
-    otterwinch_fleet::read("small.fleet", &text).unwrap_or_else(|faults| panic!("{faults}"))
+    otterwinch_fleet::read("small.fleet", &text).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
 fn plan(fleet: &Fleet) -> SimulationPlan<'_> {
@@ -31,7 +31,7 @@
 }
 
 fn load(fleet: &Fleet, profile: &str) -> Vec<ScheduledRequest> {
-    let profile = read_load_profile("recipe", profile, fleet).unwrap_or_else(|faults| panic!("{faults}"));
+    let profile = read_load_profile("profile", profile, fleet).unwrap_or_else(|errors| panic!("{errors}"));
     LoadGenerator::new(fleet, &profile, 3).requests().collect()
 }
 
