--- a/adapter-support/src/json_fields.rs
+++ b/adapter-support/src/json_fields.rs
@@ -178,10 +178,3 @@
         self.object(name).map(SettingsReader::new)
     }
 }
-
-/// For callers whose errors are still plain text.
-impl From<JsonFieldError> for String {
-    fn from(error: JsonFieldError) -> String {
-        error.to_string()
-    }
-}
