--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -24,7 +24,7 @@
         /// The entries.
         updates: Vec<EndpointUpdate>,
     },
-    /// A call to the endpoint list failed, or told less than there is to know.
+    /// A call to the endpoint list failed, or its answer may lack a change.
     EndpointWatchFailed,
     /// A proxy joined the relay. One that is joined already may have left and joined again unnoticed.
     ProxyJoined {
@@ -34,7 +34,7 @@
         zone: u32,
         /// Its usual rate in requests per second.
         rate: f64,
-        /// Whether it holds no route table yet.
+        /// Whether the relay marks it as new.
         fresh: bool,
     },
     /// A proxy left the relay.
--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -8,10 +8,10 @@
 use hyper::Request;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Fleet, Repeats};
-use otterwinch_fleet::Due;
-use otterwinch_simulation::tally::{End, Tally};
+use otterwinch_fleet::model::{Fleet, Idempotency};
+use otterwinch_fleet::sampling::random_stream;
+use otterwinch_fleet::ScheduledRequest;
+use otterwinch_simulation::results::{RequestEnd, Results};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::sync::{Arc, Mutex};
@@ -27,7 +27,7 @@
 /// What the clients saw, and how well they kept their times.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    pub tally: Tally,
+    pub tally: Results,
     /// The latest that a txn was sent after it was due, and the mean.
     pub latest: Duration,
     pub late_mean: Duration,
@@ -40,7 +40,7 @@
     client: Client<Dial, Empty<Bytes>>,
     fronts: Fronts,
     begin: Instant,
-    tally: Mutex<Tally>,
+    tally: Mutex<Results>,
     draws: Mutex<Pcg64Mcg>,
 }
 
@@ -50,7 +50,7 @@
 
 impl Watch {
     /// Reads the counts so far.
-    pub fn tally<T>(&self, read: impl FnOnce(&Tally) -> T) -> T {
+    pub fn tally<T>(&self, read: impl FnOnce(&Results) -> T) -> T {
         read(&self.0.tally.lock().expect("no holder panics"))
     }
 }
@@ -61,7 +61,7 @@
     net: &Net,
     fronts: Fronts,
     begin: Instant,
-    load: impl Iterator<Item = Due>,
+    load: impl Iterator<Item = ScheduledRequest>,
     seed: u64,
     watch: impl FnOnce(Watch),
 ) -> Seen {
@@ -71,8 +71,8 @@
         client,
         fronts,
         begin,
-        tally: Mutex::new(Tally::new(fleet)),
-        draws: Mutex::new(stream(seed, "clients", 0)),
+        tally: Mutex::new(Results::new(fleet)),
+        draws: Mutex::new(random_stream(seed, "clients", 0)),
     });
     watch(Watch(shared.clone()));
     let mut under_way = tokio::task::JoinSet::new();
@@ -83,7 +83,12 @@
         while under_way.try_join_next().is_some() {}
         if under_way.len() >= MOST_IN_FLIGHT {
             unsent += 1;
-            shared.tally.lock().expect("no holder panics").ended(due.product, due.hall, due.at, End::Voided);
+            shared.tally.lock().expect("no holder panics").record_end(
+                due.request_class,
+                due.zone,
+                due.at,
+                RequestEnd::Failed,
+            );
             continue;
         }
         let lateness = at.elapsed();
@@ -104,11 +109,11 @@
 }
 
 /// A txn from its due time to its end, with as many tries as its client makes.
-async fn txn(shared: Arc<Shared>, due: Due, at: Instant) {
-    let product = &shared.fleet.products[due.product];
+async fn txn(shared: Arc<Shared>, due: ScheduledRequest, at: Instant) {
+    let product = &shared.fleet.request_classes[due.request_class];
     let clients = &shared.fleet.clients;
     let span = |span: otterwinch::time::Span| Duration::from_micros(span.as_us().max(0) as u64);
-    let (expires, mut tries) = (at + span(product.expiry), 0);
+    let (expires, mut tries) = (at + span(product.timeout), 0);
     let end = loop {
         tries += 1;
         let [front, patience, wait] = {
@@ -116,14 +121,14 @@
             [(); 3].map(|()| draws.random::<f64>())
         };
         let now = Instant::now();
-        let (least, most) = clients.patience;
-        let patience = span(product.expiry).mul_f64(least + (most - least) * patience);
+        let (least, most) = clients.attempt_timeout_fraction;
+        let patience = span(product.timeout).mul_f64(least + (most - least) * patience);
         let give_up = (now + patience).min(expires);
         {
             let mut tally = shared.tally.lock().expect("no holder panics");
-            tally.tried(due.product, due.hall, (now - shared.begin).as_secs_f64());
+            tally.record_attempt(due.request_class, due.zone, (now - shared.begin).as_secs_f64());
         }
-        let came = match shared.forwarder(due.hall, front) {
+        let came = match shared.forwarder(due.zone, front) {
             None => Came::NeverRan,
             Some(address) => {
                 let asked = shared.ask(&address, &due);
@@ -132,23 +137,23 @@
         };
         let never_ran = matches!(came, Came::Declined | Came::NeverRan);
         let end = match came {
-            Came::Settled => break End::Settled(at.elapsed().as_micros() as u64),
-            Came::Declined => End::Declined,
-            Came::NeverRan | Came::Voided => End::Voided,
+            Came::Settled => break RequestEnd::Answered(at.elapsed().as_micros() as u64),
+            Came::Declined => RequestEnd::Rejected,
+            Came::NeverRan | Came::Voided => RequestEnd::Failed,
         };
-        let may = match product.repeats {
-            Repeats::InquiryLike => true,
-            Repeats::Referenced => never_ran || at.elapsed() < span(product.discard),
-            Repeats::OnceOnly => never_ran,
+        let may = match product.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithIdempotencyKey => never_ran || at.elapsed() < span(product.deduplication_window),
+            Idempotency::NotIdempotent => never_ran,
         };
-        let (from, to) = (span(clients.wait.0), span(clients.wait.1));
+        let (from, to) = (span(clients.retry_wait.0), span(clients.retry_wait.1));
         let again = Instant::now() + from + (to - from).mul_f64(wait);
-        if !may || tries > clients.again || again >= expires {
+        if !may || tries > clients.max_retries || again >= expires {
             break end;
         }
         sleep_until(again).await;
     };
-    shared.tally.lock().expect("no holder panics").ended(due.product, due.hall, due.at, end);
+    shared.tally.lock().expect("no holder panics").record_end(due.request_class, due.zone, due.at, end);
 }
 
 impl Shared {
@@ -159,11 +164,11 @@
         one_of(&fronts[hall]).or_else(|| one_of(&all()))
     }
 
-    async fn ask(&self, address: &str, due: &Due) -> Came {
+    async fn ask(&self, address: &str, due: &ScheduledRequest) -> Came {
         let message = Request::builder()
             .method("POST")
             .uri(format!("http://{address}/txn"))
-            .header(PRODUCT, due.product)
+            .header(PRODUCT, due.request_class)
             .header(WORK_US, format!("{:.0}", due.work * 1e6));
         let message = message.body(Empty::new()).expect("a plain message");
         let answer = match self.client.request(message).await {
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,524 +1,184 @@
-//! A play from its first event to its last: what there is, how it is set up, and which event comes next. The life of a txn
-//! is in `life.rs`, what supervisors hear and order in `word.rs`, what befalls a fleet in `mishap.rs`.
-
-use crate::control::{moment, Desk, Plane, Sums, Supervisor};
-use crate::controller_config::controller_config;
-use crate::happening::At;
-use crate::node::Node;
-use crate::queue::{Class, Queue, Time};
-use crate::table::{Level, Lines, Version};
-use crate::tally::Tally;
-use otterwinch::controller::Controller;
-use otterwinch::host::{EndpointId, EndpointUpdate, RetryPolicy, Timer};
-use otterwinch::time::Span;
-use otterwinch_fleet::draws::stream;
-use otterwinch_fleet::model::{Fleet, Group, Speed};
-use otterwinch_fleet::Due;
-use rand::seq::IndexedRandom;
-use rand::RngExt;
-use rustc_hash::FxHashMap;
-use std::collections::BTreeSet;
-use std::rc::Rc;
-use std::sync::Arc;
-use xxhash_rust::xxh3::xxh3_64_with_seed;
-
-/// Supervisors and forwarders come up before the load does, so that it meets tables.
-const LEAD: Time = 8_000_000;
-/// A play that goes on so long after its last txn has clients that come again for ever.
-const TAIL: Time = 120_000_000;
-/// Tries in flight beyond which a play is given up: its clients come again faster than anything answers.
-const MOST_IN_FLIGHT: usize = 4_000_000;
-pub(crate) const NONE: u32 = u32::MAX;
-
-/// Who writes the tables.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Steering {
-    /// Supervisors, with the real rules.
-    Controller,
-    /// Nobody: each hall's forwarders hold these weights, by node, from the beginning to the end, and let in these parts
-    /// of the products.
-    Fixed { weights: Vec<Vec<f64>>, levels: Vec<f64> },
-}
-
-/// What is played, but for the load.
-#[derive(Clone, Debug)]
-pub struct Plan<'a> {
-    pub fleet: &'a Fleet,
-    pub seed: u64,
-    pub steering: Steering,
-    pub happenings: Vec<At>,
-    /// What a limit costs is told by a play without it.
-    pub without: Without,
-}
-
-/// Limits that a play leaves out.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without {
-    /// Nodes take any number of connections, at no price.
-    pub connections: bool,
-    /// Clients come once.
-    pub retries: bool,
-    /// Nodes that started lately are warm.
-    pub cold: bool,
-    /// Waiting rooms have no end.
-    pub waiting: bool,
-}
-
-/// Why a try came back.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Came {
-    Answered,
-    /// The node failed it after it had begun.
-    Failed,
-    /// The node turned it away, or took no connection: it never ran.
-    NeverRan,
-    /// Its connection broke: nobody knows.
-    Broken,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub(crate) enum Event {
-    Try { txn: u32, life: u32, tries: u32 },
-    AtNode { attempt: u32 },
-    Done { attempt: u32, life: u32 },
-    Back { attempt: u32, came: Came },
-    GiveUp { txn: u32, life: u32, tries: u32 },
-    Again { txn: u32, life: u32 },
-    Cancelled { attempt: u32, life: u32 },
-    Happens(u32),
-    Second,
-    Wake { supervisor: u32, timer: Timer },
-    Report(u32),
-    Heard { supervisor: u32, report: u32 },
-    Listed { supervisor: u32, list: u32 },
-    Message(u32),
-    Applied { supervisor: u32, number: u32, forwarder: u32, stream: u32 },
-    Gather(u32),
-}
-
-pub(crate) struct Txn {
-    pub nth: u64,
-    /// From the play's beginning.
-    pub due: Time,
-    pub product: usize,
-    pub hall: usize,
-    pub work: f64,
-    pub tries: u32,
-    pub give_up: Time,
-    pub forwarder: u32,
-    pub attempt: u32,
-    /// Rises when the slot is used again.
-    pub life: u32,
-}
-
-/// How far a try at a node has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    OnItsWay,
-    Waits,
-    Runs,
-    /// Its node holds it and does nothing.
-    Hangs,
-    /// The node's word is on its way back.
-    Answered,
-    /// The slot is free.
-    Free,
-}
-
-pub(crate) struct Attempt {
-    pub txn: u32,
-    pub txn_life: u32,
-    pub node: u32,
-    /// The node's life that its connection belongs to.
-    pub node_life: u32,
-    pub forwarder: u32,
-    pub work: f64,
-    pub began: Time,
-    /// It has to open a connection.
-    pub opens: bool,
-    /// The node counts its connection as open.
-    pub connected: bool,
-    /// Whoever waited for it has gone.
-    pub left: bool,
-    /// It is the second of a txn at this forwarder.
-    pub second: bool,
-    pub stage: Stage,
-    pub life: u32,
-}
-
-pub(crate) struct Pool {
-    pub life: u32,
-    pub idle: Vec<Time>,
-}
-
-pub(crate) struct Forwarder {
-    pub hall: usize,
-    pub supervisor: u32,
-    pub standing: Vec<u32>,
-    pub held: Arc<Version>,
-    pub bound: bool,
-    pub still_until: Time,
-    pub pools: FxHashMap<u32, Pool>,
-    pub stream: u32,
-    pub up: bool,
-}
-
-pub(crate) struct Message {
-    pub supervisor: u32,
-    pub forwarder: u32,
-    pub stream: u32,
-    /// The table that it is put on; none where it stays on its own.
-    pub version: Option<Arc<Version>>,
-    pub barred: Rc<BTreeSet<u32>>,
-    pub mark: Option<u32>,
-    pub lines: f64,
-}
-
-/// What a play came to.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Outcome {
-    pub tally: Tally,
-    pub nodes: Vec<NodeOutcome>,
-    pub events: u64,
-    /// Tries that went to a node of another hall than their forwarder's, and all tries at nodes.
-    pub crossed: u64,
-    pub attempts: u64,
-    /// Lines that waited at most in any supervisor's channel, and all that were sent.
-    pub most_waiting: f64,
-    pub lines: f64,
-    /// Seconds of load.
-    pub seconds: f64,
-    /// Why it was ended early, if it was.
-    pub ended_early: Option<String>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct NodeOutcome {
-    pub name: String,
-    pub group: usize,
-    pub hall: usize,
-    /// Of its cores' time, the part in use.
-    pub utilisation: f64,
-    pub taken: u64,
-    pub turned_away: u64,
-    /// Connections that it did not take.
-    pub refused: u64,
-    pub toppled: bool,
-}
-
-/// Plays a load, in the order of its times, against a fleet.
-pub fn play(plan: &Plan, load: impl Iterator<Item = Due>) -> Outcome {
-    let mut engine = Engine::new(plan);
-    engine.run(load)
+//! The state of a simulation, and the loop that takes one event after the other. What an event does is in the module of
+//! the party that it concerns; the state that all of them share is here.
+
+use crate::client::Request;
+use crate::clock::{micros_from_secs, secs, Time, SECOND};
+use crate::control_plane_instance::ControlPlaneInstance;
+use crate::endpoint::Endpoint;
+use crate::event::Event;
+use crate::fault::ScheduledFault;
+use crate::plan::{LiftedLimits, SimulationPlan};
+use crate::proxy::{Attempt, Proxy};
+use crate::queue::{Class, Queue};
+use crate::results::Results;
+use crate::simulation_result::{EndpointResult, SimulationResult, StopReason};
+use crate::slab::Slab;
+use crate::usage::UsageMeter;
+use otterwinch::host::EndpointUpdate;
+use otterwinch_fleet::model::Fleet;
+use otterwinch_fleet::ScheduledRequest;
+
+/// How long after the last request of the load a simulation goes on at most.
+pub(crate) const MAX_TAIL: Time = 120 * SECOND;
+/// Requests in flight beyond which a simulation is ended: clients retry faster than anything answers.
+pub(crate) const MAX_IN_FLIGHT: usize = 4_000_000;
+
+/// Simulates a fleet under a load, which is ordered by time.
+pub fn simulate(plan: &SimulationPlan, load: impl Iterator<Item = ScheduledRequest>) -> SimulationResult {
+    Engine::new(plan).run(load)
 }
 
 pub(crate) struct Engine<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
-    pub without: Without,
-    pub now: Time,
-    pub lead: Time,
+    pub lifted_limits: LiftedLimits,
     pub queue: Queue<Event>,
-    pub nodes: Vec<Node>,
-    /// Nodes by their ids.
-    pub places: Rc<FxHashMap<EndpointId, u32>>,
-    pub forwarders: Vec<Forwarder>,
-    /// Forwarders that are up, by hall.
-    pub front: Vec<Vec<u32>>,
-    pub supervisors: Vec<Supervisor>,
-    pub txns: Vec<Txn>,
-    pub free_txns: Vec<u32>,
-    pub attempts: Vec<Attempt>,
-    pub free_attempts: Vec<u32>,
-    pub happenings: Vec<At>,
-    pub reports: Vec<Option<Sums>>,
-    pub lists: Vec<Vec<EndpointUpdate>>,
-    pub messages: Vec<Option<Message>>,
-    pub free_messages: Vec<u32>,
-    pub tally: Tally,
-    /// Core-seconds by node: since the load began, and booked so far.
-    pub used: Vec<f64>,
-    pub booked: Vec<f64>,
-    /// The last txn has come.
-    pub loaded: bool,
-    pub events: u64,
-    pub crossed: u64,
-    pub tried: u64,
+    pub now: Time,
+    /// When the load begins; the control plane starts earlier.
+    pub load_start: Time,
+    /// Whether the last request of the load has come.
+    pub load_ended: bool,
+    pub endpoints: Vec<Endpoint>,
+    pub proxies: Vec<Proxy>,
+    /// The proxies that are up, by zone.
+    pub live_proxies: Vec<Vec<u32>>,
+    pub instances: Vec<ControlPlaneInstance>,
+    pub requests: Slab<Request>,
+    pub attempts: Slab<Attempt>,
+    pub faults: Vec<ScheduledFault>,
+    /// All changes of the endpoint list so far.
+    pub endpoint_updates: Vec<Vec<EndpointUpdate>>,
+    pub results: Results,
+    pub usage: UsageMeter,
+    /// Requests that have begun and not ended.
     pub in_flight: usize,
+    /// Attempts of proxies at endpoints, and those of them at endpoints of another zone.
+    pub proxy_attempts: u64,
+    pub cross_zone_attempts: u64,
+    pub events: u64,
 }
 
-/// A draw of 0 to 1 for one purpose of one try: it does not hang on what else was drawn.
-pub(crate) fn drawn(seed: u64, nth: u64, tries: u32, purpose: u8) -> f64 {
-    let mut bytes = [0; 13];
-    bytes[..8].copy_from_slice(&nth.to_le_bytes());
-    bytes[8..12].copy_from_slice(&tries.to_le_bytes());
-    bytes[12] = purpose;
-    (xxh3_64_with_seed(&bytes, seed) >> 11) as f64 / (1u64 << 53) as f64
-}
-
-/// Purposes of draws.
-pub(crate) const FRONT: u8 = 1;
-pub(crate) const PATIENCE: u8 = 2;
-pub(crate) const WAIT: u8 = 3;
-pub(crate) const LET_IN: u8 = 4;
-pub(crate) const PICK: u8 = 5;
-pub(crate) const PICK_AGAIN: u8 = 6;
-pub(crate) const FAILS: u8 = 7;
-
-pub(crate) fn us(span: Span) -> Time {
-    span.as_us().max(0) as Time
-}
-
-impl<'a> Engine<'a> {
-    fn new(plan: &Plan<'a>) -> Self {
-        let fleet = plan.fleet;
-        let lead = if plan.steering == Steering::Controller { LEAD } else { 0 };
-        let mut nodes = Vec::new();
-        for (place, told) in fleet.groups.iter().enumerate() {
-            let mut group = told.clone();
-            if plan.without.connections {
-                (group.connections, group.connection_work) = (u32::MAX, 0.0);
-            }
-            if plan.without.waiting {
-                group.waiting = u32::MAX;
+impl Engine<'_> {
+    fn run(mut self, load: impl Iterator<Item = ScheduledRequest>) -> SimulationResult {
+        let mut load = load.peekable();
+        let mut sequence = 0;
+        let mut last_due = self.load_start;
+        let ended_early = loop {
+            let next_event = self.queue.next_at();
+            if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
+                sequence += 1;
+                last_due = last_due.max(self.due_time(&request));
+                self.begin_scheduled_request(sequence, &request);
+                if load.peek().is_none() {
+                    self.end_load();
+                }
+                continue;
             }
-            if plan.without.cold {
-                (group.warm_up, group.topples) = (None, None);
+            let Some((at, event)) = self.queue.pop() else { break None };
+            if load.peek().is_none() {
+                if self.in_flight == 0 {
+                    break None;
+                }
+                if at > last_due + MAX_TAIL {
+                    break Some(StopReason::EndlessRetries);
+                }
             }
-            for (k, speed) in speeds(told, place, plan.seed).into_iter().enumerate() {
-                let id: EndpointId = format!("{}-{k}", told.name).into();
-                // Older than the play is long ago: a node that started within it is told so.
-                let started = told.started.and_then(|ago| lead.checked_sub(us(ago)));
-                nodes.push(Node::new(id, place, &group, speed, started));
+            if self.in_flight > MAX_IN_FLIGHT {
+                break Some(StopReason::TooManyInFlight);
             }
-        }
-        let places = Rc::new((0..).zip(&nodes).map(|(k, node)| (node.id.clone(), k)).collect());
-        let products = fleet.products.len();
-        let mut engine = Engine {
-            fleet,
-            seed: plan.seed,
-            without: plan.without,
-            now: 0,
-            lead,
-            queue: Queue::default(),
-            nodes,
-            places,
-            forwarders: Vec::new(),
-            front: vec![Vec::new(); fleet.halls.len()],
-            supervisors: Vec::new(),
-            txns: Vec::new(),
-            free_txns: Vec::new(),
-            attempts: Vec::new(),
-            free_attempts: Vec::new(),
-            happenings: plan.happenings.clone(),
-            reports: Vec::new(),
-            lists: Vec::new(),
-            messages: Vec::new(),
-            free_messages: Vec::new(),
-            tally: Tally::new(fleet),
-            used: Vec::new(),
-            booked: Vec::new(),
-            loaded: false,
-            events: 0,
-            crossed: 0,
-            tried: 0,
-            in_flight: 0,
+            self.now = at;
+            self.events += 1;
+            self.handle(event);
         };
-        (engine.used, engine.booked) = (vec![0.0; engine.nodes.len()], vec![0.0; engine.nodes.len()]);
-        engine.set_up(products, &plan.steering);
-        engine
+        self.into_result(last_due, ended_early)
     }
 
-    fn set_up(&mut self, products: usize, steering: &Steering) {
-        let fleet = self.fleet;
-        let fixed = match steering {
-            Steering::Fixed { weights, levels } => Some((weights, levels)),
-            Steering::Controller => None,
-        };
-        let count = if fixed.is_some() { 0 } else { fleet.supervisors.count };
-        for (hall, told) in fleet.halls.iter().enumerate() {
-            let home: Vec<u32> =
-                (0..).zip(&self.nodes).filter(|(_, node)| node.hall == hall).map(|(k, _)| k).collect();
-            let version = fixed.map(|(weights, levels)| {
-                let lines = Lines::of((0..).zip(weights[hall].iter().copied()));
-                let level = |share: &f64| Some(Level { share: *share, retry: RetryPolicy::Never });
-                Arc::new(Version { lines, levels: levels.iter().map(level).collect() })
-            });
-            for _ in 0..told.forwarders {
-                let place = self.forwarders.len() as u32;
-                let mut draws = stream(self.seed, "standing", u64::from(place));
-                let standing: Vec<u32> =
-                    home.sample(&mut draws, fleet.forwarders.standing as usize).copied().collect();
-                let own = || {
-                    let lines = Lines::of(standing.iter().map(|node| (*node, 1.0)));
-                    Arc::new(Version { lines, levels: vec![None; products] })
-                };
-                let held = version.clone().unwrap_or_else(own);
-                self.front[hall].push(place);
-                self.forwarders.push(Forwarder {
-                    hall,
-                    supervisor: if count > 0 { place % count } else { NONE },
-                    standing,
-                    held,
-                    bound: version.is_some(),
-                    still_until: 0,
-                    pools: FxHashMap::default(),
-                    stream: 0,
-                    up: true,
-                });
-            }
-        }
-        for k in 0..count {
-            let seed = xxh3_64_with_seed(&k.to_le_bytes(), self.seed);
-            let controller =
-                Controller::start(Desk::new(self.places.clone()), controller_config(fleet), seed, moment(0));
-            let (plane, sums) = (Plane::new(&fleet.supervisors, products), Sums::new(products));
-            let mut supervisor = Supervisor { controller, plane, sums, gathers: false };
-            let listed: Vec<EndpointUpdate> = self.nodes.iter().map(listing).collect();
-            supervisor.controller.endpoint_list_replaced(moment(0), &listed);
-            self.supervisors.push(supervisor);
-            self.asks(k);
-            let every = us(fleet.supervisors.report_every);
-            // Supervisors' reports do not fall on one instant.
-            self.queue.push(every + Time::from(k) * 7_001, Class::Word, Event::Report(k));
-        }
-        for k in 0..self.forwarders.len() as u32 {
-            self.joins(k, true);
-        }
-        for k in 0..self.happenings.len() as u32 {
-            let at = self.lead + (self.happenings[k as usize].at.max(0.0) * 1e6) as Time;
-            self.queue.push(at, Class::World, Event::Happens(k));
-        }
-        self.queue.push(self.lead + 1_000_000, Class::World, Event::Second);
+    fn due_time(&self, request: &ScheduledRequest) -> Time {
+        self.load_start + micros_from_secs(request.at)
     }
 
-    fn run(&mut self, mut load: impl Iterator<Item = Due>) -> Outcome {
-        let (mut nth, mut ended_early) = (0, None);
-        let mut next = load.next();
-        let mut last = self.lead;
-        loop {
-            // A txn that is due before anything else happens begins its life; else the next thing happens.
-            let at = self.queue.next_at();
-            if let Some(txn) = next.as_ref() {
-                let due = self.lead + (txn.at.max(0.0) * 1e6) as Time;
-                if at.is_none_or(|at| due <= at) {
-                    last = last.max(due);
-                    self.now = self.now.max(due);
-                    nth += 1;
-                    self.events += 1;
-                    self.comes(nth, txn);
-                    next = load.next();
-                    if next.is_none() {
-                        // What is worked on after the last txn was due is no part of how full the fleet was.
-                        self.books();
-                        self.loaded = true;
-                    }
-                    continue;
-                }
-            }
-            let Some((at, event)) = self.queue.pop() else { break };
-            if next.is_none() && self.in_flight == 0 {
-                break;
-            }
-            if next.is_none() && at > last + TAIL {
-                ended_early =
-                    Some(format!("clients still came again {} s after the load's end", TAIL / 1_000_000));
-                break;
-            }
-            if self.in_flight > MOST_IN_FLIGHT {
-                ended_early = Some(format!("more than {MOST_IN_FLIGHT} txns were in flight"));
-                break;
-            }
-            self.now = at;
-            self.events += 1;
-            self.happens(event);
-        }
-        self.outcome(last, ended_early)
+    /// Whether a request is due before the next event, or with it.
+    fn precedes(&self, request: &ScheduledRequest, next_event: Option<Time>) -> bool {
+        let due = self.due_time(request);
+        next_event.is_none_or(|at| due <= at)
+    }
+
+    fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
+        self.now = self.now.max(self.due_time(scheduled));
+        self.events += 1;
+        self.begin_request(sequence, scheduled);
+    }
+
+    /// Work that is done after the last request was due doesn't count as use of the fleet.
+    fn end_load(&mut self) {
+        self.record_usage();
+        self.load_ended = true;
     }
 
-    fn happens(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Try { txn, life, tries } => self.tries(txn, life, tries),
-            Event::AtNode { attempt } => self.reaches(attempt),
-            Event::Done { attempt, life } => self.done(attempt, life),
-            Event::Back { attempt, came } => self.comes_back(attempt, came),
-            Event::GiveUp { txn, life, tries } => self.gives_up(txn, life, tries),
-            Event::Again { txn, life } => {
-                if self.txns[txn as usize].life == life {
-                    self.sends(txn);
-                }
+            Event::AttemptAtProxy { request, attempt_number } => {
+                self.attempt_at_proxy(request, attempt_number)
             }
-            Event::Cancelled { attempt, life } => self.cancelled(attempt, life),
-            Event::Happens(k) => self.befalls(k),
-            Event::Second => self.second(),
-            Event::Wake { supervisor, timer } => {
-                self.hears(supervisor, |s, now| s.controller.timer_fired(now, timer))
+            Event::AttemptAtEndpoint { attempt } => self.attempt_at_endpoint(attempt),
+            Event::WorkDone { attempt } => self.work_done(attempt),
+            Event::OutcomeAtProxy { attempt, outcome } => self.outcome_at_proxy(attempt, outcome),
+            Event::AttemptTimeout { request, attempt_number } => {
+                self.attempt_timed_out(request, attempt_number)
             }
-            Event::Report(supervisor) => self.reports(supervisor),
-            Event::Heard { supervisor, report } => self.heard(supervisor, report),
-            Event::Listed { supervisor, list } => {
-                let listings = self.lists[list as usize].clone();
-                self.hears(supervisor, |s, now| s.controller.endpoints_updated(now, &listings));
+            Event::Retry { request } => self.retry(request),
+            Event::ConnectionClosed { attempt } => self.connection_closed(attempt),
+            Event::InjectFault { index } => self.inject_fault(index),
+            Event::Maintenance => self.maintain(),
+            Event::TimerFired { instance, timer } => {
+                self.notify(instance, |controller, now| controller.timer_fired(now, timer))
             }
-            Event::Message(message) => self.arrives(message),
-            Event::Applied { supervisor, number, forwarder, stream } => {
-                if self.forwarders[forwarder as usize].stream == stream {
-                    self.hears(supervisor, |s, now| s.controller.acknowledged(now, number, forwarder));
-                }
+            Event::ReportDue { instance } => self.close_report(instance),
+            Event::ReportArrives { instance } => self.deliver_report(instance),
+            Event::EndpointsUpdated { instance, update } => self.deliver_endpoint_update(instance, update),
+            Event::SendCommands { instance } => self.send_commands(instance),
+            Event::MessageAtProxy { instance } => self.deliver_message(instance),
+            Event::Acknowledged { instance, number, proxy, stream } => {
+                self.deliver_acknowledgement(instance, number, proxy, stream)
             }
-            Event::Gather(supervisor) => self.gathers(supervisor),
         }
     }
 
-    fn outcome(&mut self, last: Time, ended_early: Option<String>) -> Outcome {
-        let seconds = (last - self.lead) as f64 / 1e6;
-        let until = last.max(self.lead + 1);
-        let node = |k: usize, node: &mut Node| NodeOutcome {
-            name: node.id.to_string(),
-            group: node.group,
-            hall: node.hall,
-            utilisation: self.used[k] / (f64::from(node.cores) * (until - self.lead) as f64 / 1e6),
-            taken: node.taken,
-            turned_away: node.turned_away,
-            refused: node.refused,
-            toppled: node.toppled,
-        };
-        let nodes = self.nodes.iter_mut().enumerate().map(|(k, n)| node(k, n)).collect();
-        let channels = || self.supervisors.iter().map(|s| &s.plane.channel);
-        Outcome {
-            most_waiting: channels().map(|channel| channel.most).fold(0.0, f64::max),
-            lines: channels().map(|channel| channel.lines).sum(),
-            tally: self.tally.clone(),
-            nodes,
-            events: self.events,
-            crossed: self.crossed,
-            attempts: self.tried,
-            seconds,
-            ended_early,
-        }
+    /// Schedules a change of the fleet.
+    pub(crate) fn schedule(&mut self, at: Time, event: Event) {
+        self.queue.push(at, Class::Fleet, event);
     }
-}
 
-/// The speed of each node of a group, drawn from the seed or as measured.
-pub fn speeds(group: &Group, place: usize, seed: u64) -> Vec<f64> {
-    let mut draws = stream(seed, "speeds", place as u64);
-    let one = |k: u32| {
-        let unit: f64 = draws.random();
-        match &group.speed {
-            Speed::Between(from, to) => from + (to - from) * unit,
-            Speed::Measured(each) => each[k as usize % each.len()],
-        }
-    };
-    (0..group.count).map(one).collect()
-}
+    /// Schedules something that a control-plane instance learns of.
+    pub(crate) fn schedule_for_control_plane(&mut self, at: Time, event: Event) {
+        self.queue.push(at, Class::ControlPlane, event);
+    }
 
-/// What the list says of a node.
-pub(crate) fn listing(node: &Node) -> EndpointUpdate {
-    EndpointUpdate {
-        id: node.id.clone(),
-        zone: node.hall as u32,
-        weight: node.weight,
-        state: node.standing,
-        started: node.started.map(moment),
+    /// A time in seconds since the load began.
+    pub(crate) fn load_seconds(&self, at: Time) -> f64 {
+        secs(at - self.load_start)
+    }
+
+    fn into_result(self, last_due: Time, ended_early: Option<StopReason>) -> SimulationResult {
+        let load_seconds = self.load_seconds(last_due);
+        // At least a microsecond, so that a load of nothing has a utilisation.
+        let measured = last_due.max(self.load_start + 1) - self.load_start;
+        let send_queues = self.instances.iter().map(|instance| &instance.channel.send_queue);
+        let endpoints = self.endpoints.iter().enumerate();
+        SimulationResult {
+            endpoints: endpoints
+                .map(|(index, endpoint)| {
+                    EndpointResult::of(endpoint, self.usage.core_seconds(index), measured)
+                })
+                .collect(),
+            events: self.events,
+            cross_zone_attempts: self.cross_zone_attempts,
+            attempts: self.proxy_attempts,
+            max_queued_lines: send_queues.clone().map(|queue| queue.max_queued_lines).fold(0.0, f64::max),
+            sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
+            load_seconds,
+            ended_early,
+            results: self.results,
+        }
     }
 }
--- /dev/null
+++ b/simulation/src/fault_injection.rs
@@ -0,0 +1,120 @@
+//! Injects the scheduled faults.
+
+use crate::endpoint_work::Stage;
+use crate::engine::Engine;
+use crate::event::{AttemptOutcome, Event};
+use crate::fault::Fault;
+use crate::results::RequestEnd;
+use otterwinch::host::EndpointState;
+
+impl Engine<'_> {
+    /// Injects a fault that is due now.
+    pub(crate) fn inject_fault(&mut self, index: u32) {
+        match self.faults[index as usize].fault.clone() {
+            Fault::Crash(endpoint) => self.crash_endpoint(endpoint),
+            Fault::Restart(endpoint) => self.restart_endpoint(endpoint),
+            Fault::Drain(endpoint) => {
+                self.endpoints[endpoint as usize].state = EndpointState::Draining;
+                self.publish_endpoints(&[endpoint]);
+            }
+            Fault::SlowDown(endpoint, factor) => self.endpoints[endpoint as usize].slowdown = factor,
+            Fault::FailRequests(endpoint, fraction) => {
+                self.endpoints[endpoint as usize].failure_rate = fraction
+            }
+            Fault::Hang(endpoint, hangs) => self.endpoints[endpoint as usize].hangs = hangs,
+            Fault::ZoneOutage(zone) => self.fail_zone(zone),
+            Fault::ZoneRecovery(zone) => self.recover_zone(zone),
+        }
+    }
+
+    fn fail_zone(&mut self, zone: usize) {
+        for endpoint in self.endpoints_in_zone(zone) {
+            self.crash_endpoint(endpoint);
+        }
+        for proxy in std::mem::take(&mut self.live_proxies[zone]) {
+            self.crash_proxy(proxy);
+        }
+    }
+
+    fn recover_zone(&mut self, zone: usize) {
+        for endpoint in self.endpoints_in_zone(zone) {
+            self.restart_endpoint(endpoint);
+        }
+        for number in 0..self.proxies.len() as u32 {
+            let proxy = &mut self.proxies[number as usize];
+            if proxy.zone == zone && !proxy.up {
+                proxy.up = true;
+                self.live_proxies[zone].push(number);
+                self.connect_proxy(number);
+            }
+        }
+    }
+
+    /// The endpoints of a zone, by number.
+    pub(crate) fn endpoints_in_zone(&self, zone: usize) -> Vec<u32> {
+        let numbered = (0..).zip(&self.endpoints);
+        numbered.filter(|(_, endpoint)| endpoint.zone == zone).map(|(number, _)| number).collect()
+    }
+
+    /// The process of an endpoint ends: its attempts are lost, and the endpoint list reports it later.
+    pub(crate) fn crash_endpoint(&mut self, number: u32) {
+        let endpoint = &mut self.endpoints[number as usize];
+        if !endpoint.up {
+            return;
+        }
+        endpoint.crash(self.now);
+        let lost = self.attempts.slots_where(|attempt| {
+            let at_endpoint = matches!(attempt.stage, Stage::Queued | Stage::Running | Stage::Hanging);
+            attempt.endpoint == number && at_endpoint
+        });
+        for attempt in lost {
+            self.respond(attempt, AttemptOutcome::ConnectionBroken);
+        }
+        self.publish_endpoints(&[number]);
+    }
+
+    fn restart_endpoint(&mut self, number: u32) {
+        let endpoint = &mut self.endpoints[number as usize];
+        if endpoint.up {
+            return;
+        }
+        endpoint.restart(self.now);
+        self.publish_endpoints(&[number]);
+    }
+
+    /// A proxy is lost with all its connections and attempts.
+    fn crash_proxy(&mut self, number: u32) {
+        self.proxies[number as usize].up = false;
+        self.disconnect_proxy(number);
+        self.close_idle_connections_of(number);
+        let lost = self.attempts.slots_where(|attempt| attempt.proxy == number && !attempt.abandoned);
+        for slot in lost {
+            self.lose_attempt(slot);
+        }
+        // When it comes back it starts from its initial endpoints.
+        let proxy = &mut self.proxies[number as usize];
+        proxy.has_assigned_table = proxy.instance.is_none();
+    }
+
+    fn close_idle_connections_of(&mut self, number: u32) {
+        let pools = std::mem::take(&mut self.proxies[number as usize].pools);
+        for (endpoint, pool) in pools {
+            let endpoint = &mut self.endpoints[endpoint as usize];
+            if pool.incarnation == endpoint.incarnation {
+                endpoint.open_connections -= pool.idle_since.len() as u32;
+            }
+        }
+    }
+
+    /// An attempt is lost with its proxy: the endpoint sees its connection closed, and the client may retry.
+    fn lose_attempt(&mut self, slot: u32) {
+        self.attempts[slot].abandoned = true;
+        let request = self.attempts[slot].request;
+        let attempt = self.attempts.handle(slot);
+        self.schedule(self.now, Event::ConnectionClosed { attempt });
+        if self.requests.is_current(request) {
+            self.requests[request.slot].proxy_attempt = None;
+            self.retry_or_end(request.slot, RequestEnd::Failed, false, self.now);
+        }
+    }
+}
--- /dev/null
+++ b/simulation/tests/simulate.rs
@@ -0,0 +1,195 @@
+//! Simulations of small fleets, from the load to the result.
+
+use otterwinch_fleet::load_profile::LoadGenerator;
+use otterwinch_fleet::model::Fleet;
+use otterwinch_fleet::{read_load_profile, ScheduledRequest};
+use otterwinch_simulation::{simulate, Fault, LiftedLimits, SimulationPlan, SimulationResult, TableSource};
+
+fn example(name: &str) -> String {
+    let path = format!("{}/../examples/{name}", env!("CARGO_MANIFEST_DIR"));
+    std::fs::read_to_string(path).unwrap()
+}
+
+/// The small example, with pieces of its text replaced.
+fn small(changes: &[(&str, &str)]) -> Fleet {
+    let mut text = example("fleets/small.fleet");
+    for (old, new) in changes {
+        assert!(text.contains(old), "{old}");
+        text = text.replace(old, new);
+    }
+    otterwinch_fleet::read("small.fleet", &text).unwrap_or_else(|errors| panic!("{errors}"))
+}
+
+fn plan(fleet: &Fleet) -> SimulationPlan<'_> {
+    SimulationPlan {
+        fleet,
+        seed: 7,
+        table_source: TableSource::Controller,
+        faults: vec![],
+        lifted_limits: LiftedLimits::default(),
+    }
+}
+
+fn load(fleet: &Fleet, profile: &str) -> Vec<ScheduledRequest> {
+    let profile = read_load_profile("profile", profile, fleet).unwrap_or_else(|errors| panic!("{errors}"));
+    LoadGenerator::new(fleet, &profile, 3).requests().collect()
+}
+
+fn simulated(plan: &SimulationPlan, profile: &str) -> SimulationResult {
+    simulate(plan, load(plan.fleet, profile).into_iter())
+}
+
+const EVEN: &str = "for_s: 30 txns_per_s: 50";
+
+#[test]
+fn every_request_ends_in_exactly_one_way() {
+    let fleet = small(&[]);
+    for rate in [50, 90, 140] {
+        let requests = load(&fleet, &format!("for_s: 30 txns_per_s: {rate}"));
+        let expected_requests = requests.len() as u64;
+        let result = simulate(&plan(&fleet), requests.into_iter());
+        let total = &result.results.total;
+        assert_eq!(total.requests, expected_requests);
+        assert_eq!(total.on_time + total.late + total.rejected + total.failed, expected_requests);
+        let by_class: u64 = result.results.request_classes.iter().map(|p| p.requests).sum();
+        let by_zone: u64 = result.results.zones.iter().map(|h| h.requests).sum();
+        assert_eq!((by_class, by_zone), (expected_requests, expected_requests));
+        assert!(
+            result.endpoints.iter().all(|endpoint| (0.0..=1.001).contains(&endpoint.utilisation)),
+            "{rate}"
+        );
+    }
+}
+
+#[test]
+fn the_same_plan_gives_the_same_result_and_another_seed_another() {
+    let fleet = small(&[]);
+    let profile = example("loads/minute.make");
+    let first = simulated(&plan(&fleet), &profile);
+    assert_eq!(first, simulated(&plan(&fleet), &profile));
+    assert_ne!(first, simulated(&SimulationPlan { seed: 8, ..plan(&fleet) }, &profile));
+}
+
+#[test]
+fn a_light_load_is_served_and_a_heavy_one_is_not() {
+    let fleet = small(&[]);
+    let light = simulated(&plan(&fleet), "for_s: 30 txns_per_s: 25").results.total;
+    assert!(light.service_level() > 0.998, "{}", light.service_level());
+    // 0.13 s of work each on 12 cores: saturated at about 90 requests a second.
+    let heavy = simulated(&plan(&fleet), "for_s: 30 txns_per_s: 150");
+    assert!(heavy.results.total.service_level() < 0.6);
+    assert!(heavy.endpoints.iter().map(|n| n.utilisation).sum::<f64>() / 6.0 > 0.85);
+}
+
+/// A single endpoint with one core is a queue with Poisson arrivals and uniformly distributed work. Its mean time in the
+/// system is compared with the formula, within 3 %.
+#[test]
+fn the_mean_time_at_one_core_matches_the_pollaczek_khinchine_formula() {
+    let text = "name: 'one' hall { name: 'h' forwarders: 1 } network { client_ms: 0 within_hall_ms: 0 }
+        group { name: 'g' hall: 'h' count: 1 cores: 1 waiting: 10000 }
+        product { name: 'p' work { from_ms: 50 to_ms: 150 } sla_ms: 600000 expiry_ms: 600000 repeats: INQUIRY_LIKE }";
+    let fleet = otterwinch_fleet::read("one", text).unwrap();
+    let table_source = TableSource::Fixed { weights: vec![vec![1.0]], admitted: vec![1.0] };
+    let result = simulated(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 40000 txns_per_s: 7");
+    let (rate, (work, square)) = (7.0, fleet.request_classes[0].work.moments());
+    let expected = work + rate * square / (2.0 * (1.0 - rate * work));
+    let measured = result.results.total.latencies.mean() / 1e4;
+    assert!((measured / expected - 1.0).abs() < 0.03, "{measured} for {expected}");
+    assert!((result.endpoints[0].utilisation - rate * work).abs() < 0.01);
+}
+
+#[test]
+fn a_crashed_endpoint_is_avoided_and_service_recovers() {
+    let fleet = small(&[]);
+    let faults = vec![Fault::Crash(0).at(10.0)];
+    let result = simulated(&SimulationPlan { faults, ..plan(&fleet) }, EVEN);
+    let accepted = |k: usize| result.endpoints[k].accepted;
+    assert!(accepted(0) < accepted(1) / 2, "{} {}", accepted(0), accepted(1));
+    let after = result.results.service_level_between(15.0, 30.0);
+    assert!(after > 0.95, "{after}");
+}
+
+#[test]
+fn a_cold_endpoint_collapses_without_the_controller_and_not_with_it() {
+    let fleet = small(&[
+        ("multiple: 3 over_s: 2", "multiple: 1.6 over_s: 2"),
+        ("from: 0.3 over_s: 10", "from: 0.1 over_s: 15"),
+    ]);
+    let faults = vec![Fault::Crash(0).at(5.0), Fault::Restart(0).at(12.0)];
+    let controlled = simulated(&SimulationPlan { faults: faults.clone(), ..plan(&fleet) }, EVEN);
+    assert!(!controlled.endpoints[0].collapsed);
+    let table_source = TableSource::Fixed { weights: vec![vec![1.0; 6]; 2], admitted: vec![1.0; 3] };
+    let fixed = simulated(&SimulationPlan { table_source, faults, ..plan(&fleet) }, EVEN);
+    assert!(fixed.endpoints[0].collapsed);
+}
+
+#[test]
+fn clients_of_a_failed_zone_use_the_other_zone_until_it_recovers() {
+    let fleet = small(&[]);
+    let faults = vec![Fault::ZoneOutage(1).at(10.0), Fault::ZoneRecovery(1).at(20.0)];
+    let result = simulated(&SimulationPlan { faults, ..plan(&fleet) }, "for_s: 60 txns_per_s: 30");
+    assert!(result.endpoints[3].accepted > 0 && result.endpoints.iter().all(|endpoint| !endpoint.collapsed));
+    // Three endpoints take 30 requests a second at two thirds of their capacity.
+    assert!(result.results.service_level_between(14.0, 20.0) > 0.9);
+    assert!(result.results.service_level_between(40.0, 60.0) > 0.97);
+}
+
+#[test]
+fn a_connection_limit_refuses_requests_and_lifting_it_improves_service() {
+    let fleet = small(&[("connections: 200", "connections: 3")]);
+    let tight = simulated(&plan(&fleet), EVEN);
+    assert!(tight.endpoints.iter().map(|endpoint| endpoint.refused_connections).sum::<u64>() > 50);
+    let lifted = simulated(
+        &SimulationPlan {
+            lifted_limits: LiftedLimits { connections: true, ..LiftedLimits::default() },
+            ..plan(&fleet)
+        },
+        EVEN,
+    );
+    assert!(lifted.results.total.service_level() > tight.results.total.service_level() + 0.01);
+    assert!(lifted.endpoints.iter().all(|endpoint| endpoint.refused_connections == 0));
+}
+
+#[test]
+fn the_controller_avoids_endpoints_that_hang_fail_or_are_slow() {
+    let fleet = small(&[]);
+    for fault in [Fault::Hang(0, true), Fault::FailRequests(0, 0.9), Fault::SlowDown(0, 8.0)] {
+        let faults = vec![fault.clone().at(5.0)];
+        let controlled =
+            simulated(&SimulationPlan { faults: faults.clone(), ..plan(&fleet) }, "for_s: 60 txns_per_s: 35");
+        let table_source = TableSource::Fixed { weights: vec![vec![1.0; 6]; 2], admitted: vec![1.0; 3] };
+        let fixed =
+            simulated(&SimulationPlan { table_source, faults, ..plan(&fleet) }, "for_s: 60 txns_per_s: 35");
+        let service_under_fault =
+            |result: &SimulationResult| result.results.service_level_between(25.0, 60.0);
+        assert!(
+            service_under_fault(&controlled) > service_under_fault(&fixed) + 0.05,
+            "{fault:?}: {} {}",
+            service_under_fault(&controlled),
+            service_under_fault(&fixed)
+        );
+    }
+}
+
+#[test]
+fn endless_retries_end_the_simulation_with_a_reason() {
+    let changes = [
+        ("again: 1 wait_from_ms: 100 wait_to_ms: 400", "again: 10 wait_from_ms: 300000 wait_to_ms: 500000"),
+        ("expiry_ms: 3000", "expiry_ms: 600000"),
+    ];
+    let fleet = small(&changes);
+    let table_source = TableSource::Fixed { weights: vec![vec![0.0; 6]; 2], admitted: vec![1.0; 3] };
+    let result = simulated(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 5 txns_per_s: 10");
+    assert_eq!(
+        result.ended_early.map(|reason| reason.to_string()).as_deref(),
+        Some("clients still came again 120 s after the load's end")
+    );
+}
+
+#[test]
+fn an_empty_load_has_a_result() {
+    let fleet = small(&[]);
+    let result = simulate(&plan(&fleet), std::iter::empty());
+    assert_eq!((result.results.total.requests, result.results.total.service_level()), (0, 1.0));
+    assert_eq!(result.results.worst_service_level(10.0), 1.0);
+}
