--- a/control-plane/src/deployment_names.rs
+++ b/control-plane/src/deployment_names.rs
@@ -25,12 +25,6 @@
     Proxy(u32),
 }
 
-impl From<UnknownName> for String {
-    fn from(error: UnknownName) -> Self {
-        error.to_string()
-    }
-}
-
 impl DeploymentNames {
     /// The number of the zone of that name.
     pub fn zone(&self, name: &str) -> Result<u32, UnknownName> {
