--- /dev/null
+++ b/control-plane/tests/sockets/commands.rs
@@ -0,0 +1,205 @@
+//! Commands to the relay: which are sent, and what becomes of those whose call fails.
+
+use crate::support::{endpoint_entry, wait_for, RelayBehavior, Testbed};
+use serde_json::{json, Value};
+
+#[test]
+fn a_joining_proxy_is_assigned_a_populated_table() {
+    let Testbed { relay, control_plane: _control_plane, .. } = Testbed::start(&["a", "b"]);
+    relay.proxy_joins(7);
+    let lines = relay.next_call_with("put");
+    let ids: Vec<&Value> = lines.iter().filter(|o| o["op"] == "put").map(|o| &o["endpoint"]).collect();
+    assert_eq!(ids, ["a", "b"]);
+    let table = lines[0]["table"].clone();
+    assert_eq!(relay.next_command("attach"), json!({"op": "attach", "node": 7, "table": table}));
+}
+
+#[test]
+fn a_draining_endpoint_loses_its_weight_and_is_ejected() {
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let call = relay.next_call_with("eject");
+    assert!(call.iter().any(|o| o["op"] == "put" && o["endpoint"] == "a" && o["w"] == 0.0), "{call:?}");
+    assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
+}
+
+/// Drains `a` while the relay behaves like this, and checks that the very same commands are sent again.
+fn assert_commands_are_resent_after(behavior: RelayBehavior) {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan(behavior);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let lost = relay.next_call_with("eject");
+    let mut resent = relay.next_call();
+    // Commands that may have been carried out are followed by a request for an acknowledgement.
+    resent.retain(|command| command["op"] != "fence");
+    assert_eq!(resent, lost);
+    control_plane.wait_for_log("command delivery failed");
+    control_plane.wait_for_log("command delivery recovered");
+}
+
+#[test]
+fn commands_are_resent_when_the_relay_closes_the_connection() {
+    assert_commands_are_resent_after(RelayBehavior::ClosesConnection);
+}
+
+#[test]
+fn commands_are_resent_when_the_relay_does_not_answer() {
+    assert_commands_are_resent_after(RelayBehavior::DoesNotAnswer);
+}
+
+#[test]
+fn commands_are_resent_when_the_answer_is_invalid_json() {
+    assert_commands_are_resent_after(RelayBehavior::AnswersInvalidJson);
+}
+
+#[test]
+fn commands_are_resent_when_the_relay_throttles() {
+    assert_commands_are_resent_after(RelayBehavior::Throttles);
+}
+
+#[test]
+fn the_controller_restarts_when_the_relay_rejects_the_commands_twice() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    // A single one may be a corrupted answer.
+    relay.plan_times(2, RelayBehavior::RejectsAsInvalid);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    for _ in 0..2 {
+        relay.next_call_with("eject");
+    }
+    control_plane.wait_for_log("controller restarted");
+    assert_eq!(relay.next_command("put")["endpoint"], "b");
+    assert_eq!(relay.next_command("attach")["node"], 7);
+}
+
+#[test]
+fn commands_are_resent_when_the_relay_rejects_them_once() {
+    assert_commands_are_resent_after(RelayBehavior::RejectsAsInvalid);
+}
+
+#[test]
+fn after_a_long_silence_of_the_relay_queued_commands_are_sent_and_joining_proxies_assigned() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan_times(5, RelayBehavior::DoesNotAnswer);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    relay.next_call_with("eject");
+    // This change comes while commands are unacknowledged, and waits behind them.
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    control_plane.wait_for_log("command delivery recovered");
+    assert_eq!(relay.next_call_with("put").last().unwrap()["op"], "fence");
+    relay.proxy_joins(8);
+    assert_eq!(relay.next_command("attach")["node"], 8);
+}
+
+#[test]
+fn a_connection_closed_by_the_relay_loses_no_commands() {
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AcceptsAndCloses);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    relay.next_command("eject");
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    assert_eq!(relay.next_command("put")["endpoint"], "c");
+}
+
+#[test]
+fn an_answer_in_pieces_is_accepted() {
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AnswersInPieces);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let taken = relay.next_call_with("eject");
+    list.publish_changes(&[endpoint_entry("b", "leaving"), endpoint_entry("c", "active")]);
+    assert_ne!(relay.next_call(), taken);
+}
+
+#[test]
+fn after_a_declined_command_the_rest_is_sent_and_the_assignment_is_repeated() {
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AcceptsOnly(0));
+    relay.proxy_joins(8);
+    relay.proxy_joins(9);
+    let call = relay.next_call_with("attach");
+    let declined = call[0].clone();
+    assert_eq!(control_plane.wait_for_log("command declined by the relay")["command"], declined.to_string());
+    if call.len() > 1 {
+        assert_eq!(relay.next_call(), call[1..]);
+    }
+    wait_for("the bind again", || relay.next_call_with("attach").contains(&declined).then_some(()));
+}
+
+#[test]
+fn commands_are_resent_when_the_connection_is_reset() {
+    assert_commands_are_resent_after(RelayBehavior::ResetsConnection);
+}
+
+#[test]
+fn commands_are_resent_when_the_answer_is_truncated_in_its_status() {
+    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(12));
+}
+
+#[test]
+fn commands_are_resent_when_the_answer_is_truncated_after_its_head() {
+    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(40));
+}
+
+#[test]
+fn commands_are_resent_when_the_answer_lacks_its_last_byte() {
+    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(usize::MAX));
+}
+
+#[test]
+fn commands_are_resent_when_more_were_accepted_than_sent() {
+    assert_commands_are_resent_after(RelayBehavior::AcceptsTooMany);
+}
+
+#[test]
+fn commands_are_resent_when_the_answer_is_not_http() {
+    assert_commands_are_resent_after(RelayBehavior::AnswersGarbage);
+}
+
+#[test]
+fn an_answer_that_is_sent_twice_counts_once() {
+    let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::AnswersTwice);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let taken = relay.next_call_with("eject");
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    let next = relay.next_call_with("put");
+    assert_ne!(next, taken);
+    assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
+}
+
+/// The answer to a call that timed out comes after the commands were sent again: it answers neither call.
+#[test]
+fn a_late_answer_is_ignored() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::WithholdsAnswer);
+    relay.plan(RelayBehavior::ClosesConnection);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let withheld = relay.next_call_with("eject");
+    // Timed out, sent again, failed: the outcome is unknown once more. Only now the first answer comes.
+    relay.next_call_with("eject");
+    relay.release_answer();
+    let mut third = relay.next_call();
+    third.retain(|command| command["op"] != "fence");
+    assert_eq!(third, withheld);
+    control_plane.wait_for_log("command delivery recovered");
+    list.publish_changes(&[endpoint_entry("c", "active")]);
+    let next = relay.next_call_with("put");
+    assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
+}
+
+/// A single rejection may be a corrupted answer; only two in a row are believed.
+#[test]
+fn two_rejections_with_a_failed_call_between_do_not_restart_the_controller() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    for behavior in
+        [RelayBehavior::RejectsAsInvalid, RelayBehavior::ClosesConnection, RelayBehavior::RejectsAsInvalid]
+    {
+        relay.plan(behavior);
+    }
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    for _ in 0..4 {
+        relay.next_call_with("eject");
+    }
+    control_plane.wait_for_log("command delivery recovered");
+    assert!(control_plane.http_get("/state").contains(r#""opened":1,"#));
+}
--- /dev/null
+++ b/control-plane/tests/sockets/config_reload.rs
@@ -0,0 +1,86 @@
+//! Reloads of the configuration at SIGHUP.
+
+use crate::connections::assert_answers_health_check;
+use crate::support::{
+    config, endpoint_entry, wait_for, ControlPlane, FakeEndpointList, FakeRelay, RelayBehavior, Testbed,
+};
+use serde_json::json;
+
+/// Reloads a configuration that names another list and another relay.
+fn move_peers(control_plane: &ControlPlane, endpoints: &[&str], proxy: u32) -> (FakeEndpointList, FakeRelay) {
+    let (list, relay) = (FakeEndpointList::start(endpoints), FakeRelay::start());
+    relay.proxy_joins(proxy);
+    control_plane.reload_config(&config(list.address, relay.address).to_string());
+    control_plane.wait_for_log("config reloaded");
+    (list, relay)
+}
+
+#[test]
+fn each_reload_moves_endpoint_watch_commands_and_proxy_stream() {
+    let Testbed { control_plane, .. } = Testbed::start_with_proxy();
+    let mut collector = control_plane.connect_collector();
+    for n in [8, 9] {
+        let (list, relay) = move_peers(&control_plane, &["a", "b"], n);
+        // A proxy that the new relay names gets its table there; one that it does not name has left.
+        wait_for("its bind", || (relay.next_command("attach")["node"] == n).then_some(()));
+        control_plane.wait_for_status(r#""proxies":1,"#);
+        list.wait_for_requests(2);
+        list.publish_changes(&[endpoint_entry("a", "leaving")]);
+        assert_eq!(relay.next_command("eject")["endpoint"], "a");
+        list.publish_changes(&[endpoint_entry("a", "active")]);
+        assert_eq!(relay.next_command("uneject")["endpoint"], "a");
+    }
+    assert_answers_health_check(&mut collector);
+}
+
+#[test]
+fn commands_that_failed_at_the_old_relay_go_to_the_new_one_before_any_other() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan_times(500, RelayBehavior::Throttles);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let lost = relay.next_call_with("eject");
+    let (_list, relay) = move_peers(&control_plane, &["b"], 7);
+    assert_eq!(relay.next_call(), lost);
+}
+
+#[test]
+fn an_invalid_config_changes_nothing_and_every_fault_is_logged() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    control_plane.reload_config("{\"name\":");
+    control_plane.wait_for_log("config rejected, keeping the current one");
+    let mut other = config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
+    other["settings"]["zones"] = json!(["elsewhere"]);
+    other["name"] = "n2".into();
+    control_plane.reload_config(&other.to_string());
+    for field in ["'name'", "'settings'"] {
+        let why = control_plane.wait_for_log("config rejected, keeping the current one")["why"].to_string();
+        assert!(why.contains(field), "{why}");
+    }
+    control_plane.wait_for_status(r#""config_refused":2"#);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    assert_eq!(relay.next_command("eject")["endpoint"], "a");
+}
+
+#[test]
+fn a_call_in_flight_when_the_relay_moves_goes_to_the_new_one_before_any_other() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    relay.plan(RelayBehavior::WithholdsAnswer);
+    // If the move comes late the call is repeated at the old relay, which must not accept it then.
+    relay.plan_times(500, RelayBehavior::DoesNotAnswer);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    let lost = relay.next_call_with("eject");
+    let (other, new) = (FakeEndpointList::start(&["b"]), FakeRelay::start());
+    new.proxy_joins(7);
+    control_plane.reload_config(&config(other.address, new.address).to_string());
+    control_plane.wait_for_log("config reloaded");
+    let mut first = new.next_call();
+    first.retain(|command| command["op"] != "fence");
+    assert_eq!(first, lost);
+    while let Some(mut repeated) = relay.try_next_call() {
+        repeated.retain(|command| command["op"] != "fence");
+        assert_eq!(repeated, lost);
+    }
+    relay.release_answer();
+    assert_eq!(new.next_command("attach")["node"], 7);
+    assert!(relay.try_next_call().is_none(), "nothing more goes to the old place");
+}
--- /dev/null
+++ b/control-plane/tests/sockets/connections.rs
@@ -0,0 +1,210 @@
+//! Connections to the listener: collectors, health checks, status pages, and peers that are none of these.
+
+use crate::shutdown::{drain_during_a_call, wait_for_ejection};
+use crate::support::{
+    config, frame, read_frame, wait_for, ControlPlane, FakeEndpointList, FakeRelay, Testbed,
+};
+use serde_json::json;
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+
+pub fn assert_answers_health_check(stream: &mut TcpStream) {
+    stream.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
+    assert_eq!(read_frame(stream).unwrap(), r#"{"msg":"alive"}"#);
+}
+
+#[test]
+fn health_checks_in_pieces_and_two_at_once_are_answered() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.connect();
+    let probe = frame(r#"{"msg":"probe"}"#);
+    for byte in &probe[..7] {
+        stream.write_all(&[*byte]).unwrap();
+        stream.flush().unwrap();
+    }
+    stream.write_all(&[&probe[7..], &probe].concat()).unwrap();
+    for _ in 0..2 {
+        assert_eq!(read_frame(&mut stream).unwrap(), r#"{"msg":"alive"}"#);
+    }
+}
+
+fn assert_closed(stream: &mut TcpStream, what: &str) {
+    // An `error` may come before the close, and a close with unread bytes is a reset.
+    let mut rest = Vec::new();
+    let end = stream.read_to_end(&mut rest);
+    let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+    assert!(!timed_out && rest.len() < 512, "still open: {what}");
+}
+
+#[test]
+fn a_peer_that_does_not_identify_itself_is_disconnected_whatever_it_sends_and_no_other_is() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut good = control_plane.connect_collector();
+    let report = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
+    for sent in [
+        &[] as &[u8],
+        &frame(r#"{"msg":"agent","locality":"north"}"#)[..9],
+        &frame(r#"{"msg":"agent","locality":"nowhere"}"#),
+        &frame(r#"{"msg":"hello","node":1,"locality":"north","w":1.0,"cold":true}"#),
+        &frame(r#"{"msg":"put","table":1,"endpoint":"a","w":1.0}"#),
+        &frame(report),
+        &frame("{\"msg\":"),
+        &frame("[]"),
+        &[0, 16, 0, 1],
+        &[0, 15, 255, 255, b'{'],
+        &[255; 64],
+        b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n",
+        b"POST /v3/kv/batches HTTP/1.1\r\nhost: x\r\ncontent-length: 99999\r\n\r\n{",
+    ] {
+        let mut bad = control_plane.connect();
+        bad.write_all(sent).unwrap();
+        assert_closed(&mut bad, &String::from_utf8_lossy(sent));
+    }
+    assert_answers_health_check(&mut good);
+}
+
+#[test]
+fn health_checks_do_not_keep_a_connection_open() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.connect();
+    wait_for("the end of who only asks", || {
+        let asked = stream.write_all(&frame(r#"{"msg":"probe"}"#));
+        asked.and_then(|()| read_frame(&mut stream)).err()
+    });
+}
+
+#[test]
+fn hundreds_of_silent_connections_do_not_keep_collectors_out() {
+    let (list, relay) = (FakeEndpointList::start(&["a"]), FakeRelay::start());
+    let mut config = config(list.address, relay.address);
+    config["limits"] = json!({"sockets": 256, "memory_mb": 32});
+    let control_plane = ControlPlane::start_with(&config);
+    let mut first = control_plane.connect_collector();
+    let _unidentified: Vec<TcpStream> = (0..300).map(|_| control_plane.connect()).collect();
+    let mut collector = control_plane.connect_collector();
+    assert_answers_health_check(&mut collector);
+    assert_answers_health_check(&mut first);
+}
+
+#[test]
+fn a_zone_whose_collector_reconnects_again_and_again_keeps_the_newest_connections() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut most_silent = control_plane.connect_collector();
+    let mut newest: Vec<TcpStream> = (0..8).map(|_| control_plane.connect_collector()).collect();
+    assert_closed(&mut most_silent, "the connection that was silent for longest");
+    newest.iter_mut().for_each(assert_answers_health_check);
+}
+
+#[test]
+fn a_collector_that_sends_unreadable_frames_is_disconnected() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    for unreadable in [frame("{\"msg\":"), vec![255; 64], frame(&"x".repeat(70_000))] {
+        let mut bad = control_plane.connect_collector();
+        let _ = bad.write_all(&unreadable);
+        assert_closed(&mut bad, "unreadable");
+    }
+}
+
+#[test]
+fn a_peer_that_leaves_within_a_frame_does_not_affect_others() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    control_plane.connect().write_all(&frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
+    control_plane.wait_for_log("connection failed");
+    let mut good = control_plane.connect();
+    assert_answers_health_check(&mut good);
+}
+
+#[test]
+fn reports_of_failed_attempts_reduce_an_endpoints_weight() {
+    let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    let mut stream = control_plane.connect_collector();
+    for (id, errors) in [("a", 40), ("b", 0), ("c", 0), ("d", 0)] {
+        let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
+            "errors": errors, "rtt": 41.7, "interval": 1000.0, "metrics": {"util": 0.5}});
+        stream.write_all(&frame(&report.to_string())).unwrap();
+    }
+    let line = relay.next_command("put");
+    assert_eq!(line["endpoint"], "a");
+    assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
+}
+
+#[test]
+fn http_requests_to_the_same_address_get_the_status_pages() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    assert!(control_plane.http_get("/healthz").ends_with("\r\n\r\nalive\n"));
+    assert!(control_plane.http_get("/other").starts_with("HTTP/1.1 404"));
+}
+
+/// A zone's ninth connection ends the one that was silent for longest, which has just sent reports that are not read yet.
+#[test]
+fn reports_sent_before_a_collector_is_disconnected_are_read_to_the_end() {
+    let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    let mut most_silent = control_plane.connect_collector();
+    let _others: Vec<TcpStream> = (0..7).map(|_| control_plane.connect_collector()).collect();
+    let dull = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
+    let mut sent = frame(dull).repeat(900);
+    for (id, errors) in [("b", 0), ("c", 0), ("d", 0), ("a", 40)] {
+        let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
+            "errors": errors, "rtt": 41.7, "interval": 1000.0});
+        sent.extend(frame(&report.to_string()));
+    }
+    let mut ninth = control_plane.connect();
+    assert_answers_health_check(&mut ninth);
+    control_plane.while_suspended(|| {
+        // Read first, as it comes first.
+        ninth.write_all(&frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
+        most_silent.write_all(&sent).unwrap();
+    });
+    control_plane.wait_for_log("collector connected");
+    let line =
+        wait_for("a line of a's", || relay.next_call_with("put").into_iter().find(|o| o["endpoint"] == "a"));
+    assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
+    let mut rest = Vec::new();
+    assert!(most_silent.read_to_end(&mut rest).is_ok_and(|n| n == 0), "closed, not reset");
+}
+
+#[test]
+fn a_half_closed_http_client_gets_its_answer() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.while_suspended(|| {
+        let mut stream = control_plane.connect();
+        stream.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
+        stream.shutdown(Shutdown::Write).unwrap();
+        stream
+    });
+    let mut text = String::new();
+    stream.read_to_string(&mut text).unwrap();
+    assert!(text.ends_with("\r\n\r\nalive\n"), "{text}");
+}
+
+#[test]
+fn a_half_closed_health_check_gets_its_answer() {
+    let Testbed { control_plane, .. } = Testbed::start(&["a"]);
+    let mut stream = control_plane.while_suspended(|| {
+        let mut stream = control_plane.connect();
+        stream.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
+        stream.shutdown(Shutdown::Write).unwrap();
+        stream
+    });
+    assert_eq!(read_frame(&mut stream).unwrap(), r#"{"msg":"alive"}"#);
+}
+
+#[test]
+fn a_flood_of_connections_during_a_call_delays_neither_collectors_nor_commands() {
+    let (list, relay) = (FakeEndpointList::start(&["a", "b"]), FakeRelay::start());
+    let mut config = config(list.address, relay.address);
+    config["limits"] = json!({"sockets": 256, "memory_mb": 32});
+    let control_plane = ControlPlane::start_with(&config);
+    relay.proxy_joins(7);
+    relay.next_command("attach");
+    drain_during_a_call(&relay, &list);
+    let _unidentified: Vec<TcpStream> = (0..300).map(|_| control_plane.connect()).collect();
+    let mut collector = control_plane.connect_collector();
+    assert_answers_health_check(&mut collector);
+    relay.release_answer();
+    wait_for_ejection(&relay, "b");
+}
--- a/control-plane/tests/sockets/list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -4,6 +4,22 @@
 use crate::support::{endpoint_entry, wait_for, ControlPlane, FakeRelay, ListAnswer, Testbed};
 use serde_json::{json, Value};
 
+#[test]
+fn a_silent_list_is_polled_again() {
+    let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
+    list.set_silent(true);
+    control_plane.wait_for_log("endpoint watch failed");
+    list.set_silent(false);
+    list.publish_changes(&[endpoint_entry("a", "leaving")]);
+    assert_eq!(relay.next_command("eject")["endpoint"], "a");
+}
+
+#[test]
+fn the_list_is_polled_call_after_call() {
+    let Testbed { list, control_plane: _control_plane, .. } = Testbed::start(&["a"]);
+    list.wait_for_requests(3);
+}
+
 fn invalid_entry(id: &str, health: &str, field: &str, value: Value) -> Value {
     let mut entry = endpoint_entry(id, health);
     entry[field] = value;
@@ -23,7 +39,7 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_costs_no_other_of_its_answer() {
+fn an_invalid_entry_does_not_affect_the_others_of_its_answer() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     let invalid = [json!({}), json!("text"), invalid_entry("c", "active", "health", 7.into())];
     for (n, entry) in invalid.into_iter().enumerate() {
@@ -43,7 +59,7 @@
 
 /// No later answer repeats a change.
 #[test]
-fn what_a_spoilt_entry_would_have_told_is_asked_for_anew() {
+fn the_whole_list_is_read_after_an_invalid_change() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     list.publish(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
@@ -53,7 +69,7 @@
 }
 
 #[test]
-fn a_server_that_drains_is_left_whatever_else_is_amiss_in_its_entry() {
+fn a_draining_endpoint_is_ejected_whatever_else_is_invalid_in_its_entry() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     let invalid = [
         invalid_entry("a", "leaving", "share", json!([])),
@@ -65,7 +81,7 @@
 }
 
 #[test]
-fn a_server_whose_entry_in_the_whole_list_cannot_be_read_stays_as_it_was() {
+fn an_endpoint_whose_entry_in_the_whole_list_is_invalid_keeps_its_state() {
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
     relay.proxy_joins(7);
     relay.next_command("attach");
@@ -80,7 +96,7 @@
 }
 
 #[test]
-fn where_an_entry_has_no_name_nobody_is_taken_for_missing_until_the_list_can_be_read() {
+fn while_an_entry_has_no_name_no_endpoint_counts_as_removed() {
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
     relay.proxy_joins(7);
     relay.next_command("attach");
@@ -93,7 +109,7 @@
 }
 
 #[test]
-fn a_change_older_than_what_is_known_is_not_believed_and_the_whole_list_is_asked_for() {
+fn an_outdated_change_is_ignored_and_the_whole_list_is_read() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     list.publish(
         &[endpoint_entry("a", "active"), endpoint_entry("b", "leaving")],
@@ -130,12 +146,12 @@
 }
 
 #[test]
-fn a_list_that_counts_anew_is_followed() {
+fn a_list_whose_versions_restart_is_followed() {
     assert_restarted_list_is_followed(false);
 }
 
 #[test]
-fn a_list_that_counts_anew_and_refuses_what_it_does_not_know_is_followed() {
+fn a_list_whose_versions_restart_and_that_rejects_newer_ones_is_followed() {
     assert_restarted_list_is_followed(true);
 }
 
@@ -164,36 +180,36 @@
 }
 
 #[test]
-fn a_change_comes_through_when_its_answer_is_cut_in_the_status() {
+fn a_change_arrives_when_its_answer_is_truncated_in_the_status() {
     assert_change_arrives_despite(ListAnswer::Truncated(12));
 }
 
 #[test]
-fn a_change_comes_through_when_its_answer_is_cut_after_the_head() {
+fn a_change_arrives_when_its_answer_is_truncated_after_the_head() {
     assert_change_arrives_despite(ListAnswer::Truncated(60));
 }
 
 #[test]
-fn a_change_comes_through_when_its_answer_lacks_the_last_byte() {
+fn a_change_arrives_when_its_answer_lacks_the_last_byte() {
     assert_change_arrives_despite(ListAnswer::Truncated(usize::MAX));
 }
 
 #[test]
-fn a_change_comes_through_when_the_watch_is_reset() {
+fn a_change_arrives_when_the_poll_is_reset() {
     assert_change_arrives_despite(ListAnswer::ConnectionReset);
 }
 
 #[test]
-fn a_change_comes_through_when_its_answer_is_not_json() {
+fn a_change_arrives_when_its_answer_is_not_json() {
     assert_change_arrives_despite(ListAnswer::Body("{\"seq\":".into()));
 }
 
 #[test]
-fn a_change_comes_through_when_its_answer_is_of_another_type() {
+fn a_change_arrives_when_its_answer_is_of_another_type() {
     assert_change_arrives_despite(ListAnswer::Body("[[]]".into()));
 }
 
 #[test]
-fn a_change_comes_through_when_it_is_answered_twice() {
+fn a_change_arrives_when_it_is_answered_twice() {
     assert_change_arrives_despite(ListAnswer::Twice);
 }
--- /dev/null
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -0,0 +1,49 @@
+//! The event stream of the relay: which proxies have joined.
+
+use crate::support::Testbed;
+use serde_json::{json, Value};
+
+#[test]
+fn a_proxy_missing_from_a_reopened_stream_has_left() {
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.proxy_joins(8);
+    relay.next_command("attach");
+    relay.reopens_stream_with_last_proxy();
+    control_plane.wait_for_log("proxy stream lost");
+    // The proxy that is named may have left and joined again meanwhile, so its table is assigned again.
+    assert_eq!(relay.next_command("attach")["node"], 8);
+    control_plane.wait_for_status(r#""proxies":1,"#);
+}
+
+/// A silence that passes costs no assignment, and no proxy that joined during it is missed.
+#[test]
+fn a_silent_stream_is_kept_until_another_one_opens() {
+    let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+    relay.becomes_unreachable();
+    control_plane.wait_for_log("proxy stream silent");
+    control_plane.wait_for_log("proxy stream connect failed");
+    relay.proxy_joins(8);
+    control_plane.wait_for_log("proxy stream recovered");
+    assert_eq!(relay.next_command("attach")["node"], 8);
+    control_plane.wait_for_status(r#""proxies":2,"#);
+}
+
+fn hello(proxy: u32, rate: Value) -> Value {
+    json!({"type": "hello", "object": {"node": proxy, "locality": "north", "w": rate, "cold": false}})
+}
+
+#[test]
+fn a_proxy_with_an_unreadable_line_in_a_reopened_stream_has_not_left() {
+    for invalid in [hello(8, json!("x")), json!({"type": "hello", "object": {"node": []}})] {
+        let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
+        relay.proxy_joins(8);
+        relay.next_command("attach");
+        relay.reopens_stream_with(&[hello(7, json!(20.5)), invalid]);
+        control_plane.wait_for_log("proxy stream connected");
+        control_plane.wait_for_log("proxy stream event skipped");
+        // Its table is assigned again once the opening has been read to its end.
+        assert_eq!(relay.next_command("attach")["node"], 7);
+        relay.proxy_joins(9);
+        control_plane.wait_for_status(r#""proxies":3,"#);
+    }
+}
