--- /dev/null
+++ b/emulator/src/clients/request.rs
@@ -0,0 +1,161 @@
+//! The life of a request at its client: attempts and the waits between them, until it is answered or given up.
+
+use super::ClientState;
+use crate::http::{NOT_EXECUTED_HEADER, REJECTED_HEADER, REQUEST_CLASS_HEADER, REQUEST_PATH, WORK_US_HEADER};
+use crate::sync::lock;
+use crate::time::duration;
+use http_body_util::{BodyExt, Empty};
+use hyper::Request;
+use otterwinch_fleet::model::{Idempotency, RequestClass};
+use otterwinch_fleet::ScheduledRequest;
+use otterwinch_simulation::results::RequestEnd;
+use rand::RngExt;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+/// What an attempt came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AttemptOutcome {
+    Answered,
+    /// A proxy rejected it.
+    Rejected,
+    /// No endpoint began to execute it.
+    NotExecuted,
+    /// It failed, or the client gave up; it may have been executed.
+    Failed,
+}
+
+impl AttemptOutcome {
+    /// Whether the request certainly had no effect.
+    fn is_not_executed(self) -> bool {
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::NotExecuted)
+    }
+}
+
+/// The random choices for one attempt, each from 0 to 1.
+struct AttemptSamples {
+    proxy: f64,
+    timeout: f64,
+    /// For the wait before the next attempt.
+    wait: f64,
+}
+
+/// Sends a request, which is due now, and records its attempts and its end.
+pub(super) async fn run(state: Arc<ClientState>, request: ScheduledRequest, due: Instant) {
+    let client = RequestClient { state: &state, request: &request, due };
+    let end = client.run().await;
+    state.record_end(&request, end);
+}
+
+struct RequestClient<'a> {
+    state: &'a ClientState,
+    request: &'a ScheduledRequest,
+    due: Instant,
+}
+
+impl RequestClient<'_> {
+    async fn run(&self) -> RequestEnd {
+        let expires = self.due + duration(self.class().timeout);
+        let mut retries = 0;
+        loop {
+            let samples = self.state.draw_samples();
+            let outcome = self.attempt(&samples, expires).await;
+            let end = match outcome {
+                AttemptOutcome::Answered => {
+                    return RequestEnd::Answered(self.due.elapsed().as_micros() as u64)
+                }
+                AttemptOutcome::Rejected => RequestEnd::Rejected,
+                AttemptOutcome::NotExecuted | AttemptOutcome::Failed => RequestEnd::Failed,
+            };
+            let may_retry = self.is_safe_to_retry(outcome);
+            let retry_at = Instant::now() + self.retry_wait(&samples);
+            if !may_retry || retries >= self.state.fleet.clients.max_retries || retry_at >= expires {
+                return end;
+            }
+            sleep_until(retry_at).await;
+            retries += 1;
+        }
+    }
+
+    fn class(&self) -> &RequestClass {
+        &self.state.fleet.request_classes[self.request.request_class]
+    }
+
+    /// Sends the request once, to a proxy that is drawn anew.
+    async fn attempt(&self, samples: &AttemptSamples, expires: Instant) -> AttemptOutcome {
+        let now = Instant::now();
+        let gives_up_at = (now + self.attempt_timeout(samples)).min(expires);
+        self.state.record_attempt(self.request, now);
+        let Some(address) = self.state.live_proxies.pick(self.request.zone, samples.proxy) else {
+            return AttemptOutcome::NotExecuted;
+        };
+        let attempt = self.state.send(&address, self.request);
+        timeout_at(gives_up_at, attempt).await.unwrap_or(AttemptOutcome::Failed)
+    }
+
+    /// How long the client waits for an answer: a part of the class's timeout.
+    fn attempt_timeout(&self, samples: &AttemptSamples) -> Duration {
+        let (min, max) = self.state.fleet.clients.attempt_timeout_fraction;
+        duration(self.class().timeout).mul_f64(min + (max - min) * samples.timeout)
+    }
+
+    /// How long the client waits before it retries.
+    fn retry_wait(&self, samples: &AttemptSamples) -> Duration {
+        let (min, max) = self.state.fleet.clients.retry_wait;
+        let (min, max) = (duration(min), duration(max));
+        min + (max - min).mul_f64(samples.wait)
+    }
+
+    /// Whether a retry can't have the request executed twice.
+    fn is_safe_to_retry(&self, outcome: AttemptOutcome) -> bool {
+        let class = self.class();
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::WithIdempotencyKey => {
+                outcome.is_not_executed() || self.due.elapsed() < duration(class.deduplication_window)
+            }
+            Idempotency::NotIdempotent => outcome.is_not_executed(),
+        }
+    }
+}
+
+impl ClientState {
+    /// Draws all samples of an attempt at once, whether they are used or not, so that each attempt takes the same number.
+    fn draw_samples(&self) -> AttemptSamples {
+        let mut rng = lock(&self.rng);
+        let proxy = rng.random();
+        let timeout = rng.random();
+        let wait = rng.random();
+        AttemptSamples { proxy, timeout, wait }
+    }
+
+    /// Sends a request to a proxy and waits for the answer.
+    async fn send(&self, address: &str, request: &ScheduledRequest) -> AttemptOutcome {
+        let message = Request::builder()
+            .method("POST")
+            .uri(format!("http://{address}{REQUEST_PATH}"))
+            .header(REQUEST_CLASS_HEADER, request.request_class)
+            .header(WORK_US_HEADER, format!("{:.0}", request.work * 1e6))
+            .body(Empty::new())
+            .expect("the request's parts are valid");
+        let response = match self.http.request(message).await {
+            Ok(response) => response,
+            Err(error) if error.is_connect() => return AttemptOutcome::NotExecuted,
+            Err(_) => return AttemptOutcome::Failed,
+        };
+        let (head, body) = response.into_parts();
+        if body.collect().await.is_err() {
+            return AttemptOutcome::Failed;
+        }
+        if head.status.is_success() {
+            AttemptOutcome::Answered
+        } else if head.headers.contains_key(REJECTED_HEADER) {
+            AttemptOutcome::Rejected
+        } else if head.headers.contains_key(NOT_EXECUTED_HEADER) {
+            AttemptOutcome::NotExecuted
+        } else {
+            AttemptOutcome::Failed
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/endpoint.rs
@@ -0,0 +1,155 @@
+//! An emulated endpoint: an HTTP/1.1 server that holds each request for as long as its work takes, with a number of
+//! cores, a bounded queue, a limit on connections, a warm-up during which overload makes it collapse, and faults.
+//!
+//! `server.rs` accepts connections and answers requests, `executor.rs` has the cores and the queue, `condition.rs` the
+//! warm-up, the collapse and the faults, `counters.rs` what is counted.
+
+mod condition;
+mod counters;
+mod executor;
+mod server;
+
+use crate::network::Network;
+use crate::sync::lock;
+use condition::Condition;
+use counters::Counters;
+use executor::Executor;
+use otterwinch_fleet::model::EndpointGroup;
+use otterwinch_fleet::sampling::random_stream;
+use server::EndpointServer;
+use std::io;
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{Arc, Mutex};
+use tokio::task::JoinHandle;
+use tokio::time::Instant;
+
+/// What an endpoint is started with.
+pub(crate) struct EndpointSpec<'a> {
+    /// Its group.
+    pub(crate) group: &'a EndpointGroup,
+    /// The index of the group in the fleet.
+    pub(crate) group_index: usize,
+    /// Its index in the group.
+    pub(crate) index: u32,
+    /// Seconds of work that one of its cores does in a second.
+    pub(crate) speed: f64,
+    /// When its warm-up began; `None` if that is long ago.
+    pub(crate) started: Option<Instant>,
+    /// The seed of the whole testbed.
+    pub(crate) seed: u64,
+}
+
+/// A running endpoint. It stops when it is dropped.
+pub(crate) struct Endpoint {
+    /// Its identifier in the endpoint list.
+    pub(crate) name: String,
+    /// The index of its zone in the fleet.
+    pub(crate) zone: usize,
+    /// The index of its group in the fleet.
+    pub(crate) group: usize,
+    /// Where it listens, before and after a restart.
+    pub(crate) address: String,
+    cores: u32,
+    network: Network,
+    server: Arc<EndpointServer>,
+    /// The task that accepts connections; `None` after a crash.
+    accepting: Mutex<Option<JoinHandle<()>>>,
+}
+
+impl Endpoint {
+    /// Starts an endpoint on an address of its own.
+    pub(crate) fn start(network: &Network, spec: EndpointSpec) -> io::Result<Endpoint> {
+        let EndpointSpec { group, group_index, index, seed, .. } = spec;
+        let name = format!("{}-{index}", group.name);
+        let (listener, address) = network.listen(&name)?;
+        let rng = random_stream(seed, "node", (group_index as u64) << 32 | u64::from(index));
+        let server = Arc::new(EndpointServer {
+            max_connections: group.max_connections,
+            connection_work: group.connection_work,
+            finishes_abandoned: group.finishes_abandoned,
+            open_connections: AtomicU32::new(0),
+            condition: Mutex::new(Condition::new(group, spec.speed, spec.started, rng)),
+            executor: Executor::new(group.cores, group.max_queued),
+            counters: Counters::default(),
+        });
+        let accepting = tokio::spawn(server::run(listener, server.clone()));
+        Ok(Endpoint {
+            name,
+            zone: group.zone,
+            group: group_index,
+            address,
+            cores: group.cores,
+            network: network.clone(),
+            server,
+            accepting: Mutex::new(Some(accepting)),
+        })
+    }
+
+    /// The number of its cores.
+    pub(crate) fn cores(&self) -> u32 {
+        self.cores
+    }
+
+    /// Requests that were executed.
+    pub(crate) fn accepted(&self) -> u64 {
+        self.server.counters.accepted.load(Ordering::Relaxed)
+    }
+
+    /// Requests that found the queue full.
+    pub(crate) fn rejected(&self) -> u64 {
+        self.server.counters.rejected.load(Ordering::Relaxed)
+    }
+
+    /// Requests on connections above the limit.
+    pub(crate) fn refused_connections(&self) -> u64 {
+        self.server.counters.refused_connections.load(Ordering::Relaxed)
+    }
+
+    /// Core time in use so far, in microseconds.
+    pub(crate) fn used_core_us(&self) -> u64 {
+        self.server.counters.used_core_us.load(Ordering::Relaxed)
+    }
+
+    /// Whether it collapsed, and wasn't started again since.
+    pub(crate) fn collapsed(&self) -> bool {
+        lock(&self.server.condition).collapsed
+    }
+
+    /// Stops it at once: connections break, and new ones are refused.
+    pub(crate) fn crash(&self) {
+        if let Some(accepting) = lock(&self.accepting).take() {
+            accepting.abort();
+        }
+    }
+
+    /// Starts it again on its old address, without faults, at the beginning of its warm-up.
+    pub(crate) fn restart(&self) -> io::Result<()> {
+        self.crash();
+        let listener = self.network.listen_again(&self.address)?;
+        lock(&self.server.condition).restart();
+        let accepting = tokio::spawn(server::run(listener, self.server.clone()));
+        *lock(&self.accepting) = Some(accepting);
+        Ok(())
+    }
+
+    /// Makes requests take so many times as long; 1 ends the fault.
+    pub(crate) fn set_slowdown(&self, factor: f64) {
+        lock(&self.server.condition).slowdown = factor;
+    }
+
+    /// Makes this fraction of the requests fail at once; 0 ends the fault.
+    pub(crate) fn set_failure_fraction(&self, fraction: f64) {
+        lock(&self.server.condition).failure_fraction = fraction;
+    }
+
+    /// Lets requests wait for ever, or ends that.
+    pub(crate) fn set_hanging(&self, hanging: bool) {
+        lock(&self.server.condition).hanging = hanging;
+    }
+}
+
+impl Drop for Endpoint {
+    fn drop(&mut self) {
+        self.crash();
+    }
+}
--- /dev/null
+++ b/emulator/src/endpoint/server.rs
@@ -0,0 +1,137 @@
+//! The HTTP server of an endpoint: accepts connections and answers requests.
+
+use super::condition::{Condition, Verdict};
+use super::counters::{CoreTimeGuard, Counters, GaugeGuard};
+use super::executor::Executor;
+use crate::http::{
+    empty_response, flagged_response, header_text, serve_connection, NOT_EXECUTED_HEADER, WORK_US_HEADER,
+};
+use crate::network::{Listener, Stream};
+use crate::sync::lock;
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::header::{HeaderValue, CONNECTION};
+use hyper::{Request, Response, StatusCode};
+use std::future::pending;
+use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
+use std::sync::{Arc, Mutex};
+use tokio::sync::{Notify, OwnedSemaphorePermit};
+use tokio::task::JoinSet;
+
+/// The largest work that a request may state, in microseconds.
+const MAX_WORK_US: f64 = 1e12;
+
+/// The state of an endpoint that its connections share. It survives a restart.
+pub(super) struct EndpointServer {
+    pub(super) max_connections: u32,
+    /// The work of a new connection, in seconds on a core of speed 1.
+    pub(super) connection_work: f64,
+    /// Whether a request is executed to its end when its client has gone.
+    pub(super) finishes_abandoned: bool,
+    pub(super) open_connections: AtomicU32,
+    pub(super) condition: Mutex<Condition>,
+    pub(super) executor: Executor,
+    pub(super) counters: Counters,
+}
+
+/// Accepts connections until the endpoint collapses or the task is aborted; all connections end with it.
+pub(super) async fn run(mut listener: Listener, server: Arc<EndpointServer>) {
+    let mut connections = JoinSet::new();
+    server.open_connections.store(0, Ordering::SeqCst);
+    server.executor.reset_queue();
+    let collapse = Arc::new(Notify::new());
+    loop {
+        let stream = tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok(stream) => stream,
+                Err(_) => return,
+            },
+            Some(_) = connections.join_next() => continue,
+            () = collapse.notified() => return,
+        };
+        let open_connections = server.open_connections.fetch_add(1, Ordering::SeqCst);
+        let above_limit = open_connections >= server.max_connections;
+        connections.spawn(serve(stream, server.clone(), collapse.clone(), above_limit));
+    }
+}
+
+/// Serves one connection.
+async fn serve(stream: Stream, server: Arc<EndpointServer>, collapse: Arc<Notify>, above_limit: bool) {
+    let _open = GaugeGuard(&server.open_connections);
+    let is_new = AtomicBool::new(true);
+    let handler = |request: Request<Incoming>| {
+        let (server, collapse, is_new) = (&server, &collapse, &is_new);
+        async move {
+            if above_limit {
+                return server.refuse_connection();
+            }
+            let is_first_request = is_new.swap(false, Ordering::SeqCst);
+            let connection_work = if is_first_request { server.connection_work } else { 0.0 };
+            server.handle(&request, connection_work, collapse).await
+        }
+    };
+    serve_connection(stream, handler).await;
+}
+
+impl EndpointServer {
+    /// Says that the request wasn't executed: if the connection were just closed, the client couldn't know.
+    fn refuse_connection(&self) -> Response<Full<Bytes>> {
+        self.counters.refused_connections.fetch_add(1, Ordering::Relaxed);
+        let mut response = not_executed();
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response
+    }
+
+    /// Answers one request. The future is dropped when the client closes the connection.
+    async fn handle(
+        self: &Arc<Self>,
+        request: &Request<Incoming>,
+        connection_work: f64,
+        collapse: &Notify,
+    ) -> Response<Full<Bytes>> {
+        let Some(request_work) = stated_work(request) else {
+            return empty_response(StatusCode::BAD_REQUEST);
+        };
+        let work = request_work + connection_work;
+        let verdict = lock(&self.condition).judge(work);
+        match verdict {
+            Verdict::Execute => {}
+            Verdict::Fail => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+            Verdict::Hang => return pending().await,
+            Verdict::Collapse => {
+                collapse.notify_one();
+                return pending().await;
+            }
+        }
+        let Ok(core) = self.executor.acquire_core().await else {
+            self.counters.rejected.fetch_add(1, Ordering::Relaxed);
+            return not_executed();
+        };
+        self.counters.accepted.fetch_add(1, Ordering::Relaxed);
+        if self.finishes_abandoned {
+            // A task of its own goes on when this future is dropped.
+            let server = self.clone();
+            let _ = tokio::spawn(async move { server.execute(core, work).await }).await;
+        } else {
+            self.execute(core, work).await;
+        }
+        empty_response(StatusCode::OK)
+    }
+
+    /// Occupies a core for as long as the work takes.
+    async fn execute(&self, _core: OwnedSemaphorePermit, work: f64) {
+        let _core_time = CoreTimeGuard::new(&self.counters);
+        let seconds = lock(&self.condition).execution_seconds(work);
+        self.executor.occupy(seconds).await;
+    }
+}
+
+/// The work that a request states, in seconds on a core of speed 1; `None` if there is none or it is out of bounds.
+fn stated_work(request: &Request<Incoming>) -> Option<f64> {
+    let work_us: f64 = header_text(request, WORK_US_HEADER)?.parse().ok()?;
+    (0.0..=MAX_WORK_US).contains(&work_us).then_some(work_us / 1e6)
+}
+
+fn not_executed() -> Response<Full<Bytes>> {
+    flagged_response(StatusCode::SERVICE_UNAVAILABLE, NOT_EXECUTED_HEADER)
+}
--- /dev/null
+++ b/emulator/src/http.rs
@@ -0,0 +1,61 @@
+//! The HTTP exchange between clients, proxies and endpoints, and what all HTTP servers here have in common.
+
+use crate::network::Stream;
+use http_body_util::Full;
+use hyper::body::{Body, Bytes, Incoming};
+use hyper::header::HeaderValue;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::error::Error;
+use std::future::Future;
+
+/// The path of an emulated request.
+pub(crate) const REQUEST_PATH: &str = "/txn";
+/// The request header with the index of the request class.
+pub(crate) const REQUEST_CLASS_HEADER: &str = "x-product";
+/// The request header with the work of the request, in microseconds on a core of speed 1.
+pub(crate) const WORK_US_HEADER: &str = "x-work-us";
+/// The response header of a request that a proxy rejected, by its admission level or for want of an endpoint.
+pub(crate) const REJECTED_HEADER: &str = "x-declined";
+/// The response header of a request that no endpoint began to execute, so that a retry is safe.
+pub(crate) const NOT_EXECUTED_HEADER: &str = "x-never-ran";
+
+/// The value of a header that is a mere flag.
+pub(crate) const FLAG_SET: HeaderValue = HeaderValue::from_static("1");
+
+/// A response without a body.
+pub(crate) fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = status;
+    response
+}
+
+/// A response without a body, whose meaning a header states.
+pub(crate) fn flagged_response(status: StatusCode, header: &'static str) -> Response<Full<Bytes>> {
+    let mut response = empty_response(status);
+    response.headers_mut().insert(header, FLAG_SET);
+    response
+}
+
+/// The text of a header; `None` if it is missing or not text.
+pub(crate) fn header_text<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
+    request.headers().get(name)?.to_str().ok()
+}
+
+/// Serves HTTP/1.1 on a connection until it ends, for whatever reason: the peer sees how.
+pub(crate) async fn serve_connection<H, F, B>(stream: Stream, handler: H)
+where
+    H: Fn(Request<Incoming>) -> F,
+    F: Future<Output = Response<B>>,
+    B: Body + 'static,
+    B::Error: Into<Box<dyn Error + Send + Sync>>,
+{
+    let service = service_fn(|request| {
+        let response = handler(request);
+        async move { Ok::<_, Infallible>(response.await) }
+    });
+    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+}
--- /dev/null
+++ b/emulator/src/proxy/load_counters.rs
@@ -0,0 +1,124 @@
+//! What a proxy counts: the load since the last report, and its attempts since its start.
+
+use super::AttemptCounts;
+use crate::sync::lock;
+use std::collections::BTreeMap;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Mutex;
+use tokio::time::Instant;
+
+/// The load of one report interval.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Load {
+    /// Attempts by endpoint.
+    pub(crate) attempts: BTreeMap<u32, AttemptSums>,
+    /// Requests of clients by request class.
+    pub(crate) requests: Vec<u64>,
+}
+
+/// Sums over attempts at one endpoint.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct AttemptSums {
+    /// All attempts.
+    pub(crate) attempts: u64,
+    /// Those that failed.
+    pub(crate) failed: u64,
+    /// The durations of the others together, in microseconds.
+    pub(crate) answered_us: u64,
+}
+
+impl AttemptSums {
+    /// Adds the attempts of another sum.
+    pub(crate) fn add(&mut self, other: AttemptSums) {
+        self.attempts += other.attempts;
+        self.failed += other.failed;
+        self.answered_us += other.answered_us;
+    }
+
+    /// Those that were answered.
+    pub(crate) fn answered(&self) -> u64 {
+        self.attempts - self.failed
+    }
+}
+
+/// The counters of a proxy.
+pub(super) struct LoadCounters {
+    request_classes: usize,
+    since_report: Mutex<Load>,
+    attempts: AtomicU64,
+    cross_zone_attempts: AtomicU64,
+}
+
+impl LoadCounters {
+    pub(super) fn new(request_classes: usize) -> Self {
+        LoadCounters {
+            request_classes,
+            since_report: Mutex::new(Load::empty(request_classes)),
+            attempts: AtomicU64::new(0),
+            cross_zone_attempts: AtomicU64::new(0),
+        }
+    }
+
+    /// Returns the load since the last call.
+    pub(super) fn take(&self) -> Load {
+        std::mem::replace(&mut *lock(&self.since_report), Load::empty(self.request_classes))
+    }
+
+    pub(super) fn attempts(&self) -> AttemptCounts {
+        AttemptCounts {
+            total: self.attempts.load(Ordering::Relaxed),
+            cross_zone: self.cross_zone_attempts.load(Ordering::Relaxed),
+        }
+    }
+
+    /// Counts a request of a client. A class that doesn't exist is ignored.
+    pub(super) fn count_request(&self, request_class: usize) {
+        if let Some(requests) = lock(&self.since_report).requests.get_mut(request_class) {
+            *requests += 1;
+        }
+    }
+
+    /// Begins an attempt at an endpoint, which is counted when the guard is dropped.
+    pub(super) fn begin_attempt(&self, endpoint: u32, is_cross_zone: bool) -> AttemptGuard<'_> {
+        self.attempts.fetch_add(1, Ordering::Relaxed);
+        if is_cross_zone {
+            self.cross_zone_attempts.fetch_add(1, Ordering::Relaxed);
+        }
+        AttemptGuard { counters: self, endpoint, began: Instant::now(), answered: false }
+    }
+}
+
+impl Load {
+    fn empty(request_classes: usize) -> Self {
+        Load { attempts: BTreeMap::new(), requests: vec![0; request_classes] }
+    }
+}
+
+/// An attempt in flight. One that is dropped before it was answered, for instance because the client went away, counts
+/// as failed.
+pub(super) struct AttemptGuard<'a> {
+    counters: &'a LoadCounters,
+    endpoint: u32,
+    began: Instant,
+    answered: bool,
+}
+
+impl AttemptGuard<'_> {
+    /// Marks the attempt as answered.
+    pub(super) fn set_answered(&mut self) {
+        self.answered = true;
+    }
+}
+
+impl Drop for AttemptGuard<'_> {
+    fn drop(&mut self) {
+        let mut load = lock(&self.counters.since_report);
+        let sums = load.attempts.entry(self.endpoint).or_default();
+        sums.attempts += 1;
+        if self.answered {
+            sums.answered_us += self.began.elapsed().as_micros() as u64;
+        } else {
+            sums.failed += 1;
+        }
+    }
+}
--- /dev/null
+++ b/emulator/src/proxy/request_handler.rs
@@ -0,0 +1,113 @@
+//! The HTTP server of a proxy, and the life of a request in it.
+
+use super::connection_pool::{AttemptOutcome, ConnectionPool};
+use super::load_counters::LoadCounters;
+use super::routing::RoutingState;
+use crate::http::{
+    empty_response, flagged_response, header_text, serve_connection, NOT_EXECUTED_HEADER, REJECTED_HEADER,
+    REQUEST_CLASS_HEADER, WORK_US_HEADER,
+};
+use crate::network::{Listener, Stream};
+use crate::sync::lock;
+use http_body_util::Full;
+use hyper::body::{Bytes, Incoming};
+use hyper::{Request, Response, StatusCode};
+use otterwinch::host::RetryPolicy;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::task::JoinSet;
+use tokio::time::{interval, sleep, sleep_until};
+
+/// Latencies below the granularity of timers aren't emulated.
+const MIN_EMULATED_LATENCY: Duration = Duration::from_millis(1);
+/// How often expired connections are closed.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The state of a proxy that its connections share. It survives a restart.
+pub(super) struct ProxyServer {
+    pub(super) zone: usize,
+    pub(super) default_retry: RetryPolicy,
+    /// One-way latency to each zone.
+    pub(super) zone_latency: Vec<Duration>,
+    pub(super) routing: Mutex<RoutingState>,
+    pub(super) load: LoadCounters,
+    pub(super) connections: ConnectionPool,
+}
+
+/// Accepts connections until the task is aborted; all connections of clients end with it.
+pub(super) async fn run(mut listener: Listener, server: Arc<ProxyServer>) {
+    let mut connections = JoinSet::new();
+    let mut idle_check = interval(IDLE_CHECK_INTERVAL);
+    loop {
+        let stream = tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok(stream) => stream,
+                Err(_) => return,
+            },
+            Some(_) = connections.join_next() => continue,
+            _ = idle_check.tick() => {
+                server.connections.close_expired();
+                continue;
+            }
+        };
+        connections.spawn(serve(stream, server.clone()));
+    }
+}
+
+/// Serves one connection of a client.
+async fn serve(stream: Stream, server: Arc<ProxyServer>) {
+    let server = &server;
+    serve_connection(stream, |request| async move { server.handle(&request).await }).await;
+}
+
+impl ProxyServer {
+    /// Forwards a request, if it is admitted, to the endpoint that is picked for it, and perhaps to a second one.
+    async fn handle(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+        let class = header_text(request, REQUEST_CLASS_HEADER).and_then(|text| text.parse().ok());
+        let (Some(class), Some(work_us)) = (class, header_text(request, WORK_US_HEADER)) else {
+            return empty_response(StatusCode::BAD_REQUEST);
+        };
+        let applied_at = lock(&self.routing).applied_at();
+        sleep_until(applied_at).await;
+        self.load.count_request(class);
+        let route = lock(&self.routing).route(class);
+        let Some(endpoint) = route.endpoint else {
+            return flagged_response(StatusCode::TOO_MANY_REQUESTS, REJECTED_HEADER);
+        };
+        let mut outcome = self.attempt(endpoint, work_us).await;
+        let retry = route.retry.unwrap_or(self.default_retry);
+        if outcome == AttemptOutcome::NotExecuted && retry != RetryPolicy::Never {
+            let other = lock(&self.routing).pick_other(endpoint);
+            if let Some(other) = other {
+                outcome = self.attempt(other, work_us).await;
+            }
+        }
+        match outcome {
+            AttemptOutcome::Answered => empty_response(StatusCode::OK),
+            AttemptOutcome::NotExecuted => {
+                flagged_response(StatusCode::SERVICE_UNAVAILABLE, NOT_EXECUTED_HEADER)
+            }
+            AttemptOutcome::Failed => empty_response(StatusCode::BAD_GATEWAY),
+        }
+    }
+
+    /// One attempt at an endpoint, after and before the latency between the zones.
+    async fn attempt(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
+        let zone = self.connections.zone_of(endpoint);
+        let mut attempt = self.load.begin_attempt(endpoint, zone != self.zone);
+        let latency = self.zone_latency[zone];
+        emulate_latency(latency).await;
+        let outcome = self.connections.send(endpoint, work_us).await;
+        emulate_latency(latency).await;
+        if outcome == AttemptOutcome::Answered {
+            attempt.set_answered();
+        }
+        outcome
+    }
+}
+
+async fn emulate_latency(latency: Duration) {
+    if latency >= MIN_EMULATED_LATENCY {
+        sleep(latency).await;
+    }
+}
--- /dev/null
+++ b/emulator/src/relay/commands.rs
@@ -0,0 +1,92 @@
+//! Commands to the relay: decodes a call and sends what it orders through the channel.
+
+use super::{invalid_request, json_response, RelayServer, ResponseBody};
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::{Request, Response, StatusCode};
+use otterwinch::host::{RequestClassSet, RetryPolicy};
+use otterwinch_simulation::simulated_host::Command;
+use serde_json::{json, Value};
+
+/// The longest call, in bytes.
+const MAX_CALL_BYTES: usize = 60_000;
+
+impl RelayServer {
+    /// Takes the commands of a call up to the first that is invalid, and answers how many it took.
+    pub(super) async fn take_commands(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let Some(call) = read_json(request).await else { return invalid_request() };
+        let Some(changes) = call["changes"].as_array() else { return invalid_request() };
+        let commands: Vec<Command> = changes.iter().map_while(|change| self.decode(change)).collect();
+        let taken = commands.len();
+        self.channel.send(commands);
+        json_response(StatusCode::OK, &json!({"taken": taken}))
+    }
+
+    /// Decodes one command; `None` if it is invalid.
+    fn decode(&self, change: &Value) -> Option<Command> {
+        let command = match change["op"].as_str()? {
+            "put" => Command::SetWeight {
+                table_id: unsigned(change, "table")?,
+                endpoint: self.endpoint(change)?,
+                weight: non_negative(change, "w")?,
+            },
+            "attach" => Command::AssignTable {
+                proxy: unsigned(change, "node").filter(|proxy| self.channel.is_connected(*proxy))?,
+                table_id: unsigned(change, "table")?,
+            },
+            "eject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: true },
+            "uneject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: false },
+            "gate" => Command::SetAdmission {
+                table_id: unsigned(change, "table")?,
+                request_classes: self.request_classes(change),
+                admitted: non_negative(change, "admit")?,
+                retry: retry_policy(unsigned(change, "policy")?)?,
+            },
+            "fence" => Command::RequestAcknowledgement(unsigned(change, "nonce_out")?),
+            _ => return None,
+        };
+        Some(command)
+    }
+
+    fn endpoint(&self, change: &Value) -> Option<u32> {
+        self.names.endpoints.get(change["endpoint"].as_str()?).copied()
+    }
+
+    /// The classes that a command names; all if it names none. Unknown names are ignored.
+    fn request_classes(&self, change: &Value) -> RequestClassSet {
+        let classes = &self.names.request_classes;
+        let Some(names) = change["routes"].as_array() else {
+            return (1 << classes.len()) - 1;
+        };
+        let mut set = 0;
+        for name in names {
+            if let Some(index) = classes.iter().position(|class| name == class.as_str()) {
+                set |= 1 << index;
+            }
+        }
+        set
+    }
+}
+
+async fn read_json(request: Request<Incoming>) -> Option<Value> {
+    let body = Limited::new(request.into_body(), MAX_CALL_BYTES).collect().await.ok()?;
+    serde_json::from_slice(&body.to_bytes()).ok()
+}
+
+fn unsigned(change: &Value, field: &str) -> Option<u32> {
+    u32::try_from(change[field].as_u64()?).ok()
+}
+
+fn non_negative(change: &Value, field: &str) -> Option<f64> {
+    change[field].as_f64().filter(|number| *number >= 0.0)
+}
+
+fn retry_policy(number: u32) -> Option<RetryPolicy> {
+    match number {
+        0 => Some(RetryPolicy::Never),
+        1 => Some(RetryPolicy::IfNeverRan),
+        2 => Some(RetryPolicy::Once),
+        3 => Some(RetryPolicy::Twice),
+        _ => None,
+    }
+}
