--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! The emulated clients, an open loop: each request is sent when it is due, whatever became of the others, and its latency
+//! The emulated clients, an open loop: each request is sent when it is due, regardless of the others, and its latency
 //! counts from then.
 //!
 //! `request.rs` has the life of one request, with its retries.
@@ -26,10 +26,10 @@
 /// Requests in flight at a time; one beyond them isn't sent, and counts as failed.
 const MAX_IN_FLIGHT: usize = 20_000;
 
-/// What the clients saw, and how well they kept their schedule.
+/// The results as the clients measured them, and how well they kept their schedule.
 #[derive(Clone, Debug)]
 pub struct ClientResults {
-    /// What became of the requests.
+    /// Counts and latencies of the requests.
     pub results: Results,
     /// The longest time between the moment when a request was due and when it was sent.
     pub max_lateness: Duration,
--- a/emulator/src/clients/request.rs
+++ b/emulator/src/clients/request.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// What an attempt came to.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
     Answered,
--- a/emulator/src/control_plane_config.rs
+++ b/emulator/src/control_plane_config.rs
@@ -4,6 +4,9 @@
 use otterwinch_fleet::model::Fleet;
 use serde_json::{json, Value};
 
+#[cfg(test)]
+mod tests;
+
 /// The relative cost of a request that leaves its zone, in fleets where that costs.
 const CROSS_ZONE_COST: f64 = 0.04;
 /// The control plane's limit on open sockets.
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -132,7 +132,7 @@
         Ok(())
     }
 
-    /// Makes requests take so many times as long; 1 ends the fault.
+    /// Multiplies the execution time of requests; 1 ends the fault.
     pub(crate) fn set_slowdown(&self, factor: f64) {
         lock(&self.server.condition).slowdown = factor;
     }
@@ -142,7 +142,7 @@
         lock(&self.server.condition).failure_fraction = fraction;
     }
 
-    /// Lets requests wait for ever, or ends that.
+    /// Leaves requests without an answer, or ends the fault.
     pub(crate) fn set_hanging(&self, hanging: bool) {
         lock(&self.server.condition).hanging = hanging;
     }
--- a/emulator/src/endpoint/condition.rs
+++ b/emulator/src/endpoint/condition.rs
@@ -10,11 +10,11 @@
 
 /// What decides how an endpoint treats the next request.
 pub(super) struct Condition {
-    /// How many times as long requests take.
+    /// The factor by which execution takes longer.
     pub(super) slowdown: f64,
     /// The fraction of requests that fail at once.
     pub(super) failure_fraction: f64,
-    /// Whether requests wait for ever.
+    /// Whether requests are left without an answer.
     pub(super) hanging: bool,
     /// Whether it collapsed since it was started.
     pub(super) collapsed: bool,
@@ -36,9 +36,9 @@
     work: f64,
 }
 
-/// What becomes of a request on its arrival.
+/// How an arriving request is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
+pub(super) enum RequestAction {
     /// It is executed, or queued.
     Execute,
     /// It fails at once.
@@ -76,24 +76,24 @@
         self.recent_work.clear();
     }
 
-    /// Decides what becomes of a request that arrives now with so many seconds of work.
-    pub(super) fn judge(&mut self, work: f64) -> Verdict {
+    /// Decides how to treat a request that arrives now. Its work is in seconds on a core of speed 1.
+    pub(super) fn action_for(&mut self, work: f64) -> RequestAction {
         // Drawn even while it hangs, so that hanging doesn't shift the draws of later requests.
         let fails = self.failure_fraction > 0.0 && self.rng.random::<f64>() < self.failure_fraction;
         if self.hanging {
-            return Verdict::Hang;
+            return RequestAction::Hang;
         }
         if fails {
-            return Verdict::Fail;
+            return RequestAction::Fail;
         }
         if self.is_overloaded_by(work) {
             self.collapsed = true;
-            return Verdict::Collapse;
+            return RequestAction::Collapse;
         }
-        Verdict::Execute
+        RequestAction::Execute
     }
 
-    /// How long a core needs for so many seconds of work at the present speed, in seconds.
+    /// The seconds that a core needs at the present speed for work in seconds on a core of speed 1.
     pub(super) fn execution_seconds(&self, work: f64) -> f64 {
         work / (self.speed * self.warm_up_fraction() / self.slowdown)
     }
--- a/emulator/src/endpoint/executor.rs
+++ b/emulator/src/endpoint/executor.rs
@@ -53,7 +53,7 @@
         Ok(self.cores.clone().acquire_owned().await.expect("the semaphore is never closed"))
     }
 
-    /// Occupies the caller for so many seconds, less the timer debt.
+    /// Sleeps for a number of seconds, less the timer debt.
     pub(super) async fn occupy(&self, seconds: f64) {
         let requested = self.repay_timer_debt(seconds);
         let began = Instant::now();
--- a/emulator/src/endpoint/server.rs
+++ b/emulator/src/endpoint/server.rs
@@ -1,6 +1,6 @@
 //! The HTTP server of an endpoint: accepts connections and answers requests.
 
-use super::condition::{Condition, Verdict};
+use super::condition::{Condition, RequestAction};
 use super::counters::{CoreTimeGuard, Counters, GaugeGuard};
 use super::executor::Executor;
 use crate::http::{
@@ -93,12 +93,12 @@
             return empty_response(StatusCode::BAD_REQUEST);
         };
         let work = request_work + connection_work;
-        let verdict = lock(&self.condition).judge(work);
-        match verdict {
-            Verdict::Execute => {}
-            Verdict::Fail => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
-            Verdict::Hang => return pending().await,
-            Verdict::Collapse => {
+        let action = lock(&self.condition).action_for(work);
+        match action {
+            RequestAction::Execute => {}
+            RequestAction::Fail => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+            RequestAction::Hang => return pending().await,
+            RequestAction::Collapse => {
                 collapse.notify_one();
                 return pending().await;
             }
--- a/emulator/src/endpoint_list.rs
+++ b/emulator/src/endpoint_list.rs
@@ -14,6 +14,9 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
+#[cfg(test)]
+mod tests;
+
 /// Changes that are kept for watchers. A watcher that is further behind gets the whole list.
 const MAX_KEPT_CHANGES: usize = 256;
 /// The longest time that a watcher may wait for a change, in milliseconds.
--- a/emulator/src/http.rs
+++ b/emulator/src/http.rs
@@ -23,8 +23,8 @@
 /// The response header of a request that no endpoint began to execute, so that a retry is safe.
 pub(crate) const NOT_EXECUTED_HEADER: &str = "x-never-ran";
 
-/// The value of a header that is a mere flag.
-pub(crate) const FLAG_SET: HeaderValue = HeaderValue::from_static("1");
+/// The value of a header whose presence alone has a meaning.
+const FLAG_SET: HeaderValue = HeaderValue::from_static("1");
 
 /// A response without a body.
 pub(crate) fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
@@ -45,7 +45,7 @@
     request.headers().get(name)?.to_str().ok()
 }
 
-/// Serves HTTP/1.1 on a connection until it ends, for whatever reason: the peer sees how.
+/// Serves HTTP/1.1 on a connection until it ends, normally or by an error, which only concerns the peer.
 pub(crate) async fn serve_connection<H, F, B>(stream: Stream, handler: H)
 where
     H: Fn(Request<Incoming>) -> F,
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -4,7 +4,7 @@
 use crate::endpoint_status::EndpointStatus;
 use crate::load_report::LoadReport;
 use crate::proxy::Proxy;
-use crate::proxy_channel::{Acknowledgement, ProxyChannel};
+use crate::proxy_channel::{Acknowledgement, JoinedProxy, ProxyChannel};
 use crate::time::duration;
 use otterwinch::controller::Controller;
 use otterwinch::host::{EndpointId, EndpointUpdate, Timer};
@@ -34,18 +34,6 @@
     ProxyLeft(u32),
 }
 
-/// What a proxy states of itself when it connects.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct JoinedProxy {
-    pub(crate) number: u32,
-    /// The index of its zone.
-    pub(crate) zone: u32,
-    /// The requests that it expects, per second.
-    pub(crate) expected_rate: f64,
-    /// Whether it holds the table that it drew at its start.
-    pub(crate) has_initial_table: bool,
-}
-
 /// What an instance is started with.
 pub(crate) struct InstanceSpec {
     pub(crate) fleet: Fleet,
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -96,8 +96,7 @@
     ) -> io::Result<Proxy> {
         let number = spec.number;
         let zone = spec.zone;
-        // The name also makes the address of a proxy in an in-memory network.
-        let (listener, address) = network.listen(&format!("forwarder-{number}"))?;
+        let (listener, address) = network.listen(&format!("proxy-{number}"))?;
         let mut initial_rng = random_stream(spec.seed, "standing", u64::from(number));
         let zone_endpoints = directory.in_zone(zone);
         let initial_endpoints =
@@ -122,7 +121,7 @@
         })
     }
 
-    /// Applies a message of so many lines: a new state of the assigned table, or, before the first assignment, the
+    /// Applies a message of a number of lines: a new state of the assigned table, or, before the first assignment, the
     /// ejected endpoints, which are left out of the initial table. Returns when the proxy has applied it.
     pub(crate) fn apply(
         &self,
@@ -133,7 +132,7 @@
         lock(&self.server.routing).apply(assigned_table, ejected, lines)
     }
 
-    /// The index of the control-plane instance that it joins, of so many.
+    /// The index of the control-plane instance that it joins, given their number.
     pub(crate) fn instance(&self, instances: u32) -> u32 {
         self.number % instances
     }
--- a/emulator/src/proxy/routing.rs
+++ b/emulator/src/proxy/routing.rs
@@ -11,6 +11,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+#[cfg(test)]
+mod tests;
+
 /// The present route table of a proxy.
 pub(super) struct RoutingState {
     table: Arc<TableSnapshot>,
--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -31,6 +31,18 @@
     acknowledgement: Option<u32>,
 }
 
+/// What a proxy states of itself when it connects.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct JoinedProxy {
+    pub(crate) number: u32,
+    /// The index of its zone.
+    pub(crate) zone: u32,
+    /// The requests that it expects, per second.
+    pub(crate) expected_rate: f64,
+    /// Whether it holds the table that it drew at its start.
+    pub(crate) has_initial_table: bool,
+}
+
 /// A proxy's answer that it has applied all commands up to a number.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledgement {
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -7,9 +7,8 @@
 mod event_stream;
 
 use crate::http::serve_connection;
-use crate::in_process_control_plane::JoinedProxy;
 use crate::network::{Listener, Network, Stream};
-use crate::proxy_channel::{Acknowledgement, ProxyChannel};
+use crate::proxy_channel::{Acknowledgement, JoinedProxy, ProxyChannel};
 use crate::sync::lock;
 use http_body_util::combinators::BoxBody;
 use http_body_util::{BodyExt, Full};
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -1,6 +1,6 @@
 //! Commands to the relay: decodes a call and sends what it orders through the channel.
 
-use super::{invalid_request, json_response, RelayServer, ResponseBody};
+use super::{invalid_request, json_response, FleetNames, RelayServer, ResponseBody};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
@@ -8,6 +8,9 @@
 use otterwinch_simulation::simulated_host::Command;
 use serde_json::{json, Value};
 
+#[cfg(test)]
+mod tests;
+
 /// The longest call, in bytes.
 const MAX_CALL_BYTES: usize = 60_000;
 
@@ -16,14 +19,18 @@
     pub(super) async fn take_commands(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(call) = read_json(request).await else { return invalid_request() };
         let Some(changes) = call["changes"].as_array() else { return invalid_request() };
-        let commands: Vec<Command> = changes.iter().map_while(|change| self.decode(change)).collect();
+        let is_connected = |proxy| self.channel.is_connected(proxy);
+        let decode = |change| self.names.decode_command(change, is_connected);
+        let commands: Vec<Command> = changes.iter().map_while(decode).collect();
         let taken = commands.len();
         self.channel.send(commands);
         json_response(StatusCode::OK, &json!({"taken": taken}))
     }
+}
 
-    /// Decodes one command; `None` if it is invalid.
-    fn decode(&self, change: &Value) -> Option<Command> {
+impl FleetNames {
+    /// Decodes one command; `None` if it is invalid. `is_connected` tells whether a proxy is connected.
+    fn decode_command(&self, change: &Value, is_connected: impl Fn(u32) -> bool) -> Option<Command> {
         let command = match change["op"].as_str()? {
             "put" => Command::SetWeight {
                 table_id: unsigned(change, "table")?,
@@ -31,7 +38,7 @@
                 weight: non_negative(change, "w")?,
             },
             "attach" => Command::AssignTable {
-                proxy: unsigned(change, "node").filter(|proxy| self.channel.is_connected(*proxy))?,
+                proxy: unsigned(change, "node").filter(|proxy| is_connected(*proxy))?,
                 table_id: unsigned(change, "table")?,
             },
             "eject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: true },
@@ -49,12 +56,12 @@
     }
 
     fn endpoint(&self, change: &Value) -> Option<u32> {
-        self.names.endpoints.get(change["endpoint"].as_str()?).copied()
+        self.endpoints.get(change["endpoint"].as_str()?).copied()
     }
 
     /// The classes that a command names; all if it names none. Unknown names are ignored.
     fn request_classes(&self, change: &Value) -> RequestClassSet {
-        let classes = &self.names.request_classes;
+        let classes = &self.request_classes;
         let Some(names) = change["routes"].as_array() else {
             return (1 << classes.len()) - 1;
         };
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -13,10 +13,10 @@
 
 use crate::endpoint::Endpoint;
 use crate::error::TestbedError;
-use crate::in_process_control_plane::JoinedProxy;
 use crate::live_proxies::LiveProxies;
 use crate::network::Network;
 use crate::proxy::Proxy;
+use crate::proxy_channel::JoinedProxy;
 use endpoint_registry::EndpointRegistry;
 use instance::Instance;
 use otterwinch_fleet::model::Fleet;
--- a/emulator/src/testbed/instance.rs
+++ b/emulator/src/testbed/instance.rs
@@ -4,8 +4,8 @@
 use super::endpoint_registry::ListUpdate;
 use super::{TableSource, Testbed};
 use crate::error::TestbedError;
-use crate::in_process_control_plane::{self, ControlPlaneEvent, InstanceSpec, JoinedProxy};
-use crate::proxy_channel::{Acknowledgement, ProxyChannel};
+use crate::in_process_control_plane::{self, ControlPlaneEvent, InstanceSpec};
+use crate::proxy_channel::{Acknowledgement, JoinedProxy, ProxyChannel};
 use std::sync::Arc;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
--- a/emulator/src/testbed/run.rs
+++ b/emulator/src/testbed/run.rs
@@ -17,10 +17,10 @@
 /// The shortest time over which utilisation is computed, in seconds. Keeps it finite for an empty load.
 const MIN_MEASURED_SECONDS: f64 = 1e-3;
 
-/// What a run came to.
+/// The results of a run.
 #[derive(Clone, Debug)]
 pub struct TestbedResult {
-    /// What the clients saw.
+    /// The requests as the clients measured them.
     pub clients: ClientResults,
     /// By endpoint, in the fleet's order. Utilisation is measured while the load lasts, the rest until all requests have
     /// ended.
