--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Answers of the endpoint list that are invalid, truncated, outdated or doubled: an invalid entry is left out alone and
 //! its endpoint keeps its last state, and an endpoint that is known to drain is ejected.
 
-use crate::support::{endpoint_entry, wait_for, ControlPlane, FakeRelay, ListAnswer, Testbed};
+use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListAnswer, Testbed};
 use serde_json::{json, Value};
 
 #[test]
@@ -155,16 +155,6 @@
     assert_restarted_list_is_followed(true);
 }
 
-/// The next command that sets a weight. On a busy machine the relay's answer to `sent` may be too late: then the same
-/// commands are sent again, before any other.
-fn next_weight_after(relay: &FakeRelay, sent: &[Value]) -> Value {
-    wait_for("a weight", || {
-        let call = relay.next_call();
-        let commands = call.strip_prefix(sent).unwrap_or(&call);
-        commands.iter().find(|command| command["op"] == "put").cloned()
-    })
-}
-
 fn assert_change_arrives_despite(answer: ListAnswer) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     list.publish_with_answer(
@@ -172,10 +162,10 @@
         &[endpoint_entry("a", "leaving")],
         answer,
     );
-    let ejection = relay.next_call_with("eject");
-    assert_eq!(ejection.iter().find(|command| command["op"] == "eject").unwrap()["endpoint"], "a");
+    assert_next_ejected(&relay, "a");
     list.publish_changes(&[endpoint_entry("c", "active")]);
-    assert_eq!(next_weight_after(&relay, &ejection)["endpoint"], "c");
+    let weight = relay.next_command("put");
+    assert_eq!(weight["endpoint"], "c", "{weight}");
     wait_for_listed(&control_plane, 3);
 }
 
--- a/control-plane/tests/sockets/support/control_plane.rs
+++ b/control-plane/tests/sockets/support/control_plane.rs
@@ -166,6 +166,8 @@
     let (sender, log) = channel();
     spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+            // Shown by the test runner if the test fails.
+            println!("{line}");
             let _ = sender.send(serde_json::from_str(&line).unwrap_or(Value::String(line)));
         }
     });
