--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -17,7 +17,7 @@
         .chan_size(QUEUE_CAPACITY)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard();
-    (Logger::root(drain.ignore_res(), o!("supervisor" => name.to_owned())), guard)
+    (Logger::root(drain.ignore_res(), o!("instance" => name.to_owned())), guard)
 }
 
 /// Writes what is still queued, but not for long: a blocked reader must not keep the process alive.
