--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -11,6 +11,7 @@
 
 use crate::network::Network;
 use crate::sync::lock;
+use crate::task::ServerTask;
 use condition::Condition;
 use counters::Counters;
 use executor::Executor;
@@ -20,7 +21,6 @@
 use std::io;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
-use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
 /// What an endpoint is started with.
@@ -52,8 +52,8 @@
     cores: u32,
     network: Network,
     server: Arc<EndpointServer>,
-    /// The task that accepts connections; `None` after a crash.
-    accepting: Mutex<Option<JoinHandle<()>>>,
+    /// Accepts connections.
+    task: ServerTask,
 }
 
 impl Endpoint {
@@ -72,7 +72,7 @@
             executor: Executor::new(group.cores, group.max_queued),
             counters: Counters::default(),
         });
-        let accepting = tokio::spawn(server::run(listener, server.clone()));
+        let task = ServerTask::spawn(server::run(listener, server.clone()));
         Ok(Endpoint {
             name,
             zone: group.zone,
@@ -81,7 +81,7 @@
             cores: group.cores,
             network: network.clone(),
             server,
-            accepting: Mutex::new(Some(accepting)),
+            task,
         })
     }
 
@@ -117,9 +117,7 @@
 
     /// Stops it at once: connections break, and new ones are refused.
     pub(crate) fn crash(&self) {
-        if let Some(accepting) = lock(&self.accepting).take() {
-            accepting.abort();
-        }
+        self.task.abort();
     }
 
     /// Starts it again on its old address, without faults, at the beginning of its warm-up.
@@ -127,8 +125,7 @@
         self.crash();
         let listener = self.network.listen_again(&self.address)?;
         lock(&self.server.condition).restart();
-        let accepting = tokio::spawn(server::run(listener, self.server.clone()));
-        *lock(&self.accepting) = Some(accepting);
+        self.task.restart(server::run(listener, self.server.clone()));
         Ok(())
     }
 
@@ -147,9 +144,3 @@
         lock(&self.server.condition).hanging = hanging;
     }
 }
-
-impl Drop for Endpoint {
-    fn drop(&mut self) {
-        self.crash();
-    }
-}
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -33,6 +33,7 @@
 mod proxy_channel;
 mod relay;
 mod sync;
+mod task;
 mod testbed;
 mod time;
 
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -11,6 +11,7 @@
 
 use crate::network::Network;
 use crate::sync::lock;
+use crate::task::ServerTask;
 use connection_pool::ConnectionPool;
 use load_counters::LoadCounters;
 pub(crate) use load_counters::{AttemptSums, Load};
@@ -24,7 +25,6 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
 /// Where the endpoints are. Both lists are by endpoint index.
@@ -83,8 +83,8 @@
     pub(crate) address: String,
     network: Network,
     server: Arc<ProxyServer>,
-    /// The task that accepts connections; `None` after a crash.
-    accepting: Mutex<Option<JoinHandle<()>>>,
+    /// Accepts connections.
+    task: ServerTask,
 }
 
 impl Proxy {
@@ -110,15 +110,8 @@
             load: LoadCounters::new(spec.request_classes),
             connections: ConnectionPool::new(network.clone(), spec.idle_timeout, directory),
         });
-        let accepting = tokio::spawn(request_handler::run(listener, server.clone()));
-        Ok(Proxy {
-            number,
-            zone,
-            address,
-            network: network.clone(),
-            server,
-            accepting: Mutex::new(Some(accepting)),
-        })
+        let task = ServerTask::spawn(request_handler::run(listener, server.clone()));
+        Ok(Proxy { number, zone, address, network: network.clone(), server, task })
     }
 
     /// Applies a message of a number of lines: a new state of the assigned table, or, before the first assignment, the
@@ -159,9 +152,7 @@
 
     /// Stops it at once: connections break, and new ones are refused.
     pub(crate) fn crash(&self) {
-        if let Some(accepting) = lock(&self.accepting).take() {
-            accepting.abort();
-        }
+        self.task.abort();
     }
 
     /// Starts it again on its old address, with its initial table and without connections.
@@ -170,14 +161,7 @@
         let listener = self.network.listen_again(&self.address)?;
         lock(&self.server.routing).reset();
         self.server.connections.clear();
-        let accepting = tokio::spawn(request_handler::run(listener, self.server.clone()));
-        *lock(&self.accepting) = Some(accepting);
+        self.task.restart(request_handler::run(listener, self.server.clone()));
         Ok(())
     }
 }
-
-impl Drop for Proxy {
-    fn drop(&mut self) {
-        self.crash();
-    }
-}
--- a/emulator/src/testbed/control_plane_process.rs
+++ b/emulator/src/testbed/control_plane_process.rs
@@ -9,6 +9,7 @@
 use crate::frame::{read_frame_length, write_frame};
 use crate::proxy_channel::{Acknowledgement, ProxyChannel};
 use crate::relay::{FleetNames, Relay};
+use crate::task::AbortOnDrop;
 use serde_json::{json, Value};
 use std::fs::File;
 use std::io;
@@ -20,7 +21,6 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::sync::mpsc::UnboundedReceiver;
-use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
 /// The environment variable with the path of the configuration file.
@@ -66,15 +66,6 @@
     }
 }
 
-/// Aborts a task when it is dropped.
-struct AbortOnDrop(JoinHandle<()>);
-
-impl Drop for AbortOnDrop {
-    fn drop(&mut self) {
-        self.0.abort();
-    }
-}
-
 impl Testbed {
     /// Starts a process and the parties that it works with; returns when it answers health checks.
     pub(super) async fn start_process(
@@ -110,7 +101,7 @@
             proxies: self.proxies.clone(),
             instance: spec.index,
         };
-        let collectors = AbortOnDrop(tokio::spawn(collectors.run()));
+        let collectors = AbortOnDrop::spawn(collectors.run());
         Ok(ControlPlaneProcess { relay, endpoint_list, channel, _collectors: collectors, _process: process })
     }
 
