--- a/adapter-support/src/settings.rs
+++ b/adapter-support/src/settings.rs
@@ -64,11 +64,11 @@
             "per_second" => AdmissionMode::RatePerSecond,
             _ => AdmissionMode::Unsupported,
         },
-        proxy_ejects_after_failures: family.field("outlierAfter").count(),
+        proxy_ejection_threshold: family.field("outlierAfter").count(),
         shards: family.field("slices").count(),
         single_writer: family.field("singleWriter").flag(),
-        lease: family.field("keepsWritingUs").microseconds(),
-        settle_time: family.field("settleUs").microseconds(),
+        write_lease: family.field("keepsWritingUs").microseconds(),
+        write_settle_time: family.field("settleUs").microseconds(),
         report_interval: family.field("reportEveryUs").microseconds(),
         proxy_count: family.field("proxyCount").count(),
         min_endpoint_connections: family.field("minConnCap").count(),
@@ -81,7 +81,7 @@
         max_transit: family.field("transitMaxUs").microseconds(),
         drain_grace: guarantees.field("drainGraceUs").microseconds(),
         slow_start_window: guarantees.field("coldUs").microseconds(),
-        removal_not_binding: guarantees.field("removalNotBinding").flag(),
+        drain_grace_excludes_removed: guarantees.field("removalNotBinding").flag(),
     }
 }
 
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -13,11 +13,11 @@
         polls_endpoint_list: false,
         cross_zone_costs: control_plane.cross_zone_costs && fleet.zones.len() > 1,
         admission: AdmissionMode::Fraction,
-        proxy_ejects_after_failures: 0,
+        proxy_ejection_threshold: 0,
         shards: 0,
         single_writer: false,
-        lease: Span::ZERO,
-        settle_time: Span::ZERO,
+        write_lease: Span::ZERO,
+        write_settle_time: Span::ZERO,
         report_interval: control_plane.report_interval,
         proxy_count: fleet.zones.iter().map(|zone| zone.proxy_count).sum(),
         min_endpoint_connections: min_connections.unwrap_or(0),
@@ -30,7 +30,7 @@
         max_transit: control_plane.message_delay * 2.0,
         drain_grace: control_plane.drain_grace,
         slow_start_window: control_plane.slow_start_window,
-        removal_not_binding: false,
+        drain_grace_excludes_removed: false,
     }
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -38,15 +38,15 @@
     /// How the proxies read an admission level.
     pub admission: AdmissionMode,
     /// A proxy stops using an endpoint by itself after so many failures in a row; 0: never.
-    pub proxy_ejects_after_failures: u32,
+    pub proxy_ejection_threshold: u32,
     /// Shards of keys, each with a table of its own; 0: none, and proxies are put on tables.
     pub shards: u32,
     /// At most one endpoint may accept writes for a shard at any time.
     pub single_writer: bool,
     /// How long a proxy that lost its controller may go on writing to the old owner of a shard.
-    pub lease: Span,
+    pub write_lease: Span,
     /// How long a write may still run at an endpoint once it was sent.
-    pub settle_time: Span,
+    pub write_settle_time: Span,
     /// The interval of load reports.
     pub report_interval: Span,
     /// Proxies in all, whichever controller they are joined to.
@@ -72,7 +72,7 @@
     /// How long an endpoint may take after its start until it bears its full load.
     pub slow_start_window: Span,
     /// The drain grace binds for draining endpoints alone, not for those merely removed from the list.
-    pub removal_not_binding: bool,
+    pub drain_grace_excludes_removed: bool,
 }
 
 impl ControllerConfig {
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -96,7 +96,8 @@
     now: Moment,
 ) -> bool {
     let within_grace = config.drain_grace * CARRY_GRACE_FRACTION - config.max_transit;
-    let max_time = if config.removal_not_binding { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
+    let max_time =
+        if config.drain_grace_excludes_removed { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
     let still_answers = |id: &EndpointId| {
         endpoints.get(id).is_some_and(|endpoint| {
             endpoint.state == EndpointState::Removed
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -129,7 +129,7 @@
 
     /// How long writes are stopped before a shard with a single writer moves.
     fn handover_time(&self) -> Span {
-        let in_flight = self.config.max_transit + self.config.lease + self.config.settle_time;
+        let in_flight = self.config.max_transit + self.config.write_lease + self.config.write_settle_time;
         in_flight * HANDOVER_MARGIN
     }
 
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -47,7 +47,7 @@
         let answerable_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
         FleetCondition {
             answerable_fraction: answerable_fraction.clamp(MIN_COLD_REDUCTION, 1.0),
-            keep_coldest_out: config.proxy_ejects_after_failures > 0 && load.struggling,
+            keep_coldest_out: config.proxy_ejection_threshold > 0 && load.struggling,
         }
     }
 }
--- a/src/controller/slow_start/tests.rs
+++ b/src/controller/slow_start/tests.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn no_cold_endpoint_joins_a_struggling_fleet_whose_proxies_eject() {
-    let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
+    let config = ControllerConfig { proxy_ejection_threshold: 3, ..config() };
     let mut controller = running(config, &["a", "b"], 1);
     controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
@@ -35,7 +35,7 @@
 
 #[test]
 fn cold_endpoints_join_a_struggling_fleet_without_warm_ones() {
-    let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
+    let config = ControllerConfig { proxy_ejection_threshold: 3, ..config() };
     let mut controller = running(config, &[], 1);
     controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -160,11 +160,11 @@
         polls_endpoint_list: false,
         cross_zone_costs: false,
         admission: AdmissionMode::Fraction,
-        proxy_ejects_after_failures: 0,
+        proxy_ejection_threshold: 0,
         shards: 0,
         single_writer: false,
-        lease: Span::secs(2.0),
-        settle_time: Span::secs(0.1),
+        write_lease: Span::secs(2.0),
+        write_settle_time: Span::secs(0.1),
         report_interval: Span::secs(1.0),
         proxy_count: 4,
         min_endpoint_connections: 0,
@@ -177,7 +177,7 @@
         max_transit: Span::secs(0.3),
         drain_grace: Span::secs(2.0),
         slow_start_window: Span::secs(16.0),
-        removal_not_binding: false,
+        drain_grace_excludes_removed: false,
     }
 }
 
