--- a/control-plane/src/collector_message.rs
+++ b/control-plane/src/collector_message.rs
@@ -140,7 +140,7 @@
 }
 
 fn decode_ms(ms: f64) -> Span {
-    Span::secs(ms / 1e3)
+    Span::from_secs(ms / 1e3)
 }
 
 #[cfg(test)]
--- a/control-plane/src/controller_restart/tests.rs
+++ b/control-plane/src/controller_restart/tests.rs
@@ -36,7 +36,7 @@
     let (mut controller, now) = controller();
     controller.host().proxy_joined(3, JoinedProxy { zone: 0, rate: 5.0 });
     assert!(controller.step(now, |_, _| panic!("index out of range")).is_err());
-    let later = now + Span::secs(1.0);
+    let later = now + Span::from_secs(1.0);
     step(&mut controller, later, |controller, now| controller.timer_fired(now, Timer::Recheck));
     assert_eq!(count_commands(&mut controller, r#""node":3"#), 1);
 }
@@ -52,7 +52,7 @@
     controller.restart(now);
     let listed_again = EndpointUpdate { weight: 1.0, state: EndpointState::Ready, ..removed };
     step(&mut controller, now, |controller, now| controller.proxy_joined(now, 3, 0, 5.0, true));
-    step(&mut controller, now + Span::secs(1.0), |controller, now| {
+    step(&mut controller, now + Span::from_secs(1.0), |controller, now| {
         controller.endpoints_updated(now, &[listed_again]);
     });
     assert!(count_commands(&mut controller, "uneject") > 0);
@@ -62,7 +62,7 @@
 fn an_endpoint_that_was_removed_as_the_old_controller_ended_is_ejected() {
     let (mut controller, now) = controller();
     step(&mut controller, now, |controller, now| controller.proxy_joined(now, 3, 0, 5.0, true));
-    let later = now + Span::secs(1.0);
+    let later = now + Span::from_secs(1.0);
     step(&mut controller, later, |controller, now| controller.timer_fired(now, Timer::Recheck));
     controller.host().replace_endpoint_list(&[]);
     controller.restart(later);
--- a/control-plane/src/timer_queue/tests.rs
+++ b/control-plane/src/timer_queue/tests.rs
@@ -20,5 +20,5 @@
     queue.schedule(Moment::from_us(0), Timer::Heartbeat);
     queue.clear();
     assert_eq!(queue.next_due(), None);
-    assert_eq!(queue.pop_due(Moment::from_us(0) + Span::secs(1.0)), None);
+    assert_eq!(queue.pop_due(Moment::from_us(0) + Span::from_secs(1.0)), None);
 }
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -111,9 +111,9 @@
     /// ```
     /// use otterwinch::time::Span;
     /// use otterwinch_fleet::model::WarmUp;
-    /// let warm_up = WarmUp { initial_speed: 0.25, duration: Span::secs(8.0) };
-    /// assert_eq!(warm_up.speed_fraction(Span::secs(4.0)), 0.625);
-    /// assert_eq!(warm_up.speed_fraction(Span::secs(60.0)), 1.0);
+    /// let warm_up = WarmUp { initial_speed: 0.25, duration: Span::from_secs(8.0) };
+    /// assert_eq!(warm_up.speed_fraction(Span::from_secs(4.0)), 0.625);
+    /// assert_eq!(warm_up.speed_fraction(Span::from_secs(60.0)), 1.0);
     /// ```
     pub fn speed_fraction(&self, age: Span) -> f64 {
         let progress = (age.as_secs() / self.duration.as_secs()).clamp(0.0, 1.0);
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -20,9 +20,9 @@
     let idle_seconds = validator.field("idle_s").in_range(idle_seconds, 0.1..=3_600.0, "s");
     let table_size = message.standing.unwrap_or(DEFAULT_INITIAL_TABLE_SIZE);
     Proxies {
-        idle_timeout: Span::secs(idle_seconds),
+        idle_timeout: Span::from_secs(idle_seconds),
         retries_unexecuted: message.again() != proto::Again::Never,
-        apply_time_per_line: Span::secs(line_us / 1e6),
+        apply_time_per_line: Span::from_secs(line_us / 1e6),
         initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "nodes"),
     }
 }
@@ -56,7 +56,7 @@
         max_queued_lines: validator.field("most_waiting").in_range(max_queued_lines, 10.0..=1e8, "lines"),
         message_delay: time("message_ms", message.message_ms, 150.0, 0.0..=MAX_MESSAGE_DELAY_MS),
         drain_grace: time("drain_grace_ms", message.drain_grace_ms, 1_500.0, 100.0..=MAX_MS),
-        slow_start_window: Span::secs(validator.field("cold_for_s").in_range(
+        slow_start_window: Span::from_secs(validator.field("cold_for_s").in_range(
             slow_start_seconds,
             0.0..=3_600.0,
             "s",
--- a/fleet/src/validate/endpoint_groups.rs
+++ b/fleet/src/validate/endpoint_groups.rs
@@ -52,7 +52,7 @@
         "only a cold node falls over: give the group a warm_up, or leave this out".into()
     });
     let uptime = message.started_s.map(|seconds| {
-        Span::secs(validator.field("started_s").in_range(seconds, 0.0..=MAX_UPTIME_SECONDS, "s"))
+        Span::from_secs(validator.field("started_s").in_range(seconds, 0.0..=MAX_UPTIME_SECONDS, "s"))
     });
     EndpointGroup {
         name: validator.field("name").identifier(&message.name),
@@ -77,7 +77,7 @@
     over.required(message.over_s, "the seconds to full speed, 0.1 to 3,600");
     let initial_speed = reported_number(&from, message.from, 0.01..=1.0, "of full speed");
     let seconds = reported_number(&over, message.over_s, 0.1..=3_600.0, "s");
-    WarmUp { initial_speed, duration: Span::secs(seconds) }
+    WarmUp { initial_speed, duration: Span::from_secs(seconds) }
 }
 
 fn overload_collapse(validator: &Validator, message: &proto::Topples) -> OverloadCollapse {
@@ -86,7 +86,7 @@
     over.required(message.over_s, "the seconds over which it is counted, 0.1 to 60");
     let overload_factor = reported_number(&multiple, message.multiple, 1.0..=100.0, "times");
     let seconds = reported_number(&over, message.over_s, 0.1..=60.0, "s");
-    OverloadCollapse { overload_factor, window: Span::secs(seconds) }
+    OverloadCollapse { overload_factor, window: Span::from_secs(seconds) }
 }
 
 fn speed(validator: &Validator, message: Option<&proto::Speed>) -> Speed {
--- a/fleet/src/validate/mod.rs
+++ b/fleet/src/validate/mod.rs
@@ -80,7 +80,7 @@
 }
 
 fn millis(value: f64) -> Span {
-    Span::secs(value / 1e3)
+    Span::from_secs(value / 1e3)
 }
 
 /// Scales shares so that they sum to 1; tells whether any is above 0.
--- a/fleet/src/validate/request_classes.rs
+++ b/fleet/src/validate/request_classes.rs
@@ -51,7 +51,11 @@
         priority_weight: validator.field("revenue").in_range(priority_weight, 0.0..=1e6, "of revenue"),
         late_value: fraction("late_part", message.late_part, 0.0),
         idempotency,
-        deduplication_window: Span::secs(deduplication.in_range(deduplication_seconds, 0.0..=600.0, "s")),
+        deduplication_window: Span::from_secs(deduplication.in_range(
+            deduplication_seconds,
+            0.0..=600.0,
+            "s",
+        )),
         min_admitted: fraction("floor", message.floor, DEFAULT_MIN_ADMITTED),
     }
 }
--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -31,10 +31,10 @@
 /// assert_eq!(backlog.queued_lines(now), 14.0);
 /// backlog.acknowledged(now, number, 2);
 /// assert_eq!(backlog.queued_lines(now), 8.0);
-/// assert_eq!(backlog.queued_lines(now + Span::secs(1.0)), 6.0);
-/// assert_eq!(backlog.messages(now, 1, Span::secs(1.0)), (1, Some(now)));
-/// assert_eq!(backlog.record_resend(now + Span::secs(1.0), now), (8.0, Some(2)));
-/// assert_eq!(backlog.queued_lines(now + Span::secs(1.0)), 15.0);
+/// assert_eq!(backlog.queued_lines(now + Span::from_secs(1.0)), 6.0);
+/// assert_eq!(backlog.messages(now, 1, Span::from_secs(1.0)), (1, Some(now)));
+/// assert_eq!(backlog.record_resend(now + Span::from_secs(1.0), now), (8.0, Some(2)));
+/// assert_eq!(backlog.queued_lines(now + Span::from_secs(1.0)), 15.0);
 /// ```
 #[derive(Debug, Default)]
 pub struct ChannelBacklog {
--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -11,7 +11,7 @@
         attempts: 150.0,
         answered: 60.0,
         served: 60.0,
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -21,7 +21,7 @@
 /// A controller three seconds after its start, with a few attempts of the first proxies that joined it.
 fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
     let mut controller = running(config(), &["a", "b"], 4);
-    let window = Span::secs(2.0);
+    let window = Span::from_secs(2.0);
     controller.fleet_load = FleetLoad {
         demand: vec![10.0, 10.0],
         window,
@@ -62,7 +62,7 @@
     controller.admission.budget = Some(100.0);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 90.0,
         answered: 90.0,
         ..FleetLoad::default()
@@ -77,7 +77,7 @@
     // 20 requests were answered to one proxy of 10 requests a second; the budget is nine tenths of that.
     controller.fleet_load = FleetLoad {
         demand: vec![0.0, 20.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 20.0,
         answered: 5.0,
         served: 20.0,
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -92,7 +92,7 @@
 
     /// How long the channel takes to carry some lines.
     pub(super) fn time_for(&self, lines: f64) -> Span {
-        Span::secs(self.secs_for(lines))
+        Span::from_secs(self.secs_for(lines))
     }
 
     /// How many seconds the channel takes to carry some lines.
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -37,7 +37,7 @@
                 self.host.request_acknowledgement(number);
                 self.delivery.last_commands = now;
             }
-            resend_delay = resend_delay + Span::secs(lines / self.config.channel_rate.max(1.0));
+            resend_delay = resend_delay + Span::from_secs(lines / self.config.channel_rate.max(1.0));
         }
         self.host.schedule_timer(resend_delay, Timer::Resend);
     }
--- a/src/controller/delivery/tests.rs
+++ b/src/controller/delivery/tests.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn where_all_acknowledgements_are_lost_one_proxy_is_assigned_anew() {
-    let config = ControllerConfig { max_transit: Span::secs(0.1), ..config() };
+    let config = ControllerConfig { max_transit: Span::from_secs(0.1), ..config() };
     let mut controller = running(config, &["a", "b"], 2);
     controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
     controller.issue_commands(at(2.5));
--- a/src/controller/endpoints/tests.rs
+++ b/src/controller/endpoints/tests.rs
@@ -31,7 +31,7 @@
     for n in 1..3_000_u32 {
         let now = at(f64::from(n) * 4.0);
         controller.endpoints_updated(now, &[removed(&id(n - 1)), ready(&id(n))]);
-        controller.timer_fired(now + Span::secs(2.0), Timer::Evaluation);
+        controller.timer_fired(now + Span::from_secs(2.0), Timer::Evaluation);
     }
     assert!(controller.endpoints.len() < 20);
     assert_eq!(controller.tables.by_number[&0].weights.len(), 1);
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -29,7 +29,7 @@
     for id in ["b", "c"] {
         controller.endpoint_outcomes(at(1.0), id, attempts, 0.0, Span::ZERO, Span::ZERO);
     }
-    controller.endpoint_outcomes(at(1.0), "a", 2.0, failed, Span::secs(latency_secs), Span::ZERO);
+    controller.endpoint_outcomes(at(1.0), "a", 2.0, failed, Span::from_secs(latency_secs), Span::ZERO);
     controller.detect_outliers(at(1.0));
     controller
 }
@@ -97,7 +97,7 @@
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
     endpoint.outlier.level_since = at(5.0);
-    controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
+    controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::from_secs(1.0));
     assert_eq!(controller.endpoints.get("a").unwrap().outlier.outcomes.total(), 0.0);
 }
 
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -39,7 +39,7 @@
     /// Commands were sent that keep the channel busy for some time.
     fn sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
-            self.batched_until = now + Span::secs(busy_secs * BATCHING_FACTOR);
+            self.batched_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
         }
     }
 }
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -51,7 +51,7 @@
 
 #[test]
 fn urgent_changes_are_batched_while_the_queue_is_long() {
-    let config = ControllerConfig { max_transit: Span::secs(0.1), ..config() };
+    let config = ControllerConfig { max_transit: Span::from_secs(0.1), ..config() };
     let mut controller = running(config, &["a", "b", "c"], 1);
     controller.channel.backlog = ChannelBacklog::default();
     controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -145,12 +145,12 @@
 
 /// A moment some seconds after the start of a test.
 pub fn at(secs: f64) -> Moment {
-    Moment::from_us(1_000_000_000) + Span::secs(secs)
+    Moment::from_us(1_000_000_000) + Span::from_secs(secs)
 }
 
 pub fn config() -> ControllerConfig {
     let class = |priority_weight| RequestClass {
-        latency_objective: Span::secs(1.0),
+        latency_objective: Span::from_secs(1.0),
         priority_weight,
         zone_local: false,
         writes: false,
@@ -163,9 +163,9 @@
         proxy_ejection_threshold: 0,
         shards: 0,
         single_writer: false,
-        write_lease: Span::secs(2.0),
-        write_settle_time: Span::secs(0.1),
-        report_interval: Span::secs(1.0),
+        write_lease: Span::from_secs(2.0),
+        write_settle_time: Span::from_secs(0.1),
+        report_interval: Span::from_secs(1.0),
         proxy_count: 4,
         min_endpoint_connections: 0,
         initial_table_size: 5,
@@ -173,10 +173,10 @@
         message_overhead_lines: 3.0,
         max_queued_lines: 1000.0,
         max_pushes: 12,
-        push_window: Span::secs(10.0),
-        max_transit: Span::secs(0.3),
-        drain_grace: Span::secs(2.0),
-        slow_start_window: Span::secs(16.0),
+        push_window: Span::from_secs(10.0),
+        max_transit: Span::from_secs(0.3),
+        drain_grace: Span::from_secs(2.0),
+        slow_start_window: Span::from_secs(16.0),
         drain_grace_excludes_removed: false,
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -7,7 +7,7 @@
 /// ```
 /// use otterwinch::time::{Moment, Span};
 /// let noon = Moment::from_us(5_000_000);
-/// assert_eq!((noon + Span::secs(2.0)) - noon, Span::from_us(2_000_000));
+/// assert_eq!((noon + Span::from_secs(2.0)) - noon, Span::from_us(2_000_000));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(i64);
@@ -33,7 +33,7 @@
     }
 
     /// A length in seconds, cut to whole microseconds.
-    pub fn secs(s: f64) -> Self {
+    pub fn from_secs(s: f64) -> Self {
         Span((s * 1e6) as i64)
     }
 
