--- a/adapter-support/src/json_fields.rs
+++ b/adapter-support/src/json_fields.rs
@@ -6,14 +6,14 @@
 use std::ops::RangeInclusive;
 
 /// Beyond this no figure can be right: a greater one is a fault of its sender, and would spoil every sum.
-const MAX_FIGURE: f64 = 1e12;
+const MAX_NUMBER: f64 = 1e12;
 
 /// What is wrong with a JSON object.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonFieldError {
     /// A message is no object.
     #[error("not a JSON object")]
-    NotAMessage,
+    MessageNotAnObject,
     /// A nested value is no object.
     #[error("{object}: not a JSON object")]
     NotAnObject {
@@ -22,7 +22,7 @@
     },
     /// A message does not say of which kind it is.
     #[error("no field '{field}' with a message's name")]
-    NoKind {
+    MissingKind {
         /// The field that should say it.
         field: String,
     },
@@ -53,7 +53,7 @@
 /// ```
 /// use otterwinch_adapter_support::JsonFields;
 /// let value = serde_json::json!({"kind": "HEARD", "bad": -1, "tries": 1e300, "odd": []});
-/// let fields = JsonFields::of_message(&value, "kind").unwrap();
+/// let fields = JsonFields::from_message(&value, "kind").unwrap();
 /// assert_eq!(fields.non_negative("absent"), Ok(0.0));
 /// let error = fields.non_negative("bad").unwrap_err();
 /// assert_eq!(error.to_string(), "HEARD: field 'bad' is not a number of 0 or more: -1");
@@ -68,15 +68,15 @@
 
 impl<'a> JsonFields<'a> {
     /// A message whose kind stands in the field `kind_field`.
-    pub fn of_message(value: &'a Value, kind_field: &str) -> Result<Self, JsonFieldError> {
-        let map = value.as_object().ok_or(JsonFieldError::NotAMessage)?;
+    pub fn from_message(value: &'a Value, kind_field: &str) -> Result<Self, JsonFieldError> {
+        let map = value.as_object().ok_or(JsonFieldError::MessageNotAnObject)?;
         let kind = map.get(kind_field).and_then(Value::as_str);
-        let kind = kind.ok_or_else(|| JsonFieldError::NoKind { field: kind_field.to_owned() })?;
+        let kind = kind.ok_or_else(|| JsonFieldError::MissingKind { field: kind_field.to_owned() })?;
         Ok(JsonFields { kind, map })
     }
 
     /// An object that is what it is by its place.
-    pub fn of_object(value: &'a Value, kind: &'a str) -> Result<Self, JsonFieldError> {
+    pub fn from_object(value: &'a Value, kind: &'a str) -> Result<Self, JsonFieldError> {
         let map = value.as_object();
         let map = map.ok_or_else(|| JsonFieldError::NotAnObject { object: kind.to_owned() })?;
         Ok(JsonFields { kind, map })
@@ -133,7 +133,7 @@
         if !self.has(name) {
             return Ok(0.0);
         }
-        let read = |value: &Value| value.as_f64().filter(|number| (0.0..=MAX_FIGURE).contains(number));
+        let read = |value: &Value| value.as_f64().filter(|number| (0.0..=MAX_NUMBER).contains(number));
         self.get(name, "a number of 0 or more", read)
     }
 
@@ -142,7 +142,7 @@
     /// ```
     /// use otterwinch_adapter_support::JsonFields;
     /// let value = serde_json::json!({"low": 0, "text": "7"});
-    /// let fields = JsonFields::of_object(&value, "report").unwrap();
+    /// let fields = JsonFields::from_object(&value, "report").unwrap();
     /// assert!(fields.number_within("low", 1.0..=9.0).is_err());
     /// assert!(fields.number_within("text", 0.0..=9.0).is_err());
     /// assert_eq!(fields.number_within("low", 0.0..=9.0), Ok(0.0));
@@ -154,17 +154,17 @@
     }
 
     /// A text.
-    pub fn text(&self, name: &str) -> Result<&'a str, JsonFieldError> {
+    pub fn string(&self, name: &str) -> Result<&'a str, JsonFieldError> {
         self.get(name, "a text", Value::as_str)
     }
 
     /// A list.
-    pub fn list(&self, name: &str) -> Result<&'a Vec<Value>, JsonFieldError> {
+    pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, JsonFieldError> {
         self.get(name, "a list", Value::as_array)
     }
 
     /// A flag; the protocols leave false ones out.
-    pub fn flag(&self, name: &str) -> bool {
+    pub fn bool(&self, name: &str) -> bool {
         self.map.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
 
--- a/adapter-support/src/settings.rs
+++ b/adapter-support/src/settings.rs
@@ -29,12 +29,12 @@
     }
 
     /// A whole number of 0 or more; others are clamped to the bounds of the type.
-    pub fn count(self) -> u32 {
+    pub fn u32(self) -> u32 {
         self.number().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
     /// A text.
-    pub fn text(self) -> &'a str {
+    pub fn string(self) -> &'a str {
         self.0.and_then(Value::as_str).unwrap_or("")
     }
 
@@ -46,7 +46,7 @@
         Span::from_us(self.number() as i64)
     }
 
-    fn flag(self) -> bool {
+    fn bool(self) -> bool {
         self.0.and_then(Value::as_bool).unwrap_or(false)
     }
 }
@@ -57,38 +57,38 @@
     let guarantees = settings.field("guarantees");
     ControllerConfig {
         request_classes: request_classes(settings),
-        polls_endpoint_list: settings.field("discovery").text() == "ask",
+        polls_endpoint_list: settings.field("discovery").string() == "ask",
         cross_zone_costs: settings.field("charges").field("crossZone").number() > 0.0,
-        admission: match family.field("throttleBy").text() {
+        admission: match family.field("throttleBy").string() {
             "fraction" => AdmissionMode::Fraction,
             "per_second" => AdmissionMode::RatePerSecond,
             _ => AdmissionMode::Unsupported,
         },
-        proxy_ejection_threshold: family.field("outlierAfter").count(),
-        shards: family.field("slices").count(),
-        single_writer: family.field("singleWriter").flag(),
+        proxy_ejection_threshold: family.field("outlierAfter").u32(),
+        shards: family.field("slices").u32(),
+        single_writer: family.field("singleWriter").bool(),
         write_lease: family.field("keepsWritingUs").microseconds(),
         write_settle_time: family.field("settleUs").microseconds(),
         report_interval: family.field("reportEveryUs").microseconds(),
-        proxy_count: family.field("proxyCount").count(),
-        min_endpoint_connections: family.field("minConnCap").count(),
-        initial_table_size: family.field("initialSet").count(),
+        proxy_count: family.field("proxyCount").u32(),
+        min_endpoint_connections: family.field("minConnCap").u32(),
+        initial_table_size: family.field("initialSet").u32(),
         channel_rate: family.field("channelRate").number(),
         message_overhead_lines: family.field("fixedCost").number(),
         max_queued_lines: family.field("mostWaiting").number(),
-        max_pushes: family.field("pushesAllowed").count(),
+        max_pushes: family.field("pushesAllowed").u32(),
         push_window: family.field("reloadSpanUs").microseconds(),
         max_transit: family.field("transitMaxUs").microseconds(),
         drain_grace: guarantees.field("drainGraceUs").microseconds(),
         slow_start_window: guarantees.field("coldUs").microseconds(),
-        drain_grace_excludes_removed: guarantees.field("removalNotBinding").flag(),
+        drain_grace_excludes_removed: guarantees.field("removalNotBinding").bool(),
     }
 }
 
 fn request_classes(settings: &SettingsReader) -> Vec<RequestClass> {
     let family = settings.field("familyInfo");
     let flag_of_class =
-        |list: &str, k: usize| family.field(list).elements().nth(k).is_some_and(SettingsReader::flag);
+        |list: &str, k: usize| family.field(list).elements().nth(k).is_some_and(SettingsReader::bool);
     let classes = settings.field("classes").elements().take(MAX_REQUEST_CLASSES);
     let request_class = |(k, class): (usize, SettingsReader)| RequestClass {
         latency_objective: class.field("promiseUs").microseconds(),
--- a/control-plane/src/collector_message.rs
+++ b/control-plane/src/collector_message.rs
@@ -87,20 +87,20 @@
 }
 
 fn decode_handshake(value: &Value, names: &DeploymentNames) -> Result<Handshake, InvalidContent> {
-    let fields = JsonFields::of_message(value, KIND_FIELD)?;
+    let fields = JsonFields::from_message(value, KIND_FIELD)?;
     match fields.kind {
         PROBE => Ok(Handshake::Probe),
-        IDENTIFICATION => Ok(Handshake::Identification { zone: names.zone(fields.text("locality")?)? }),
+        IDENTIFICATION => Ok(Handshake::Identification { zone: names.zone(fields.string("locality")?)? }),
         kind => Err(InvalidContent::NotIdentified(kind.to_owned())),
     }
 }
 
 fn decode_message(value: &Value, names: &DeploymentNames) -> Result<CollectorMessage, InvalidContent> {
-    let fields = JsonFields::of_message(value, KIND_FIELD)?;
+    let fields = JsonFields::from_message(value, KIND_FIELD)?;
     match fields.kind {
         PROBE => Ok(CollectorMessage::Probe),
         IDENTIFICATION => {
-            names.zone(fields.text("locality")?)?;
+            names.zone(fields.string("locality")?)?;
             Ok(CollectorMessage::Identification)
         }
         "outcomes" => Ok(CollectorMessage::Report(decode_outcomes(&fields, names)?)),
@@ -110,8 +110,8 @@
 }
 
 fn decode_outcomes(fields: &JsonFields, names: &DeploymentNames) -> Result<Event, InvalidContent> {
-    let endpoint = fields.text("endpoint")?.to_owned();
-    names.zone(fields.text("locality")?)?;
+    let endpoint = fields.string("endpoint")?.to_owned();
+    names.zone(fields.string("locality")?)?;
     let attempts = decode_total(fields)?;
     let interval = decode_interval(fields)?;
     let failures = fields.number_within("errors", 0.0..=attempts)?;
@@ -123,7 +123,7 @@
 
 fn decode_demand(fields: &JsonFields, names: &DeploymentNames) -> Result<Event, InvalidContent> {
     names.proxy(fields.u32("node")?)?;
-    let class = names.request_class(fields.text("route")?)?;
+    let class = names.request_class(fields.string("route")?)?;
     let requests = decode_total(fields)?;
     decode_interval(fields)?;
     // Not bounded by the total: a request that arrived in an earlier interval may fail in this one.
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -67,7 +67,7 @@
     /// # Errors
     /// All faults, in the order of their fields.
     pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<ConfigFault>> {
-        let fields = JsonFields::of_object(value, "config").map_err(|error| vec![error.into()])?;
+        let fields = JsonFields::from_object(value, "config").map_err(|error| vec![error.into()])?;
         let mut reader = ConfigReader { fields, faults: Vec::new() };
         match reader.config(env) {
             Some(config) if reader.faults.is_empty() => Ok(config),
@@ -118,9 +118,9 @@
     /// Reads all fields, also after a fault; nothing where a value is missing.
     fn config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
         self.check_environment(env);
-        let name = self.collect(self.fields.text("name"));
-        let listen = self.address("listen", self.fields.text("listen"));
-        let endpoint_list = self.address("discovery", self.fields.text("discovery"));
+        let name = self.collect(self.fields.string("name"));
+        let listen = self.address("listen", self.fields.string("listen"));
+        let endpoint_list = self.address("discovery", self.fields.string("discovery"));
         let relay = self.address("relay.address", self.relay_address());
         let seed = self.seed();
         let (names, controller) = self.settings();
@@ -154,7 +154,7 @@
 
     fn check_environment(&mut self, env: impl Fn(&str) -> Option<String>) {
         for (field, variable) in ENVIRONMENT_VARIABLES {
-            let (Ok(value), Some(expected)) = (self.fields.text(field), env(variable)) else { continue };
+            let (Ok(value), Some(expected)) = (self.fields.string(field), env(variable)) else { continue };
             if value != expected {
                 let value = value.to_owned();
                 self.faults.push(ConfigFault::ContradictsEnvironment { field, value, variable, expected });
@@ -170,11 +170,11 @@
 
     fn relay_address(&self) -> Result<&'a str, JsonFieldError> {
         let relay = self.fields.object("relay")?;
-        JsonFields::of_object(relay, "config: 'relay'")?.text("address")
+        JsonFields::from_object(relay, "config: 'relay'")?.string("address")
     }
 
     fn seed(&mut self) -> Option<u64> {
-        let text = self.collect(self.fields.text("seed"))?;
+        let text = self.collect(self.fields.string("seed"))?;
         let parsed = u64::from_str_radix(text, 16)
             .map_err(|_| ConfigFault::SeedNotHexadecimal { value: text.to_owned() });
         self.collect(parsed)
@@ -222,7 +222,7 @@
     fn limit(&mut self, name: &str, default: u64) -> Option<u64> {
         match self.fields.object("limits") {
             Ok(limits) if limits.get(name).is_some() => {
-                let limit = JsonFields::of_object(limits, "config: 'limits'");
+                let limit = JsonFields::from_object(limits, "config: 'limits'");
                 self.collect(limit.and_then(|limits| limits.u64(name)))
             }
             _ => Some(default),
@@ -233,13 +233,13 @@
 fn deployment_names(settings: SettingsReader) -> DeploymentNames {
     let zones = settings.field("zones").elements();
     let classes = settings.field("classes").elements();
-    let proxy_count = match settings.field("familyInfo").field("proxyCount").count() {
+    let proxy_count = match settings.field("familyInfo").field("proxyCount").u32() {
         0 => DEFAULT_PROXY_COUNT,
         count => count,
     };
     DeploymentNames {
-        zones: zones.map(|zone| zone.text().to_owned()).collect(),
-        request_classes: classes.map(|class| class.field("name").text().to_owned()).collect(),
+        zones: zones.map(|zone| zone.string().to_owned()).collect(),
+        request_classes: classes.map(|class| class.field("name").string().to_owned()).collect(),
         proxy_count,
     }
 }
--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -54,12 +54,12 @@
     /// # Errors
     /// The answer as a whole is malformed.
     pub fn decode(answer: &Value, names: &DeploymentNames) -> Result<Self, JsonFieldError> {
-        let fields = JsonFields::of_object(answer, "list")?;
+        let fields = JsonFields::from_object(answer, "list")?;
         let version = fields.u64("seq")?;
-        let whole = fields.flag("whole");
+        let whole = fields.bool("whole");
         let mut updates = Vec::new();
         let mut invalid = Vec::new();
-        for (position, entry) in fields.list("hosts")?.iter().enumerate() {
+        for (position, entry) in fields.array("hosts")?.iter().enumerate() {
             match decode_entry(entry, names) {
                 Ok(update) => updates.push(update),
                 Err(reason) => invalid.push(InvalidEntry { position, id: endpoint_id(entry), reason }),
@@ -74,9 +74,9 @@
 }
 
 fn decode_entry(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, InvalidEndpoint> {
-    let fields = JsonFields::of_object(entry, ENTRY)?;
-    let id = fields.text("host")?.into();
-    let state = endpoint_state(fields.text("health")?)?;
+    let fields = JsonFields::from_object(entry, ENTRY)?;
+    let id = fields.string("host")?.into();
+    let state = endpoint_state(fields.string("health")?)?;
     let zone = zone(&fields, names);
     let weight = weight(&fields);
     let started = started(&fields);
@@ -106,7 +106,7 @@
     if !fields.has("site") {
         return Ok(DEFAULT_ZONE);
     }
-    let name = fields.text("site")?;
+    let name = fields.string("site")?;
     Ok(names.zone(name).unwrap_or(UNKNOWN_ZONE))
 }
 
--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -92,15 +92,15 @@
 }
 
 fn decode_event(event: &Value, names: &DeploymentNames) -> Result<ProxyEvent, InvalidEvent> {
-    let message = JsonFields::of_message(event, "type")?;
-    let fields = JsonFields::of_object(message.object("object")?, message.kind)?;
+    let message = JsonFields::from_message(event, "type")?;
+    let fields = JsonFields::from_object(message.object("object")?, message.kind)?;
     let proxy = names.proxy(fields.u32("node")?)?;
     match message.kind {
         "hello" => Ok(ProxyEvent::Joined {
             proxy,
-            zone: names.zone(fields.text("locality")?)?,
+            zone: names.zone(fields.string("locality")?)?,
             rate: fields.number_within("w", 0.0..=MAX_RATE)?,
-            fresh: fields.flag("cold"),
+            fresh: fields.bool("cold"),
         }),
         "bye" => Ok(ProxyEvent::Left { proxy }),
         "ack" => Ok(ProxyEvent::Acknowledged { proxy, number: fields.u32("nonce")? }),
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -104,7 +104,7 @@
 impl<'a> Message<'a> {
     /// Decodes a line. What is for an instance is left undecoded, since that needs the pages.
     pub fn decode(value: &'a Value) -> Result<Self, MessageError> {
-        let fields = JsonFields::of_message(value, "kind")?;
+        let fields = JsonFields::from_message(value, "kind")?;
         let message = match fields.kind {
             "TICK" => {
                 Message::Tick { now: Moment::from_us(fields.i64("timeUs")?), serial: fields.u64("serial")? }
@@ -209,12 +209,12 @@
         "STREAM_UP" => Event::ProxyJoined {
             proxy: fields.u32("px")?,
             zone: fields.u32("campus")?,
-            fresh: fields.flag("set"),
+            fresh: fields.bool("set"),
             rate: fields.non_negative("weight")?,
         },
         "STREAM_DOWN" => Event::ProxyLeft { proxy: fields.u32("px")? },
         "HEARD" => Event::EndpointOutcomes {
-            endpoint: fields.text("server")?,
+            endpoint: fields.string("server")?,
             attempts: fields.non_negative("triesN")?,
             failures: fields.non_negative("bad")?,
             latency: Span::from_us(fields.i64_or("delaySeenUs", 0)?),
@@ -227,7 +227,7 @@
         "ASSIGNED_TO_ME" => shard_ownership_event(fields)?,
         "STORED_LINE" => Event::ShardWeightRestored {
             shard: fields.u32("mapId")?,
-            endpoint: fields.text("server")?.into(),
+            endpoint: fields.string("server")?.into(),
             weight: fields.non_negative("weight")?,
         },
         "IN_FORCE" => Event::Acknowledged { number: fields.u32("epoch")?, proxy: fields.u32("px")? },
@@ -262,7 +262,7 @@
 
 fn shard_ownership_event<'a>(fields: &JsonFields<'a>) -> Result<Event<'a>, MessageError> {
     let shard = fields.u32("mapId")?;
-    if fields.flag("set") {
+    if fields.bool("set") {
         Ok(Event::ShardAssigned { shard })
     } else {
         Ok(Event::ShardRevoked { shard })
@@ -270,11 +270,11 @@
 }
 
 fn endpoint_updates(fields: &JsonFields) -> Result<Vec<EndpointUpdate>, MessageError> {
-    fields.list("elements")?.iter().map(endpoint_update).collect()
+    fields.array("elements")?.iter().map(endpoint_update).collect()
 }
 
 fn endpoint_update(entry: &Value) -> Result<EndpointUpdate, MessageError> {
-    let fields = JsonFields::of_object(entry, "PAGE entry")?;
+    let fields = JsonFields::from_object(entry, "PAGE entry")?;
     let state = match fields.u64("health")? {
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
@@ -283,7 +283,7 @@
     };
     let started_us = fields.i64_or("cameUpUs", 0)?;
     Ok(EndpointUpdate {
-        id: fields.text("server")?.into(),
+        id: fields.string("server")?.into(),
         zone: if fields.has("campus") { fields.u32("campus")? } else { 0 },
         weight: if fields.has("weight") { fields.non_negative("weight")? } else { 1.0 },
         state,
