--- a/adapter-support/src/command_validator.rs
+++ b/adapter-support/src/command_validator.rs
@@ -84,12 +84,12 @@
     }
 
     /// A proxy joined or left.
-    pub fn set_joined(&mut self, proxy: u32, joined: bool) {
+    pub fn set_proxy_joined(&mut self, proxy: u32, joined: bool) {
         set_membership(&mut self.joined_proxies, proxy, joined);
     }
 
     /// A shard was assigned to this instance or revoked.
-    pub fn set_owned(&mut self, shard: u32, owned: bool) {
+    pub fn set_shard_owned(&mut self, shard: u32, owned: bool) {
         set_membership(&mut self.owned_shards, shard, owned);
     }
 
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -68,13 +68,13 @@
 
     /// A proxy joined.
     pub fn proxy_joined(&mut self, number: u32, proxy: JoinedProxy) {
-        self.validator.set_joined(number, true);
+        self.validator.set_proxy_joined(number, true);
         self.fleet.proxy_joined(number, proxy);
     }
 
     /// A proxy left.
     pub fn proxy_left(&mut self, number: u32) {
-        self.validator.set_joined(number, false);
+        self.validator.set_proxy_joined(number, false);
         self.fleet.proxy_left(number);
     }
 
--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -111,11 +111,11 @@
         }
         Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
         Event::ProxyJoined { proxy, zone, fresh, rate } => {
-            controller.host().validator.set_joined(proxy, true);
+            controller.host().validator.set_proxy_joined(proxy, true);
             controller.proxy_joined(now, proxy, zone, rate, fresh);
         }
         Event::ProxyLeft { proxy } => {
-            controller.host().validator.set_joined(proxy, false);
+            controller.host().validator.set_proxy_joined(proxy, false);
             controller.proxy_left(now, proxy);
         }
         Event::EndpointOutcomes { endpoint, attempts, failures, latency, period } => {
@@ -124,11 +124,11 @@
         Event::Demand { request_class, requests } => controller.demand(request_class, requests),
         Event::TimerFired(timer) => controller.timer_fired(now, timer),
         Event::ShardAssigned { shard } => {
-            controller.host().validator.set_owned(shard, true);
+            controller.host().validator.set_shard_owned(shard, true);
             controller.shard_assigned(shard);
         }
         Event::ShardRevoked { shard } => {
-            controller.host().validator.set_owned(shard, false);
+            controller.host().validator.set_shard_owned(shard, false);
             controller.shard_revoked(shard);
         }
         Event::ShardWeightRestored { shard, endpoint, weight } => {
