--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -32,7 +32,7 @@
 /// backlog.acknowledged(now, number, 2);
 /// assert_eq!(backlog.queued_lines(now), 8.0);
 /// assert_eq!(backlog.queued_lines(now + Span::from_secs(1.0)), 6.0);
-/// assert_eq!(backlog.messages(now, 1, Span::from_secs(1.0)), (1, Some(now)));
+/// assert_eq!(backlog.recent_messages(now, 1, Span::from_secs(1.0)), (1, Some(now)));
 /// assert_eq!(backlog.record_resend(now + Span::from_secs(1.0), now), (8.0, Some(2)));
 /// assert_eq!(backlog.queued_lines(now + Span::from_secs(1.0)), 15.0);
 /// ```
@@ -149,7 +149,7 @@
     }
 
     /// The number of messages to a proxy within a window that ends now, and the time of the latest.
-    pub fn messages(&mut self, now: Moment, proxy: u32, window: Span) -> (usize, Option<Moment>) {
+    pub fn recent_messages(&mut self, now: Moment, proxy: u32, window: Span) -> (usize, Option<Moment>) {
         let times = self.message_times.entry(proxy).or_default();
         times.retain(|sent| now - *sent <= window);
         (times.len(), times.back().copied())
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -195,7 +195,7 @@
         if limits.max_pushes == 0 {
             return true;
         }
-        let (count, latest) = self.backlog.messages(now, proxy, limits.push_window);
+        let (count, latest) = self.backlog.recent_messages(now, proxy, limits.push_window);
         if count == 0 || latest == Some(now) {
             return true;
         }
