--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -1,11 +1,11 @@
 use super::MIN_LEVEL;
 use crate::controller::fleet_load::FleetLoad;
-use crate::testing::{at, config, running, TestController};
+use crate::testing::{at, config, running_controller, TestController};
 use crate::time::Span;
 
 #[test]
 fn an_overloaded_fleet_admits_what_it_answers_and_the_highest_priority_first() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
         attempts: 150.0,
@@ -20,7 +20,7 @@
 
 /// A controller three seconds after its start, with a few attempts of the first proxies that joined it.
 fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
-    let mut controller = running(config(), &["a", "b"], 4);
+    let mut controller = running_controller(config(), &["a", "b"], 4);
     let window = Span::from_secs(2.0);
     controller.fleet_load = FleetLoad {
         demand: vec![10.0, 10.0],
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_budget_grows_once_the_fleet_is_well() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.admission.budget = Some(100.0);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
@@ -73,7 +73,7 @@
 
 #[test]
 fn the_budget_grows_with_the_proxies_that_come_back() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     // 20 requests were answered to one proxy of 10 requests a second; the budget is nine tenths of that.
     controller.fleet_load = FleetLoad {
         demand: vec![0.0, 20.0],
--- a/src/controller/assignment/tests.rs
+++ b/src/controller/assignment/tests.rs
@@ -1,10 +1,10 @@
 use crate::controller::channel::ChannelLimits;
 use crate::host::{EndpointState, Timer};
-use crate::testing::{assign_table, at, config, running, Command};
+use crate::testing::{assign_table, at, config, running_controller, Command};
 
 #[test]
 fn an_assignment_waits_for_a_usable_endpoint() {
-    let mut controller = running(config(), &[], 0);
+    let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
     controller.timer_fired(at(9.0), Timer::Heartbeat);
     assert_eq!(controller.host.assignment_count(), 0);
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_first_assignment_is_made_once_the_budget_is_spent() {
-    let mut controller = running(config(), &[], 0);
+    let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 9, 10.0, true);
     controller.timer_fired(at(6.5), Timer::Heartbeat);
     assert_eq!(controller.host.tables_of(4).len(), 1);
@@ -20,7 +20,7 @@
 
 #[test]
 fn waiting_assignments_are_tried_again_on_a_jittered_heartbeat() {
-    let mut controller = running(config(), &[], 0);
+    let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
     controller.assign_waiting(at(1.2), &limits);
@@ -29,7 +29,7 @@
 
 #[test]
 fn proxies_with_an_initial_table_are_assigned_before_those_of_an_earlier_stream() {
-    let mut controller = running(config(), &["a"], 0);
+    let mut controller = running_controller(config(), &["a"], 0);
     controller.proxy_joined(at(1.0), 4, 0, 90.0, false);
     controller.proxy_joined(at(1.0), 5, 0, 10.0, true);
     controller.issue_commands(at(1.2));
@@ -43,7 +43,7 @@
 
 #[test]
 fn proxies_with_thin_tables_are_assigned_before_changes_go() {
-    let mut controller = running(config(), &["a", "b", "c"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c"], 1);
     controller.endpoints.get_mut("a").unwrap().state = EndpointState::Removed;
     controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
     controller.endpoints.get_mut("c").unwrap().weight = 4.0;
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_proxy_that_joins_again_is_assigned_again() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.proxy_joined(at(2.0), 0, 0, 10.0, false);
     controller.timer_fired(at(2.2), Timer::Recheck);
     assert_eq!(controller.host.count(|command| *command == assign_table(0, 0)), 1);
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_rejected_assignment_is_made_again() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.assignment_rejected(at(2.0), 0);
     controller.timer_fired(at(2.2), Timer::Recheck);
     assert_eq!(controller.host.count(|command| *command == assign_table(0, 0)), 1);
--- a/src/controller/changes/tests.rs
+++ b/src/controller/changes/tests.rs
@@ -1,10 +1,10 @@
 use crate::config::ControllerConfig;
 use crate::host::{EndpointState, EndpointUpdate, Timer};
-use crate::testing::{at, config, eject, ready, ready_since, running, set_weight};
+use crate::testing::{at, config, eject, ready, ready_since, running_controller, set_weight};
 
 #[test]
 fn only_weights_that_differ_are_sent() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     let heavier = EndpointUpdate { weight: 3.0, ..ready("b") };
     controller.endpoint_list_replaced(at(2.0), &[ready("a"), heavier]);
     assert_eq!(controller.host.commands, [set_weight(0, "b", 3.0)]);
@@ -12,7 +12,8 @@
 
 #[test]
 fn a_small_difference_is_not_worth_a_line_to_many_proxies() {
-    let mut controller = running(ControllerConfig { channel_rate: 100.0, ..config() }, &["a", "b"], 4);
+    let mut controller =
+        running_controller(ControllerConfig { channel_rate: 100.0, ..config() }, &["a", "b"], 4);
     let lighter = EndpointUpdate { weight: 1.9, ..ready("b") };
     controller.endpoints_updated(at(9.0), &[lighter]);
     assert_eq!(controller.host.weight_count(), 0);
@@ -20,7 +21,7 @@
 
 #[test]
 fn a_restart_under_the_same_id_is_urgent() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[ready_since("a", 1.0)]);
     assert!(controller.host.weight(0, "a").unwrap() < 0.3);
@@ -28,14 +29,14 @@
 
 #[test]
 fn a_table_whose_endpoints_vanished_and_do_not_answer_is_emptied() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoint_list_replaced(at(2.0), &[]);
     assert!(controller.host.commands.contains(&set_weight(0, "a", 0.0)));
 }
 
 #[test]
 fn a_table_whose_endpoints_vanished_but_still_answer_is_carried() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoints.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoint_list_replaced(at(2.0), &[]);
     assert_eq!((controller.host.weight_count(), controller.host.ejections().len()), (0, 0));
@@ -43,7 +44,7 @@
 
 #[test]
 fn a_carried_table_ends_within_the_drain_grace() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.last_answered = Some(at(1.5));
     endpoint.state = EndpointState::Removed;
--- a/src/controller/channel/tests.rs
+++ b/src/controller/channel/tests.rs
@@ -2,7 +2,7 @@
 use crate::channel_backlog::ChannelBacklog;
 use crate::config::ControllerConfig;
 use crate::host::Timer;
-use crate::testing::{at, config, draining, ready_since, running, TestController};
+use crate::testing::{at, config, draining, ready_since, running_controller, TestController};
 use crate::time::{Moment, Span};
 
 /// The room for commands to proxy 0.
@@ -13,7 +13,7 @@
 
 #[test]
 fn ordinary_changes_leave_messages_for_urgent_ones() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     for secs in 1..=6 {
         controller.channel.backlog.record(at(f64::from(secs)), 0, 1.0, 0.0);
     }
@@ -23,7 +23,7 @@
 
 #[test]
 fn urgent_changes_never_exceed_the_message_limit() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     for message in 0..12 {
         controller.channel.backlog.record(at(1.0 + 0.1 * f64::from(message)), 0, 1.0, 0.0);
     }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_long_queue_holds_ordinary_changes_back() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.channel.backlog = ChannelBacklog::default();
     controller.channel.backlog.record(at(2.0), 0, 895.0, 0.0);
     assert!(room(&mut controller, at(2.0), Urgency::Ordinary) < 1.0);
@@ -42,7 +42,7 @@
 
 #[test]
 fn assignments_wait_for_room_in_the_channel() {
-    let mut controller = running(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
+    let mut controller = running_controller(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
     for proxy in 0..400 {
         controller.proxy_joined(at(1.0), proxy, 0, 10.0, true);
     }
@@ -61,7 +61,7 @@
         max_pushes: 0,
         ..config()
     };
-    let mut controller = running(unlimited, &["a"], 2);
+    let mut controller = running_controller(unlimited, &["a"], 2);
     controller.endpoints_updated(at(2.0), &[ready_since("b", 2.0)]);
     assert_eq!(controller.host.weight(0, "b"), Some(2.0));
 }
--- a/src/controller/delivery/tests.rs
+++ b/src/controller/delivery/tests.rs
@@ -1,11 +1,11 @@
 use crate::config::ControllerConfig;
 use crate::host::Timer;
-use crate::testing::{at, config, draining, eject, running, schedule_timer, set_weight, Command};
+use crate::testing::{at, config, draining, eject, running_controller, schedule_timer, set_weight, Command};
 use crate::time::Span;
 
 #[test]
 fn a_long_queue_requests_an_acknowledgement_that_shortens_it() {
-    let mut controller = running(config(), &["a"], 0);
+    let mut controller = running_controller(config(), &["a"], 0);
     for proxy in 0..40 {
         controller.proxy_joined(at(1.0), proxy, 0, 10.0, true);
     }
@@ -19,7 +19,7 @@
 #[test]
 fn where_all_acknowledgements_are_lost_one_proxy_is_assigned_anew() {
     let config = ControllerConfig { max_transit: Span::from_secs(0.1), ..config() };
-    let mut controller = running(config, &["a", "b"], 2);
+    let mut controller = running_controller(config, &["a", "b"], 2);
     controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
     controller.issue_commands(at(2.5));
     assert_eq!(controller.host.assignment_count(), 0);
@@ -30,7 +30,7 @@
 
 #[test]
 fn lost_commands_are_resent_and_nothing_overtakes_them() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.commands_lost(at(2.0), false);
     controller.endpoints_updated(at(2.0), &[draining("a")]);
     controller.timer_fired(at(2.1), Timer::Resend);
@@ -40,7 +40,7 @@
 
 #[test]
 fn what_was_held_back_behind_lost_commands_goes_once_they_are_accepted() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.commands_lost(at(2.0), false);
     controller.endpoints_updated(at(2.0), &[draining("a")]);
     controller.commands_accepted(at(2.1));
@@ -49,7 +49,7 @@
 
 #[test]
 fn commands_that_may_have_arrived_count_twice() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     let queued = controller.channel.backlog.queued_lines(at(0.2));
     controller.commands_lost(at(0.2), true);
     assert!(controller.channel.backlog.queued_lines(at(0.2)) >= 2.0 * queued);
@@ -57,7 +57,7 @@
 
 #[test]
 fn lost_commands_that_reach_no_proxy_wait_for_no_lines() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     let recorded = controller.channel.backlog.recorded_lines;
     controller.issue_commands(at(1.0));
     controller.commands_lost(at(1.0), true);
@@ -68,7 +68,7 @@
 
 #[test]
 fn resent_commands_are_acknowledged_and_clear_the_queue() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     for n in 0..50 {
         controller.commands_lost(at(1.0 + f64::from(n)), true);
     }
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_rejected_weight_is_sent_again() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.weight_rejected(0, &"b".into());
     controller.timer_fired(at(2.0), Timer::Recheck);
     assert_eq!(controller.host.weight(0, "b"), Some(2.0));
--- a/src/controller/ejection/tests.rs
+++ b/src/controller/ejection/tests.rs
@@ -1,11 +1,11 @@
 use crate::channel_backlog::ChannelBacklog;
 use crate::controller::test_support::running_crowded;
 use crate::host::{EndpointState, Timer};
-use crate::testing::{at, config, draining, eject, ready, restore, running};
+use crate::testing::{at, config, draining, eject, ready, restore, running_controller};
 
 #[test]
 fn a_joined_proxy_that_stays_unassigned_gets_all_ejections() {
-    let mut controller = running(config(), &["a"], 0);
+    let mut controller = running_controller(config(), &["a"], 0);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.state = EndpointState::Removed;
     endpoint.ejected = true;
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_restored_endpoint_is_ejected_again_when_it_leaves_again() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     for (now, update) in [(2.0, draining("a")), (4.0, ready("a")), (6.0, draining("a"))] {
         controller.endpoints_updated(at(now), &[update]);
         controller.timer_fired(at(now + 1.0), Timer::Evaluation);
--- a/src/controller/endpoints/tests.rs
+++ b/src/controller/endpoints/tests.rs
@@ -1,18 +1,20 @@
 use crate::config::ControllerConfig;
 use crate::host::Timer;
-use crate::testing::{at, config, eject, forget, ready, removed, restore, running, schedule_timer};
+use crate::testing::{
+    at, config, eject, forget, ready, removed, restore, running_controller, schedule_timer,
+};
 use crate::time::Span;
 
 #[test]
 fn an_endpoint_missing_from_a_complete_list_is_removed() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.endpoint_list_replaced(at(2.0), &[ready("b")]);
     assert!(controller.host.commands.contains(&eject("a")));
 }
 
 #[test]
 fn an_endpoint_removed_long_ago_is_forgotten_and_used_again_when_its_id_returns() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.endpoints_updated(at(2.0), &[removed("a")]);
     controller.timer_fired(at(61.0), Timer::Evaluation);
     assert!(controller.endpoints.get("a").is_some());
@@ -26,7 +28,7 @@
 
 #[test]
 fn a_fleet_replaced_for_hours_leaves_nothing_behind() {
-    let mut controller = running(config(), &["s0"], 2);
+    let mut controller = running_controller(config(), &["s0"], 2);
     let id = |n: u32| format!("s{n}");
     for n in 1..3_000_u32 {
         let now = at(f64::from(n) * 4.0);
@@ -41,14 +43,16 @@
 
 #[test]
 fn a_failed_watch_is_retried() {
-    let mut controller = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
+    let mut controller =
+        running_controller(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
     controller.endpoint_watch_failed(at(3.0));
     assert_eq!(controller.host.timer_count(Timer::WatchRetry), 1);
 }
 
 #[test]
 fn the_first_failure_of_the_watch_is_retried_at_once_and_those_right_after_it_with_a_delay() {
-    let mut controller = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
+    let mut controller =
+        running_controller(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
     for (now, at_once) in [(3.0, true), (3.1, false), (4.2, false), (6.0, true)] {
         controller.host.commands.clear();
         controller.endpoint_watch_failed(at(now));
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -1,5 +1,5 @@
 use super::FAILED_BAND;
-use crate::testing::{at, config, running, TestController};
+use crate::testing::{at, config, running_controller, TestController};
 use crate::time::Span;
 
 fn ejection_level(controller: &TestController, id: &str) -> usize {
@@ -12,7 +12,7 @@
 
 #[test]
 fn an_endpoint_that_fares_worse_than_its_peers_goes_to_the_next_ejection_level() {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 20.0);
     }
@@ -25,7 +25,7 @@
 
 /// Detection after `attempts` at each of two endpoints, none at a third, and two at "a".
 fn after_detection(attempts: f64, failed: f64, latency_secs: f64) -> TestController {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for id in ["b", "c"] {
         controller.endpoint_outcomes(at(1.0), id, attempts, 0.0, Span::ZERO, Span::ZERO);
     }
@@ -53,7 +53,7 @@
 
 #[test]
 fn only_a_part_of_the_fleet_is_ejected() {
-    let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 100.0);
     }
@@ -67,7 +67,7 @@
 
 #[test]
 fn while_the_median_endpoint_fares_badly_none_is_ejected() {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 6.0);
         endpoint.outlier.outcomes.add(FAILED_BAND, 4.0);
@@ -81,7 +81,7 @@
 #[test]
 fn an_endpoint_recovers_after_its_ejection_time_however_late_the_timers_are() {
     for (late, level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
-        let mut controller = running(config(), &["a", "b"], 1);
+        let mut controller = running_controller(config(), &["a", "b"], 1);
         let endpoint = controller.endpoints.get_mut("a").unwrap();
         endpoint.outlier.ejection_level = 2;
         endpoint.outlier.ejection_count = 1;
@@ -93,7 +93,7 @@
 
 #[test]
 fn reports_about_the_weight_before_the_last_change_do_not_count() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
     endpoint.outlier.level_since = at(5.0);
@@ -103,7 +103,7 @@
 
 #[test]
 fn reports_about_endpoints_that_were_never_listed_are_ignored() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoint_outcomes(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
     assert_eq!(controller.fleet_load.attempts, 0.0);
 }
--- a/src/controller/proxies/tests.rs
+++ b/src/controller/proxies/tests.rs
@@ -1,11 +1,11 @@
 use crate::host::{EndpointUpdate, Timer};
-use crate::testing::{at, config, ready, running};
+use crate::testing::{at, config, ready, running_controller};
 
 /// As when the event stream was reopened: no proxy left, and the relay goes on sending them their table's
 /// changes.
 #[test]
 fn lines_to_proxies_that_are_announced_again_are_still_counted() {
-    let mut controller = running(config(), &["a", "b"], 4);
+    let mut controller = running_controller(config(), &["a", "b"], 4);
     for proxy in 0..4 {
         controller.proxy_joined(at(1.0), proxy, 0, 10.0, false);
     }
@@ -20,7 +20,7 @@
 
 #[test]
 fn what_was_queued_for_a_proxy_that_left_is_queued_no_longer() {
-    let mut controller = running(config(), &["a"], 2);
+    let mut controller = running_controller(config(), &["a"], 2);
     controller.channel.backlog.record(at(2.0), 1, 400.0, 0.0);
     let queued = controller.channel.backlog.queued_lines(at(2.0));
     controller.proxy_left(at(2.0), 1);
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -6,13 +6,13 @@
 use crate::controller::test_support::running_crowded;
 use crate::host::{EndpointState, RetryPolicy};
 use crate::testing::{
-    at, config, draining, eject, ready, ready_since, restore, running, set_weight, Command,
+    at, config, draining, eject, ready, ready_since, restore, running_controller, set_weight, Command,
 };
 use crate::time::Span;
 
 #[test]
 fn ordinary_changes_are_batched() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.5), &[ready("b")]);
     assert_eq!(controller.host.weight_count(), 0);
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_draining_endpoint_leaves_at_once_while_ordinary_changes_are_batched() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[draining("a")]);
     assert_eq!(controller.host.commands, [set_weight(0, "a", 0.0), eject("a")]);
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_returning_endpoint_is_restored_with_its_weight() {
-    let mut controller = running(config(), &["a", "b"], 1);
+    let mut controller = running_controller(config(), &["a", "b"], 1);
     let returning = controller.endpoints.get_mut("a").unwrap();
     returning.state = EndpointState::Removed;
     returning.ejected = true;
@@ -52,7 +52,7 @@
 #[test]
 fn urgent_changes_are_batched_while_the_queue_is_long() {
     let config = ControllerConfig { max_transit: Span::from_secs(0.1), ..config() };
-    let mut controller = running(config, &["a", "b", "c"], 1);
+    let mut controller = running_controller(config, &["a", "b", "c"], 1);
     controller.channel.backlog = ChannelBacklog::default();
     controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
     controller.endpoints_updated(at(2.0), &[draining("a")]);
@@ -88,7 +88,7 @@
 
 #[test]
 fn no_retry_is_ever_ordered() {
-    let mut controller = running(config(), &["a"], 0);
+    let mut controller = running_controller(config(), &["a"], 0);
     controller.tables.by_number.insert(0, RouteTable::new(None));
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
     let no_changes = TableChanges { table: 0, receivers: Vec::new(), changes: Vec::new() };
--- a/src/controller/routing/tests.rs
+++ b/src/controller/routing/tests.rs
@@ -2,7 +2,7 @@
 use crate::config::ControllerConfig;
 use crate::controller::channel::ChannelLimits;
 use crate::host::{EndpointUpdate, Timer};
-use crate::testing::{at, config, ready, ready_since, running, Command, TestController};
+use crate::testing::{at, config, ready, ready_since, running_controller, Command, TestController};
 
 fn in_zone(zone: u32, update: EndpointUpdate) -> EndpointUpdate {
     EndpointUpdate { zone, ..update }
@@ -10,14 +10,15 @@
 
 #[test]
 fn a_table_holds_every_listed_endpoint_at_its_listed_weight() {
-    let mut controller = running(config(), &[], 1);
+    let mut controller = running_controller(config(), &[], 1);
     controller.endpoint_list_replaced(at(1.0), &[ready("a"), in_zone(3, ready("b"))]);
     assert_eq!((controller.host.weight(0, "a"), controller.host.weight(0, "b")), (Some(2.0), Some(2.0)));
 }
 
 #[test]
 fn the_home_zone_keeps_most_requests_where_crossing_zones_costs() {
-    let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 1);
+    let mut controller =
+        running_controller(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 1);
     controller.proxy_joined(at(1.0), 1, 1, 10.0, true);
     controller.endpoints_updated(at(2.0), &[in_zone(1, ready("b"))]);
     assert!((controller.host.weight(ARCS_PER_ZONE, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
@@ -25,7 +26,8 @@
 
 #[test]
 fn a_zone_without_endpoints_uses_the_others_at_full_weight() {
-    let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
+    let mut controller =
+        running_controller(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
     controller.proxy_joined(at(1.0), 1, 5, 10.0, true);
     controller.timer_fired(at(1.2), Timer::Recheck);
     assert_eq!(controller.host.weight(6 * ARCS_PER_ZONE, "a"), Some(2.0));
@@ -35,7 +37,7 @@
 fn with_a_zone_local_class_a_table_holds_its_zone_alone() {
     let mut config = config();
     config.request_classes[1].zone_local = true;
-    let mut controller = running(config, &["a"], 1);
+    let mut controller = running_controller(config, &["a"], 1);
     controller.endpoints_updated(at(2.0), &[in_zone(1, ready("b")), ready("c")]);
     assert_eq!(controller.host.weight(ARCS_PER_ZONE, "b"), None);
     assert_eq!(controller.host.weight(ARCS_PER_ZONE, "c"), Some(2.0));
@@ -45,7 +47,7 @@
 fn controller_with_small_tables() -> TestController {
     let config =
         ControllerConfig { cross_zone_costs: true, proxy_count: 60, message_overhead_lines: 2.5, ..config() };
-    let mut controller = running(config, &[], 0);
+    let mut controller = running_controller(config, &[], 0);
     let fleet: Vec<EndpointUpdate> = (0..120).map(|k| in_zone(k % 2, ready(&format!("s{k}")))).collect();
     controller.endpoint_list_replaced(at(0.5), &fleet);
     for proxy in 0..60 {
--- a/src/controller/sharding/tests.rs
+++ b/src/controller/sharding/tests.rs
@@ -1,10 +1,10 @@
 use crate::config::ControllerConfig;
 use crate::host::RetryPolicy;
-use crate::testing::{at, config, draining, eject, removed, running, set_weight, Command};
+use crate::testing::{at, config, draining, eject, removed, running_controller, set_weight, Command};
 
 #[test]
 fn a_shard_whose_endpoint_left_gets_another() {
-    let mut controller = running(ControllerConfig { shards: 2, ..config() }, &["a", "b"], 0);
+    let mut controller = running_controller(ControllerConfig { shards: 2, ..config() }, &["a", "b"], 0);
     controller.shard_assigned(1);
     controller.shard_weight_restored(1, &"a".into(), 1.0);
     controller.endpoints_updated(at(2.0), &[removed("a")]);
@@ -16,7 +16,7 @@
 fn a_shard_with_a_single_writer_stops_its_writes_before_it_moves() {
     let mut config = ControllerConfig { shards: 2, single_writer: true, ..config() };
     config.request_classes[1].writes = true;
-    let mut controller = running(config, &["a", "b"], 0);
+    let mut controller = running_controller(config, &["a", "b"], 0);
     controller.shard_assigned(1);
     controller.shard_weight_restored(1, &"a".into(), 1.0);
     controller.endpoints_updated(at(2.0), &[draining("a")]);
--- a/src/controller/slow_start/tests.rs
+++ b/src/controller/slow_start/tests.rs
@@ -1,10 +1,10 @@
 use super::{slow_start_factor, RAMP_EXPONENT};
 use crate::config::ControllerConfig;
-use crate::testing::{at, config, ready_since, running};
+use crate::testing::{at, config, ready_since, running_controller};
 
 #[test]
 fn a_new_endpoint_starts_at_a_tenth_of_its_weight() {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     controller.endpoints_updated(at(2.0), &[ready_since("e", 2.0)]);
     assert!(controller.host.weight(0, "e").unwrap() <= 0.2 + 1e-9);
 }
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_fleet_that_rejects_attempts_reduces_the_weights_of_its_cold_endpoints() {
-    let mut controller = running(config(), &["a", "b", "c", "d", "e"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d", "e"], 1);
     controller.fleet_load.attempts = 100.0;
     controller.fleet_load.answered = 50.0;
     controller.endpoints_updated(at(2.0), &[ready_since("f", 2.0)]);
@@ -27,7 +27,7 @@
 #[test]
 fn no_cold_endpoint_joins_a_struggling_fleet_whose_proxies_eject() {
     let config = ControllerConfig { proxy_ejection_threshold: 3, ..config() };
-    let mut controller = running(config, &["a", "b"], 1);
+    let mut controller = running_controller(config, &["a", "b"], 1);
     controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
     assert_eq!(controller.host.weight_count(), 0);
@@ -36,7 +36,7 @@
 #[test]
 fn cold_endpoints_join_a_struggling_fleet_without_warm_ones() {
     let config = ControllerConfig { proxy_ejection_threshold: 3, ..config() };
-    let mut controller = running(config, &[], 1);
+    let mut controller = running_controller(config, &[], 1);
     controller.fleet_load.struggling = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
     assert!(controller.host.weight(0, "c").is_some());
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -7,7 +7,7 @@
 use crate::time::{Moment, Span};
 
 /// A controller whose commands are recorded.
-pub type TestController = Controller<Recorder>;
+pub type TestController = Controller<RecordingHost>;
 
 /// A command that the controller gave its host.
 #[derive(Clone, Debug, PartialEq)]
@@ -50,11 +50,11 @@
 
 /// A host that records the commands it is given.
 #[derive(Default)]
-pub struct Recorder {
+pub struct RecordingHost {
     pub commands: Vec<Command>,
 }
 
-impl Recorder {
+impl RecordingHost {
     pub fn count(&self, matches: impl Fn(&Command) -> bool) -> usize {
         self.commands.iter().filter(|command| matches(command)).count()
     }
@@ -110,7 +110,7 @@
     }
 }
 
-impl Host for Recorder {
+impl Host for RecordingHost {
     fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
         self.commands.push(set_weight(table, endpoint, weight));
     }
@@ -200,8 +200,8 @@
 }
 
 /// A controller that knows these endpoints, ready and long warm in zone 0, and whose proxies are assigned.
-pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
-    let mut controller = Controller::start(Recorder::default(), config, 7, at(0.0));
+pub fn running_controller(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
+    let mut controller = Controller::start(RecordingHost::default(), config, 7, at(0.0));
     let updates: Vec<EndpointUpdate> = ids.iter().map(|id| ready(id)).collect();
     controller.endpoint_list_replaced(at(0.0), &updates);
     for proxy in 0..proxies {
