--- a/adapter-support/src/json_fields.rs
+++ b/adapter-support/src/json_fields.rs
@@ -1,32 +1,32 @@
-//! A JSON object and the fields that the decisions need of it. Unknown fields are skipped; a missing or malformed one
-//! is an error that names it.
+//! Typed access to the fields of a JSON object. Unknown fields are ignored; a missing or malformed field is
+//! an error that names it.
 
 use crate::SettingsReader;
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-/// Beyond this no figure can be right: a greater one is a fault of its sender, and would spoil every sum.
+/// The largest number that is accepted. A larger one is an error of its sender and would distort every sum.
 const MAX_NUMBER: f64 = 1e12;
 
-/// What is wrong with a JSON object.
+/// Why a JSON object was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonFieldError {
-    /// A message is no object.
-    #[error("not a JSON object")]
+    /// A message is not an object.
+    #[error("message is not a JSON object")]
     MessageNotAnObject,
-    /// A nested value is no object.
-    #[error("{object}: not a JSON object")]
+    /// A nested value is not an object.
+    #[error("{object} is not a JSON object")]
     NotAnObject {
-        /// Which value.
+        /// The kind of the value.
         object: String,
     },
-    /// A message does not say of which kind it is.
-    #[error("no field '{field}' with a message's name")]
+    /// A message does not state its kind.
+    #[error("message has no string field '{field}' that states its kind")]
     MissingKind {
-        /// The field that should say it.
+        /// The field that should state it.
         field: String,
     },
-    /// A field that has to be there is missing.
+    /// A required field is missing.
     #[error("{object}: field '{field}' is missing")]
     Missing {
         /// In which object.
@@ -34,21 +34,21 @@
         /// Which field.
         field: String,
     },
-    /// A field is of the wrong type or out of bounds.
+    /// A field has the wrong type or is out of range.
     #[error("{object}: field '{field}' is not {expected}: {value}")]
     Invalid {
         /// In which object.
         object: String,
         /// Which field.
         field: String,
-        /// What it should be.
+        /// The expected type or range.
         expected: &'static str,
-        /// What it is.
+        /// The value that was received, as JSON.
         value: String,
     },
 }
 
-/// One JSON object: its kind, which errors name, and its fields.
+/// The fields of one JSON object, and its kind, which is part of error messages.
 ///
 /// ```
 /// use otterwinch_adapter_support::JsonFields;
@@ -56,18 +56,18 @@
 /// let fields = JsonFields::from_message(&value, "kind").unwrap();
 /// assert_eq!(fields.non_negative("absent"), Ok(0.0));
 /// let error = fields.non_negative("bad").unwrap_err();
-/// assert_eq!(error.to_string(), "HEARD: field 'bad' is not a number of 0 or more: -1");
+/// assert_eq!(error.to_string(), "HEARD: field 'bad' is not a number from 0 to 1e12: -1");
 /// assert!(fields.non_negative("tries").is_err());
 /// ```
 #[derive(Clone, Copy)]
 pub struct JsonFields<'a> {
-    /// The kind of the message, or the place of the object.
+    /// The kind of the message or nested object, such as `HEARD` or `PAGE entry`.
     pub kind: &'a str,
     map: &'a Map<String, Value>,
 }
 
 impl<'a> JsonFields<'a> {
-    /// A message whose kind stands in the field `kind_field`.
+    /// A message that states its kind in the field `kind_field`.
     pub fn from_message(value: &'a Value, kind_field: &str) -> Result<Self, JsonFieldError> {
         let map = value.as_object().ok_or(JsonFieldError::MessageNotAnObject)?;
         let kind = map.get(kind_field).and_then(Value::as_str);
@@ -75,14 +75,14 @@
         Ok(JsonFields { kind, map })
     }
 
-    /// An object that is what it is by its place.
+    /// A nested object, which has no kind field of its own; `kind` names it in errors.
     pub fn from_object(value: &'a Value, kind: &'a str) -> Result<Self, JsonFieldError> {
         let map = value.as_object();
         let map = map.ok_or_else(|| JsonFieldError::NotAnObject { object: kind.to_owned() })?;
         Ok(JsonFields { kind, map })
     }
 
-    /// Whether a field of that name is there.
+    /// Whether a field with this name is present.
     pub fn has(&self, name: &str) -> bool {
         self.map.contains_key(name)
     }
@@ -103,15 +103,15 @@
         })
     }
 
-    /// A whole number of 0 or more.
+    /// An integer of 0 or more.
     pub fn u64(&self, name: &str) -> Result<u64, JsonFieldError> {
-        self.get(name, "a whole number", Value::as_u64)
+        self.get(name, "an integer of 0 or more", Value::as_u64)
     }
 
-    /// A whole number of 0 or more and below 2^32.
+    /// An integer of 0 or more and below 2^32.
     pub fn u32(&self, name: &str) -> Result<u32, JsonFieldError> {
         let read = |value: &Value| value.as_u64().and_then(|number| u32::try_from(number).ok());
-        self.get(name, "a small whole number", read)
+        self.get(name, "an integer from 0 to 4294967295", read)
     }
 
     /// An integer.
@@ -119,7 +119,7 @@
         self.get(name, "an integer", Value::as_i64)
     }
 
-    /// An integer; `absent` where the field is missing.
+    /// An integer; `absent` if the field is missing.
     pub fn i64_or(&self, name: &str, absent: i64) -> Result<i64, JsonFieldError> {
         if self.has(name) {
             self.i64(name)
@@ -128,16 +128,16 @@
         }
     }
 
-    /// A number of 0 or more that counts or weighs something; 0 where the field is missing.
+    /// A number from 0 to 1e12, such as a count or a weight; 0 if the field is missing.
     pub fn non_negative(&self, name: &str) -> Result<f64, JsonFieldError> {
         if !self.has(name) {
             return Ok(0.0);
         }
         let read = |value: &Value| value.as_f64().filter(|number| (0.0..=MAX_NUMBER).contains(number));
-        self.get(name, "a number of 0 or more", read)
+        self.get(name, "a number from 0 to 1e12", read)
     }
 
-    /// A number that has to be there and to lie within bounds.
+    /// A required number within bounds.
     ///
     /// ```
     /// use otterwinch_adapter_support::JsonFields;
@@ -150,20 +150,20 @@
     /// ```
     pub fn number_within(&self, name: &str, bounds: RangeInclusive<f64>) -> Result<f64, JsonFieldError> {
         let read = |value: &Value| value.as_f64().filter(|number| bounds.contains(number));
-        self.get(name, "a number within bounds", read)
+        self.get(name, "a number within the allowed range", read)
     }
 
-    /// A text.
+    /// A string.
     pub fn string(&self, name: &str) -> Result<&'a str, JsonFieldError> {
-        self.get(name, "a text", Value::as_str)
+        self.get(name, "a string", Value::as_str)
     }
 
-    /// A list.
+    /// An array.
     pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, JsonFieldError> {
-        self.get(name, "a list", Value::as_array)
+        self.get(name, "an array", Value::as_array)
     }
 
-    /// A flag; the protocols leave false ones out.
+    /// A boolean; the protocols omit false ones. A field of another type also reads as false.
     pub fn bool(&self, name: &str) -> bool {
         self.map.get(name).and_then(Value::as_bool).unwrap_or(false)
     }
@@ -173,7 +173,7 @@
         self.get(name, "an object", |value| value.is_object().then_some(value))
     }
 
-    /// An object of settings, whose fields may all be missing.
+    /// An object of settings, all of whose fields are optional.
     pub fn settings(&self, name: &str) -> Result<SettingsReader<'a>, JsonFieldError> {
         self.object(name).map(SettingsReader::new)
     }
--- a/simulator-adapter/src/adapter/tests.rs
+++ b/simulator-adapter/src/adapter/tests.rs
@@ -54,7 +54,7 @@
         .handle_line(br#"{"kind":"HEARD","who":3,"server":"a","triesN":-4}"#)
         .unwrap_err()
         .to_string();
-    assert_eq!(error, "HEARD: field 'triesN' is not a number of 0 or more: -4");
+    assert_eq!(error, "HEARD: field 'triesN' is not a number from 0 to 1e12: -4");
 }
 
 #[test]
