--- a/adapter-support/src/lib.rs
+++ b/adapter-support/src/lib.rs
@@ -1,6 +1,6 @@
-//! What every host of the controller does alike, whatever protocol it speaks: it takes fields out of JSON objects,
-//! reads the settings into a `ControllerConfig`, validates commands before they go out, and catches a panic of the
-//! controller.
+//! Code shared by the programs that embed the controller, independent of their protocols: it reads the
+//! fields of JSON objects, reads the settings into a `ControllerConfig`, validates commands before they are
+//! sent, and catches panics of the controller.
 
 mod command_validator;
 mod json_fields;
--- a/adapter-support/src/panic_guard.rs
+++ b/adapter-support/src/panic_guard.rs
@@ -1,20 +1,20 @@
-//! Turns a panic of the controller into an error, so that it costs one instance and not the process.
+//! Turns a panic of the controller into an error, so that it stops one instance and not the whole process.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// A panic that was caught, with its message.
+/// A panic that was caught.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}")]
 pub struct CaughtPanic {
-    /// What the panic said; a general text where it carried none.
+    /// The message of the panic; a generic one if its payload is not a string.
     pub message: String,
 }
 
-/// Runs a call and catches its panic.
+/// Runs a call and returns its panic, if any, as an error.
 ///
 /// ```
 /// use otterwinch_adapter_support::catch_panic;
-/// assert_eq!(catch_panic(|| panic!("no {}", "luck")).unwrap_err().message, "no luck");
+/// assert_eq!(catch_panic(|| panic!("no {}", "table")).unwrap_err().message, "no table");
 /// assert_eq!(catch_panic(|| {}), Ok(()));
 /// ```
 pub fn catch_panic(call: impl FnOnce()) -> Result<(), CaughtPanic> {
--- a/adapter-support/src/settings.rs
+++ b/adapter-support/src/settings.rs
@@ -1,39 +1,40 @@
-//! Reads the settings that an instance is given at its start into the configuration of the controller. This is the one
-//! place where the names of the settings' fields are mapped to the field's terms.
+//! Reads the settings that an instance is given at startup into the configuration of the controller. This is
+//! the only place that maps the field names of the settings to the fields of `ControllerConfig`.
 
 use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use serde_json::Value;
 
-/// Classes beyond this position have no bit in a `RequestClassSet`.
+/// The number of bits in a `RequestClassSet`; further classes are ignored.
 const MAX_REQUEST_CLASSES: usize = 64;
 
-/// A place in the settings; one that does not exist reads as 0, false, empty text or an empty list.
+/// A value in the settings. A missing value or one of the wrong type reads as 0, false, an empty string or an
+/// empty array.
 #[derive(Clone, Copy)]
 pub struct SettingsReader<'a>(Option<&'a Value>);
 
 impl<'a> SettingsReader<'a> {
-    /// Reads a JSON value.
+    /// A reader of this JSON value.
     pub fn new(value: &'a Value) -> Self {
         SettingsReader(Some(value))
     }
 
-    /// The field of that name.
+    /// The field with this name.
     pub fn field(self, name: &str) -> SettingsReader<'a> {
         SettingsReader(self.0.and_then(|value| value.get(name)))
     }
 
-    /// The elements of a list.
+    /// The elements of an array.
     pub fn elements(self) -> impl Iterator<Item = SettingsReader<'a>> {
         self.0.and_then(Value::as_array).into_iter().flatten().map(|value| SettingsReader(Some(value)))
     }
 
-    /// A whole number of 0 or more; others are clamped to the bounds of the type.
+    /// The integer part of a number, clamped to the range of the type.
     pub fn u32(self) -> u32 {
         self.number().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
-    /// A text.
+    /// A string.
     pub fn string(self) -> &'a str {
         self.0.and_then(Value::as_str).unwrap_or("")
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// The configuration of the controller that the settings of a deployment describe.
+/// The configuration of the controller for a deployment with these settings.
 pub fn controller_config(settings: &SettingsReader) -> ControllerConfig {
     let family = settings.field("familyInfo");
     let guarantees = settings.field("guarantees");
