--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -12,7 +12,7 @@
 /// The messages of one moment, one for each proxy.
 #[derive(Debug)]
 struct Batch {
-    sent: Moment,
+    sent_at: Moment,
     /// What the proxies acknowledge the batch with, or [`UNNUMBERED`].
     number: u32,
     /// Lines recorded before this batch, and lines of this batch that are known to have left.
@@ -42,9 +42,9 @@
     drain_rate: f64,
     /// All lines ever recorded, message overheads and acknowledgement requests included.
     pub recorded_lines: f64,
-    /// Lines that were queued at `queued_as_of`.
+    /// Lines that were queued at `queued_at`.
     queued: f64,
-    queued_as_of: Moment,
+    queued_at: Moment,
     batches: VecDeque<Batch>,
     /// When lines were recorded or acknowledged last.
     pub last_activity: Moment,
@@ -65,12 +65,12 @@
 
     /// The most lines that may still be queued.
     pub fn queued_lines(&self, now: Moment) -> f64 {
-        (self.queued - (now - self.queued_as_of).as_secs() * self.drain_rate).max(0.0)
+        (self.queued - (now - self.queued_at).as_secs() * self.drain_rate).max(0.0)
     }
 
     /// Records lines for a proxy. All lines of one moment are one message, with one overhead.
     pub fn record(&mut self, now: Moment, proxy: u32, lines: f64, overhead: f64) {
-        if self.batches.back().is_none_or(|batch| batch.sent != now) {
+        if self.batches.back().is_none_or(|batch| batch.sent_at != now) {
             self.start_batch(now);
         }
         let Some(batch) = self.batches.back_mut() else { return };
@@ -95,7 +95,7 @@
             self.batches.pop_back();
         }
         self.batches.push_back(Batch {
-            sent: now,
+            sent_at: now,
             number: UNNUMBERED,
             lines_before: self.recorded_lines,
             lines_by_proxy: BTreeMap::new(),
@@ -106,13 +106,13 @@
 
     fn set_queued(&mut self, now: Moment, lines: f64) {
         self.queued = lines;
-        self.queued_as_of = now;
+        self.queued_at = now;
     }
 
     /// Records the batch of an earlier moment once more, as one of this moment, since it may leave twice.
     /// Returns its lines and the number that acknowledges the repetition.
-    pub fn record_resend(&mut self, now: Moment, sent: Moment) -> (f64, Option<u32>) {
-        let latest = self.batches.back().filter(|batch| batch.sent == sent);
+    pub fn record_resend(&mut self, now: Moment, sent_at: Moment) -> (f64, Option<u32>) {
+        let latest = self.batches.back().filter(|batch| batch.sent_at == sent_at);
         let lines_by_proxy = latest.map(|batch| batch.lines_by_proxy.clone()).unwrap_or_default();
         for (proxy, lines) in &lines_by_proxy {
             self.record(now, *proxy, *lines, 0.0);
@@ -123,7 +123,7 @@
     /// Numbers this moment's batch, which makes each of its messages a line longer; `None` where this moment
     /// has none.
     pub fn request_acknowledgement(&mut self, now: Moment) -> Option<u32> {
-        let batch = self.batches.back_mut().filter(|batch| batch.sent == now)?;
+        let batch = self.batches.back_mut().filter(|batch| batch.sent_at == now)?;
         if batch.number == UNNUMBERED {
             self.last_number = self.last_number % 65_535 + 1;
             batch.number = self.last_number;
