--- a/control-plane/src/timer_queue/tests.rs
+++ b/control-plane/src/timer_queue/tests.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_cleared_queue_has_no_timer_due() {
     let mut queue = TimerQueue::default();
-    queue.schedule(Moment::from_us(0), Timer::Heartbeat);
+    queue.schedule(Moment::from_us(0), Timer::AssignmentRetry);
     queue.clear();
     assert_eq!(queue.next_due(), None);
     assert_eq!(queue.pop_due(Moment::from_us(0) + Span::from_secs(1.0)), None);
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -48,9 +48,9 @@
                 self.recheck_soon();
             } else if budget_is_spent || self.tables.is_usable(table, &self.endpoints) {
                 self.assign(now, number, limits);
-            } else if self.timers.start(Timer::Heartbeat) {
+            } else if self.timers.start(Timer::AssignmentRetry) {
                 let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
-                self.host.schedule_timer(HEARTBEAT_INTERVAL * jitter, Timer::Heartbeat);
+                self.host.schedule_timer(HEARTBEAT_INTERVAL * jitter, Timer::AssignmentRetry);
             }
         }
     }
--- a/src/controller/assignment/tests.rs
+++ b/src/controller/assignment/tests.rs
@@ -6,7 +6,7 @@
 fn an_assignment_waits_for_a_usable_endpoint() {
     let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, false);
-    controller.timer_fired(at(9.0), Timer::Heartbeat);
+    controller.timer_fired(at(9.0), Timer::AssignmentRetry);
     assert_eq!(controller.host.assignment_count(), 0);
 }
 
@@ -14,7 +14,7 @@
 fn a_first_assignment_is_made_once_the_budget_is_spent() {
     let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 9, 10.0, true);
-    controller.timer_fired(at(6.5), Timer::Heartbeat);
+    controller.timer_fired(at(6.5), Timer::AssignmentRetry);
     assert_eq!(controller.host.tables_of(4).len(), 1);
 }
 
@@ -24,7 +24,7 @@
     controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
     controller.assign_waiting(at(1.2), &limits);
-    assert_eq!(controller.host.timer_count(Timer::Heartbeat), 1);
+    assert_eq!(controller.host.timer_count(Timer::AssignmentRetry), 1);
 }
 
 #[test]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -194,7 +194,7 @@
                 self.evaluate(now);
                 self.issue_commands(now);
             }
-            Timer::Heartbeat | Timer::Recheck => self.issue_commands(now),
+            Timer::AssignmentRetry | Timer::Recheck => self.issue_commands(now),
         }
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -56,7 +56,7 @@
     /// The periodic evaluation of load, outliers and admission.
     Evaluation = 1,
     /// The jittered heartbeat while an assignment is held back.
-    Heartbeat = 2,
+    AssignmentRetry = 2,
     /// The next attempt to watch the endpoint list.
     WatchRetry = 3,
     /// Another look soon, for what found no room or had to wait.
@@ -73,7 +73,8 @@
 
     /// The timer that a protocol's number stands for.
     pub fn from_label(label: u64) -> Option<Self> {
-        let all = [Timer::Evaluation, Timer::Heartbeat, Timer::WatchRetry, Timer::Recheck, Timer::Resend];
+        let all =
+            [Timer::Evaluation, Timer::AssignmentRetry, Timer::WatchRetry, Timer::Recheck, Timer::Resend];
         all.into_iter().find(|timer| timer.label() == label)
     }
 }
