--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -1,26 +1,28 @@
-//! Accounting of the channel to the proxies: what was sent into it, and what is known to have left it.
+//! Accounting of the channel to the proxies: which lines were sent into it, and which are known to have left
+//! it.
 //!
-//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog counts and
-//! decides nothing: the budgets that are compared with it belong to the controller's `channel` module.
+//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog only counts; the
+//! limits that are compared with it belong to the controller's `channel` module.
 
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The number of a batch whose proxies were not asked for an acknowledgement.
+/// The number of a batch for which no acknowledgement was requested.
 const UNNUMBERED: u32 = 0;
 
-/// The messages of one moment, one for each proxy.
+/// The messages that were sent at one time, one for each proxy.
 #[derive(Debug)]
 struct Batch {
     sent_at: Moment,
-    /// What the proxies acknowledge the batch with, or [`UNNUMBERED`].
+    /// The number by which the proxies acknowledge the batch, or [`UNNUMBERED`].
     number: u32,
-    /// Lines recorded before this batch, and lines of this batch that are known to have left.
+    /// Lines recorded before this batch, plus lines of this batch that are known to have left the channel.
     lines_before: f64,
+    /// Lines of this batch that may still be queued.
     lines_by_proxy: BTreeMap<u32, f64>,
 }
 
-/// The lines that were sent into the channel and may not have left it yet.
+/// Tracks the lines that were sent into the channel and may not have left it yet.
 ///
 /// ```
 /// use otterwinch::{channel_backlog::ChannelBacklog, time::{Moment, Span}};
@@ -38,37 +40,37 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct ChannelBacklog {
-    /// Lines a second that leave the channel without an acknowledgement.
+    /// Lines per second that are assumed to leave the channel while no acknowledgement arrives.
     drain_rate: f64,
-    /// All lines ever recorded, message overheads and acknowledgement requests included.
+    /// All lines recorded so far, including message overheads and acknowledgement requests.
     pub recorded_lines: f64,
     /// Lines that were queued at `queued_at`.
     queued: f64,
     queued_at: Moment,
     batches: VecDeque<Batch>,
-    /// When lines were recorded or acknowledged last.
+    /// When lines were last recorded or acknowledged.
     pub last_activity: Moment,
     message_times: BTreeMap<u32, VecDeque<Moment>>,
     last_number: u32,
 }
 
 impl ChannelBacklog {
-    /// Batches that are kept for their acknowledgements. The channel's queue bounds them long before this;
-    /// the cap is for acknowledgements that never come. A slow channel holds hundreds of batches, and an
-    /// acknowledgement of a batch that was dropped here would be lost.
+    /// The most batches that are kept until they are acknowledged. The channel's queue limit normally keeps
+    /// their number far lower; this limit matters when acknowledgements never arrive. It must not be small: a
+    /// slow channel holds hundreds of batches, and an acknowledgement of a dropped batch has no effect.
     const MAX_BATCHES: usize = 2048;
 
-    /// An empty backlog of a channel that is relied on to carry so many lines a second.
+    /// An empty backlog of a channel that carries at least `drain_rate` lines per second.
     pub fn new(drain_rate: f64) -> Self {
         ChannelBacklog { drain_rate, ..ChannelBacklog::default() }
     }
 
-    /// The most lines that may still be queued.
+    /// An upper estimate of the lines that are still queued.
     pub fn queued_lines(&self, now: Moment) -> f64 {
         (self.queued - (now - self.queued_at).as_secs() * self.drain_rate).max(0.0)
     }
 
-    /// Records lines for a proxy. All lines of one moment are one message, with one overhead.
+    /// Records lines sent to a proxy. Lines sent to it at the same time form one message, with one overhead.
     pub fn record(&mut self, now: Moment, proxy: u32, lines: f64, overhead: f64) {
         if self.batches.back().is_none_or(|batch| batch.sent_at != now) {
             self.start_batch(now);
@@ -86,11 +88,11 @@
     }
 
     fn start_batch(&mut self, now: Moment) {
-        // Once nothing can be queued, an acknowledgement has nothing new to say.
+        // With nothing queued, an acknowledgement can't lower the estimate any further.
         if self.queued_lines(now) <= 0.0 {
             self.batches.clear();
         }
-        // An unnumbered batch is never acknowledged itself: it is among the lines before the next.
+        // An unnumbered batch is never acknowledged itself; its lines count as lines before the next batch.
         if self.batches.back().is_some_and(|batch| batch.number == UNNUMBERED) {
             self.batches.pop_back();
         }
@@ -109,8 +111,8 @@
         self.queued_at = now;
     }
 
-    /// Records the batch of an earlier moment once more, as one of this moment, since it may leave twice.
-    /// Returns its lines and the number that acknowledges the repetition.
+    /// Records the latest batch again, as sent now, if it was sent at `sent_at`: the channel may carry both
+    /// copies. Returns its lines and the number that acknowledges the second copy.
     pub fn record_resend(&mut self, now: Moment, sent_at: Moment) -> (f64, Option<u32>) {
         let latest = self.batches.back().filter(|batch| batch.sent_at == sent_at);
         let lines_by_proxy = latest.map(|batch| batch.lines_by_proxy.clone()).unwrap_or_default();
@@ -120,8 +122,8 @@
         (lines_by_proxy.values().sum(), self.request_acknowledgement(now))
     }
 
-    /// Numbers this moment's batch, which makes each of its messages a line longer; `None` where this moment
-    /// has none.
+    /// Numbers the batch that is sent now, which makes each of its messages one line longer; `None` if there
+    /// is no such batch.
     pub fn request_acknowledgement(&mut self, now: Moment) -> Option<u32> {
         let batch = self.batches.back_mut().filter(|batch| batch.sent_at == now)?;
         if batch.number == UNNUMBERED {
@@ -137,7 +139,8 @@
         Some(batch.number)
     }
 
-    /// A proxy acknowledged a batch: its message and all earlier batches have left the channel.
+    /// Handles a proxy's acknowledgement: its message of that batch and all earlier batches have left the
+    /// channel.
     pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
         let Some(position) = self.batches.iter().position(|batch| batch.number == number) else { return };
         self.batches.drain(..position);
@@ -148,21 +151,21 @@
         self.last_activity = now;
     }
 
-    /// The number of messages to a proxy within a window that ends now, and the time of the latest.
+    /// The number of messages to a proxy within the window that ends now, and the time of the latest.
     pub fn recent_messages(&mut self, now: Moment, proxy: u32, window: Span) -> (usize, Option<Moment>) {
         let times = self.message_times.entry(proxy).or_default();
         times.retain(|sent| now - *sent <= window);
         (times.len(), times.back().copied())
     }
 
-    /// The number of entries held in memory: unacknowledged messages and message times.
+    /// The number of entries kept in memory: unacknowledged messages and message times.
     pub fn retained_entries(&self) -> usize {
         let unacknowledged: usize = self.batches.iter().map(|batch| batch.lines_by_proxy.len()).sum();
         let times: usize = self.message_times.values().map(VecDeque::len).sum();
         unacknowledged + times
     }
 
-    /// A proxy's stream broke: what was queued for it is lost and will not be acknowledged.
+    /// Handles the end of a proxy's stream: lines queued for it are lost and will not be acknowledged.
     pub fn proxy_left(&mut self, now: Moment, proxy: u32) {
         self.message_times.remove(&proxy);
         let lost: f64 = self.batches.iter_mut().filter_map(|batch| batch.lines_by_proxy.remove(&proxy)).sum();
