--- a/src/config.rs
+++ b/src/config.rs
@@ -1,82 +1,82 @@
-//! What an instance of the controller reads once, at its start: the facts and limits of the deployment.
+//! The configuration of a controller, read once at its start: properties and limits of the deployment.
 
 use crate::time::Span;
 
-/// What the decisions read of one request class.
+/// The properties of a request class that the controller uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// A request that takes longer earns nothing.
+    /// The latency within which a request must be answered; a later answer has no value.
     pub latency_objective: Span,
-    /// The worth of a request that is answered in time, against that of the other classes.
+    /// The value of a request that is answered in time, relative to other classes.
     pub priority_weight: f64,
-    /// Its requests must not leave the zone of their proxy.
+    /// Requests must not leave the zone of their proxy.
     pub zone_local: bool,
-    /// Its requests change stored data.
+    /// Requests modify stored data.
     pub writes: bool,
 }
 
-/// How the proxies read the admission level that a command sets.
+/// How the proxies interpret the admission level that a command sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionMode {
-    /// As the part of the requests that is admitted, 0 to 1.
+    /// As the fraction of requests that is admitted, 0 to 1.
     Fraction,
-    /// As requests a second.
+    /// As requests per second.
     RatePerSecond,
-    /// Not at all.
+    /// The proxies do not support admission levels.
     Unsupported,
 }
 
-/// The configuration of one controller. A figure of 0 means that the deployment states no such limit.
+/// The configuration of one controller. A limit of 0 means that the deployment states no such limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControllerConfig {
-    /// The request classes, by position.
+    /// The request classes; commands refer to them by position.
     pub request_classes: Vec<RequestClass>,
-    /// The endpoint list answers only when it is polled.
+    /// Updates of the endpoint list arrive only when it is polled.
     pub polls_endpoint_list: bool,
-    /// Requests that cross zones take something off the result.
+    /// Requests that cross zones have a cost.
     pub cross_zone_costs: bool,
-    /// How the proxies read an admission level.
+    /// How the proxies interpret an admission level.
     pub admission: AdmissionMode,
-    /// A proxy stops using an endpoint by itself after so many failures in a row; 0: never.
+    /// Consecutive failures after which a proxy ejects an endpoint on its own; 0: never.
     pub proxy_ejection_threshold: u32,
-    /// Shards of keys, each with a table of its own; 0: none, and proxies are put on tables.
+    /// The number of key shards, each with its own table; 0: no sharding, and proxies are assigned tables.
     pub shards: u32,
-    /// At most one endpoint may accept writes for a shard at any time.
+    /// At most one endpoint may accept writes for a shard at a time.
     pub single_writer: bool,
-    /// How long a proxy that lost its controller may go on writing to the old owner of a shard.
+    /// How long a proxy that lost its controller may continue to write to the previous owner of a shard.
     pub write_lease: Span,
-    /// How long a write may still run at an endpoint once it was sent.
+    /// How long a write may still run at an endpoint after it was sent.
     pub write_settle_time: Span,
-    /// The interval of load reports.
+    /// The interval at which load is reported.
     pub report_interval: Span,
-    /// Proxies in all, whichever controller they are joined to.
+    /// The number of all proxies, whichever controller they have joined.
     pub proxy_count: u32,
-    /// Connections that the smallest endpoints accept; 0: not stated.
+    /// The number of connections that the smallest endpoints accept; 0: not stated.
     pub min_endpoint_connections: u32,
-    /// Endpoints in the table that a proxy draws at its start.
+    /// The number of endpoints in the table that a proxy draws at its start.
     pub initial_table_size: u32,
-    /// Lines a second that the channel to the proxies carries.
+    /// The capacity of the channel to the proxies, in lines per second.
     pub channel_rate: f64,
-    /// What a message costs the channel besides its lines, in lines.
+    /// The cost of a message in addition to its own lines, in lines.
     pub message_overhead_lines: f64,
-    /// Lines that may be queued in the channel.
+    /// The most lines that may be queued in the channel.
     pub max_queued_lines: f64,
-    /// Messages that one proxy may get within `push_window`; 0: no limit.
+    /// The most messages that one proxy may receive within `push_window`; 0: no limit.
     pub max_pushes: u32,
-    /// The window of `max_pushes`.
+    /// The window to which `max_pushes` applies.
     pub push_window: Span,
-    /// The longest transit of a message from the channel to a proxy.
+    /// The longest transit time of a message from the channel to a proxy.
     pub max_transit: Span,
-    /// How long an endpoint may be used after it was listed as draining.
+    /// How long proxies may use an endpoint after it was listed as draining.
     pub drain_grace: Span,
-    /// How long an endpoint may take after its start until it bears its full load.
+    /// How long after its start an endpoint may need until it can take its full load.
     pub slow_start_window: Span,
-    /// The drain grace binds for draining endpoints alone, not for those merely removed from the list.
+    /// The drain grace applies only to draining endpoints, not to those that were only removed from the list.
     pub drain_grace_excludes_removed: bool,
 }
 
 impl ControllerConfig {
-    /// The lines that leave the channel and still arrive within the drain grace.
+    /// The lines that the channel can deliver to the proxies within the drain grace.
     pub fn lines_within_grace(&self) -> f64 {
         (self.drain_grace - self.max_transit).as_secs() * self.channel_rate
     }
