--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -1,6 +1,6 @@
-//! A histogram with a fixed number of bins whose counts decay.
+//! A histogram with a fixed number of bins whose counts can be halved to age them.
 //!
-//! The controller keeps one for each endpoint, with a bin for each band of latency.
+//! The controller keeps one for each endpoint: one bin per latency band, and the last for failed attempts.
 
 /// Counts in `N` bins.
 ///
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Halves every count, so that old evidence fades.
+    /// Halves every count, which gives old samples less weight than new ones.
     pub fn halve(&mut self) {
         for bin in &mut self.bins {
             *bin /= 2.0;
