--- a/src/host.rs
+++ b/src/host.rs
@@ -1,10 +1,10 @@
-//! The interface between the controller and the program that embeds it, whatever protocol carries its
-//! commands.
+//! The interface between the controller and the program that embeds it, independent of the protocol that
+//! carries the commands.
 
 use crate::time::{Moment, Span};
 use std::rc::Rc;
 
-/// The identifier of an endpoint, as the endpoint list gives it.
+/// The identifier of an endpoint in the endpoint list.
 pub type EndpointId = Rc<str>;
 
 /// A set of request classes: bit k stands for the class at position k of the configuration.
@@ -15,7 +15,7 @@
 pub enum EndpointState {
     /// Listed and usable.
     Ready,
-    /// Listed, and shutting down gracefully: it may be used until the drain grace ends.
+    /// Listed and shutting down gracefully: it may be used until the drain grace ends.
     Draining,
     /// No longer listed.
     #[default]
@@ -25,53 +25,53 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointUpdate {
-    /// Which endpoint the entry describes.
+    /// The endpoint that the entry describes.
     pub id: EndpointId,
-    /// The position of its zone in the configuration.
+    /// The zone, by its position in the configuration.
     pub zone: u32,
-    /// Its relative capacity; 1 where the list states none.
+    /// The relative capacity; 1 if the list states none.
     pub weight: f64,
-    /// Its state at the time of the update.
+    /// The state at the time of the update.
     pub state: EndpointState,
-    /// Its latest start; `None` where that is long past.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started: Option<Moment>,
 }
 
-/// When a proxy tries another endpoint. The protocols number these from 0 in this order.
+/// When a proxy retries a request at another endpoint. The protocols number these from 0 in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
-    /// No further attempt.
+    /// No retry.
     Never,
-    /// One further attempt, if the first is proven not to have run.
+    /// One retry, only if the first attempt is known not to have run.
     IfNeverRan,
-    /// One further attempt after any failure.
+    /// One retry after any failure.
     Once,
-    /// Two further attempts after any failure.
+    /// Up to two retries after any failure.
     Twice,
 }
 
-/// What a timer of the controller is for. Protocols that carry a number for a timer use [`Timer::label`].
+/// The timers of the controller. Protocols that identify a timer by a number use [`Timer::label`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The periodic evaluation of load, outliers and admission.
     Evaluation = 1,
-    /// The jittered heartbeat while an assignment is held back.
+    /// The jittered retry of assignments that wait for a usable route table.
     AssignmentRetry = 2,
-    /// The next attempt to watch the endpoint list.
+    /// The next attempt to subscribe to the endpoint list.
     WatchRetry = 3,
-    /// Another look soon, for what found no room or had to wait.
+    /// A short delay after which commands are issued that did not fit into the channel or had to wait.
     Recheck = 4,
-    /// The time to resend commands that were lost.
+    /// The resending of lost commands.
     Resend = 5,
 }
 
 impl Timer {
-    /// The number that stands for this timer in a protocol.
+    /// The number that identifies this timer in the protocols.
     pub fn label(self) -> u64 {
         self as u64
     }
 
-    /// The timer that a protocol's number stands for.
+    /// The timer that a number of a protocol identifies.
     pub fn from_label(label: u64) -> Option<Self> {
         let all =
             [Timer::Evaluation, Timer::AssignmentRetry, Timer::WatchRetry, Timer::Recheck, Timer::Resend];
@@ -79,31 +79,31 @@
     }
 }
 
-/// What the controller needs of the program that embeds it.
+/// The operations that the controller requires of the program that embeds it.
 ///
-/// Commands take effect in the order of the calls; those of one moment travel together as one message to each
-/// proxy.
+/// Commands take effect in the order of the calls; those issued at the same time go to each proxy as one
+/// message.
 pub trait Host {
     /// Sets the weight of an endpoint in a route table; weight 0 removes it.
     fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64);
-    /// Puts a joined proxy on a route table, for all request classes.
+    /// Assigns a route table to a joined proxy, for all request classes.
     fn assign_table(&mut self, proxy: u32, table: u32);
-    /// Bars all joined proxies from an endpoint, whatever tables they hold.
+    /// Stops all joined proxies from using an endpoint, whichever tables they are assigned.
     fn eject_endpoint(&mut self, endpoint: &EndpointId);
     /// Lifts the ejection of an endpoint.
     fn restore_endpoint(&mut self, endpoint: &EndpointId);
-    /// An endpoint was removed long ago: no command names it any more unless the list does so again.
+    /// Drops an endpoint that was removed long ago: no command names it unless it is listed again.
     fn forget_endpoint(&mut self, endpoint: &EndpointId);
-    /// Sets the part of the requests of some classes that a table admits, and when its proxies retry.
+    /// Sets the admission level of some request classes in a table, and the retry policy of its proxies.
     fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy);
-    /// Asks each proxy that this moment's commands reach to acknowledge them with this number.
+    /// Asks each proxy that receives commands issued at this time to acknowledge them with this number.
     fn request_acknowledgement(&mut self, number: u32);
-    /// Sends the commands once more that were reported to
+    /// Resends the commands that were reported to
     /// [`Controller::commands_lost`](crate::controller::Controller::commands_lost).
     fn resend_commands(&mut self);
     /// Subscribes to the endpoint list.
     fn watch_endpoints(&mut self);
     /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this timer after a
-    /// span.
+    /// delay.
     fn schedule_timer(&mut self, after: Span, timer: Timer);
 }
