--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! A [`controller::Controller`] takes events (endpoint list updates, proxies that join and leave, load
 //! reports, timers) and issues commands through a [`host::Host`]: endpoint weights, table assignments,
-//! ejections and admission levels. It reads a [`config::ControllerConfig`] at its start. The programs that
-//! embed it carry events and commands over their protocols; the same events always give the same commands.
+//! ejections and admission levels. It is configured by a [`config::ControllerConfig`] at its start. The
+//! programs that embed it carry events and commands over their protocols. The controller is deterministic:
+//! the same configuration, seed and events always give the same commands.
 
 pub mod channel_backlog;
 pub mod config;
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -1,15 +1,14 @@
-//! Test support: a host that records its commands, a configuration, and builders for endpoints and
-//! controllers.
+//! Test support: a host that records commands, a configuration, and builders for endpoints and controllers.
 
 use crate::config::{AdmissionMode, ControllerConfig, RequestClass};
 use crate::controller::Controller;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate, Host, RequestClassSet, RetryPolicy, Timer};
 use crate::time::{Moment, Span};
 
-/// A controller whose commands are recorded.
+/// A controller whose host records its commands.
 pub type TestController = Controller<RecordingHost>;
 
-/// A command that the controller gave its host.
+/// A command that the controller issued to its host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     SetWeight { table: u32, endpoint: EndpointId, weight: f64 },
@@ -48,7 +47,7 @@
     Command::ScheduleTimer { after, timer }
 }
 
-/// A host that records the commands it is given.
+/// A host that records the commands issued to it.
 #[derive(Default)]
 pub struct RecordingHost {
     pub commands: Vec<Command>,
@@ -59,7 +58,7 @@
         self.commands.iter().filter(|command| matches(command)).count()
     }
 
-    /// The latest weight of an endpoint in a table.
+    /// The last weight that was set for an endpoint in a table.
     pub fn weight(&self, table: u32, id: &str) -> Option<f64> {
         self.commands.iter().rev().find_map(|command| match command {
             Command::SetWeight { table: t, endpoint, weight } if *t == table && &**endpoint == id => {
@@ -91,7 +90,7 @@
         self.commands.iter().filter(is_ejection).cloned().collect()
     }
 
-    /// The numbers of all requested acknowledgements, in order.
+    /// The numbers of all acknowledgement requests, in order.
     pub fn acknowledgement_numbers(&self) -> Vec<u32> {
         let number = |command: &Command| match command {
             Command::RequestAcknowledgement(number) => Some(*number),
@@ -100,7 +99,7 @@
         self.commands.iter().filter_map(number).collect()
     }
 
-    /// The tables that a proxy was assigned, in order.
+    /// The tables that were assigned to a proxy, in order.
     pub fn tables_of(&self, proxy: u32) -> Vec<u32> {
         let table = |command: &Command| match command {
             Command::AssignTable { proxy: p, table } if *p == proxy => Some(*table),
@@ -143,7 +142,7 @@
     }
 }
 
-/// A moment some seconds after the start of a test.
+/// The time this many seconds after the start of a test.
 pub fn at(secs: f64) -> Moment {
     Moment::from_us(1_000_000_000) + Span::from_secs(secs)
 }
@@ -181,12 +180,12 @@
     }
 }
 
-/// An endpoint of zone 0 with weight 2 that is ready and long warm.
+/// A ready endpoint in zone 0 with weight 2 whose slow start is long over.
 pub fn ready(id: &str) -> EndpointUpdate {
     EndpointUpdate { id: id.into(), zone: 0, weight: 2.0, state: EndpointState::Ready, started: None }
 }
 
-/// A ready endpoint that started some seconds after the start of the test.
+/// A ready endpoint that started this many seconds after the start of the test.
 pub fn ready_since(id: &str, started_secs: f64) -> EndpointUpdate {
     EndpointUpdate { started: Some(at(started_secs)), ..ready(id) }
 }
@@ -199,7 +198,8 @@
     EndpointUpdate { state: EndpointState::Removed, ..ready(id) }
 }
 
-/// A controller that knows these endpoints, ready and long warm in zone 0, and whose proxies are assigned.
+/// A controller with these endpoints, built by [`ready`], whose proxies are joined and assigned. The commands
+/// that led there are cleared.
 pub fn running_controller(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
     let mut controller = Controller::start(RecordingHost::default(), config, 7, at(0.0));
     let updates: Vec<EndpointUpdate> = ids.iter().map(|id| ready(id)).collect();
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,48 +1,48 @@
-//! Points in time and lengths of time, as two types so that one can't be passed for the other.
+//! Points in time and durations, as two types so that one can't be passed for the other.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A point on the host's clock, in microseconds from an arbitrary origin.
+/// A point in time on the host's clock, in microseconds since an arbitrary origin.
 ///
 /// ```
 /// use otterwinch::time::{Moment, Span};
-/// let noon = Moment::from_us(5_000_000);
-/// assert_eq!((noon + Span::from_secs(2.0)) - noon, Span::from_us(2_000_000));
+/// let start = Moment::from_us(5_000_000);
+/// assert_eq!((start + Span::from_secs(2.0)) - start, Span::from_us(2_000_000));
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Moment(i64);
 
-/// A length of time in microseconds.
+/// A signed duration in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(i64);
 
 impl Moment {
-    /// The point so many microseconds after the clock's origin.
+    /// The time `us` microseconds after the clock's origin.
     pub const fn from_us(us: i64) -> Self {
         Moment(us)
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A duration of 0.
     pub const ZERO: Span = Span(0);
 
-    /// A length in microseconds.
+    /// A duration in microseconds.
     pub const fn from_us(us: i64) -> Self {
         Span(us)
     }
 
-    /// A length in seconds, cut to whole microseconds.
+    /// A duration in seconds, truncated to whole microseconds.
     pub fn from_secs(s: f64) -> Self {
         Span((s * 1e6) as i64)
     }
 
-    /// The length in microseconds.
+    /// The duration in microseconds.
     pub const fn as_us(self) -> i64 {
         self.0
     }
 
-    /// The length in seconds.
+    /// The duration in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
