--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -1,19 +1,19 @@
-//! Commands in the form that the relay reads. Their names on the wire are mapped here and nowhere else.
+//! Commands in the relay's JSON format. Their wire names appear only in this module.
 
 use otterwinch::host::{EndpointId, RetryPolicy};
 use serde_json::{json, Value};
 
-/// One command to the relay.
+/// One command for the relay.
 pub struct Command {
-    /// Its JSON text.
+    /// The command as JSON.
     pub text: String,
-    /// What it does.
+    /// What the command does.
     pub kind: CommandKind,
 }
 
-/// What a command does, as far as its delivery and its rejection depend on it.
+/// What a command does, with the fields that batching and the handling of a rejection need.
 pub enum CommandKind {
-    /// Puts a proxy on a route table.
+    /// Assigns a route table to a proxy.
     Assignment {
         /// The proxy.
         proxy: u32,
@@ -25,14 +25,14 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Sets the admission levels of a route table.
+    /// Sets the admission level and the retry policy of request classes in a route table.
     Admission {
         /// The route table.
         table: u32,
     },
-    /// Ejects an endpoint or restores it.
+    /// Ejects or restores an endpoint.
     Ejection,
-    /// Requests an acknowledgement of the commands before it.
+    /// Requests that proxies acknowledge the preceding commands.
     AcknowledgementRequest,
 }
 
@@ -43,7 +43,7 @@
         Command::new(value, CommandKind::Weight { table, endpoint: endpoint.clone() })
     }
 
-    /// Puts a proxy on a route table.
+    /// Assigns a route table to a proxy.
     pub fn assign_table(proxy: u32, table: u32) -> Self {
         let value = json!({"op": "attach", "node": proxy, "table": table});
         Command::new(value, CommandKind::Assignment { proxy })
@@ -59,7 +59,7 @@
         Command::new(json!({"op": "uneject", "endpoint": &**endpoint}), CommandKind::Ejection)
     }
 
-    /// Sets the part of the requests of some classes that a route table admits, and when its proxies retry.
+    /// Sets the fraction of the requests of `classes` that a route table admits, and when its proxies retry.
     pub fn set_admission(table: u32, classes: &[&str], admitted: f64, retry: RetryPolicy) -> Self {
         let policy = retry as u8;
         let value =
@@ -67,7 +67,7 @@
         Command::new(value, CommandKind::Admission { table })
     }
 
-    /// Requests an acknowledgement with a number.
+    /// Requests an acknowledgement that carries `number`.
     pub fn request_acknowledgement(number: u32) -> Self {
         Command::new(json!({"op": "fence", "nonce_out": number}), CommandKind::AcknowledgementRequest)
     }
@@ -83,7 +83,7 @@
 }
 
 impl CommandKind {
-    /// Whether the command that follows right after this one reaches the same proxies.
+    /// Whether `next`, the command directly after this one, reaches the same proxies.
     pub fn reaches_same_proxies(&self, next: &CommandKind) -> bool {
         match (self, next) {
             (_, CommandKind::AcknowledgementRequest) | (CommandKind::Ejection, CommandKind::Ejection) => true,
@@ -91,7 +91,8 @@
         }
     }
 
-    /// The route table whose proxies the command reaches, where it reaches those of one table.
+    /// The route table whose proxies the command reaches; `None` if it does not address the proxies of a
+    /// table.
     fn table(&self) -> Option<u32> {
         match self {
             CommandKind::Weight { table, .. } | CommandKind::Admission { table } => Some(*table),
--- a/control-plane/src/command_batch.rs
+++ b/control-plane/src/command_batch.rs
@@ -1,32 +1,32 @@
-//! Cuts queued commands into calls to the relay.
+//! Splits queued commands into calls to the relay.
 //!
-//! The relay passes each call on as a message of its own, so a proxy that two calls reach gets two messages, and only a
-//! call's own request makes the proxies acknowledge it. Therefore commands that reach the same proxies stay in one call
-//! where they fit, and an acknowledgement request at the end of the queue is repeated at the end of each call: without
-//! it nobody would acknowledge any call but the last.
+//! The relay forwards each call as a separate message, so a proxy that two calls reach gets two messages.
+//! Proxies acknowledge a call only if it contains an acknowledgement request itself. Therefore commands that
+//! reach the same proxies stay in one call where they fit, and an acknowledgement request at the end of the
+//! queue is repeated at the end of each call. Without it, only the last call would be acknowledged.
 
 use crate::command::Command;
 use std::collections::VecDeque;
 
-/// The relay reads no longer body.
+/// The relay does not read longer request bodies.
 pub const MAX_BODY_BYTES: usize = 60_000;
 
 const BODY_START: &str = r#"{"changes":["#;
 const BODY_END: &str = "]}";
 const SEPARATOR: &str = ",";
 
-/// The body of one call.
+/// The commands of one call.
 pub struct CommandBatch {
-    /// The JSON text.
+    /// The request body, as JSON.
     pub body: String,
-    /// How many commands from the front of the queue it holds.
+    /// The number of commands that it takes from the front of the queue.
     pub commands: usize,
-    /// Whether an acknowledgement request follows them that stays in the queue.
+    /// Whether the body ends with a copy of an acknowledgement request that itself stays in the queue.
     pub repeats_acknowledgement_request: bool,
 }
 
 impl CommandBatch {
-    /// The next batch of a queue that is not empty.
+    /// Builds the next batch from a non-empty queue.
     pub fn next(queue: &VecDeque<Command>) -> Self {
         let request = queue.back().filter(|command| command.is_acknowledgement_request());
         let reserved = request.map_or(0, |request| SEPARATOR.len() + request.text.len());
@@ -41,14 +41,15 @@
         }
     }
 
-    /// How many commands the relay is sent with this batch.
+    /// The number of commands in the body, including a repeated acknowledgement request.
     pub fn sent_commands(&self) -> usize {
         self.commands + usize::from(self.repeats_acknowledgement_request)
     }
 }
 
-/// How many commands from the front of the queue go into one body: as many as fit, less those at the end whose group
-/// would be torn apart; at least one.
+/// The number of commands from the front of the queue that go into one body: as many as fit, but at least
+/// one. A group of commands that reach the same proxies is left for the next batch if only part of it fits,
+/// unless it is the first group.
 fn commands_that_fit(queue: &VecDeque<Command>, max_bytes: usize) -> usize {
     let mut length = BODY_START.len() + BODY_END.len();
     let mut group_start = 0;
--- a/control-plane/src/command_batch/tests.rs
+++ b/control-plane/src/command_batch/tests.rs
@@ -6,7 +6,7 @@
     Command { text: format!("\"{}\"", "x".repeat(20_000)), kind }
 }
 
-/// The number of commands in the first batch, and whether it repeats the acknowledgement request.
+/// The number of queued commands in the first batch, and whether it repeats the acknowledgement request.
 fn first_batch(kinds: impl IntoIterator<Item = CommandKind>) -> (usize, bool) {
     let batch = CommandBatch::next(&kinds.into_iter().map(command).collect());
     assert!(batch.body.len() <= MAX_BODY_BYTES);
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -1,7 +1,7 @@
-//! Delivers commands to the relay: one call at a time, in the order in which they were issued.
+//! Delivers commands to the relay, one call at a time and in the order in which they were issued.
 //!
-//! Commands stay unacknowledged until the relay has accepted or declined them. After a call that failed nothing
-//! overtakes them: the controller decides when they are sent again.
+//! Commands stay pending until the relay has accepted or rejected them. After a failed call no other command
+//! is sent before them, and the controller decides when they are resent.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
@@ -17,41 +17,43 @@
 use tokio::sync::watch;
 
 const PATH: &str = "/v3/kv/batches";
-/// The relay answers within 50 ms or not at all; the rest is for a new connection and a process that is scheduled late.
-/// The controller's reaction to a silent relay has to fit into 1.5 s from the call.
+/// The relay responds within 50 ms or not at all. The rest allows for opening a new connection and for a
+/// process that is scheduled late. The controller must react to an unresponsive relay within 1.5 s of the
+/// call.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 const MAX_ANSWER_BYTES: usize = 64 << 10;
-/// How much of an answer that is not usable goes into the error.
+/// The length at which an unusable response is truncated in the error text.
 const MAX_QUOTED_CHARS: usize = 120;
 
-/// What became of the unacknowledged commands.
+/// The outcome of an attempt to deliver the pending commands.
 pub enum DeliveryOutcome {
-    /// The relay accepted all.
+    /// The relay accepted all pending commands.
     Accepted,
-    /// The relay accepted all before this one and can't use it; the rest is still unacknowledged.
+    /// The relay rejected this command and accepted all before it. Those after it are still pending.
     Declined(Command),
-    /// A call failed and may be sent again as it was.
+    /// A call failed and may be resent unchanged.
     Failed(CallError),
-    /// The relay found the same call invalid twice, so it is not the answer that is damaged.
+    /// The relay reported the same call as invalid twice, which rules out a corrupted response.
     Invalid(CallError),
 }
 
-/// The commands that the relay has not acknowledged, and the calls that carry them.
+/// The commands that the relay has not accepted yet, and the state of the calls that deliver them.
 pub struct CommandDelivery {
     relay_address: watch::Receiver<SocketAddr>,
     peer: Peer,
     log: Logger,
     unacknowledged: VecDeque<Command>,
-    /// The latest call failed.
+    /// Whether the latest call failed.
     failing: bool,
-    /// The relay found the latest call invalid.
+    /// Whether the relay reported the latest call as invalid.
     found_invalid: bool,
     calls: u64,
     failed_calls: u64,
 }
 
 impl CommandDelivery {
-    /// Delivers to the relay at this address, and at a new one from the next call on when it changes.
+    /// Creates a delivery to the relay at `relay_address`. When the address changes, the next call uses the
+    /// new one.
     pub fn new(mut relay_address: watch::Receiver<SocketAddr>, log: Logger) -> Self {
         let peer = Peer::new(*relay_address.borrow_and_update());
         CommandDelivery {
@@ -66,28 +68,28 @@
         }
     }
 
-    /// Whether the latest call failed, so that unacknowledged commands wait until they are to be sent again.
+    /// Whether the latest call failed. Pending commands then wait until the controller requests a resend.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
 
-    /// Whether there is anything to send or to recover from.
+    /// Whether there are commands to send, or a failed call to recover from.
     pub fn is_pending(&self) -> bool {
         !self.unacknowledged.is_empty() || self.failing
     }
 
-    /// How many calls were made since the start.
+    /// The number of calls since the start.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// How many of them failed.
+    /// The number of failed calls since the start.
     pub fn failed_calls(&self) -> u64 {
         self.failed_calls
     }
 
-    /// Queues commands behind the unacknowledged ones. An acknowledgement request among them replaces that of the call
-    /// that failed, so that its answer tells which of the two calls arrived.
+    /// Appends commands to the pending ones. If they include an acknowledgement request, it replaces the one
+    /// of the failed call, so that the acknowledgement shows which of the two calls arrived.
     pub fn enqueue(&mut self, commands: VecDeque<Command>) {
         if commands.iter().any(Command::is_acknowledgement_request) {
             self.unacknowledged.retain(|command| !command.is_acknowledgement_request());
@@ -95,14 +97,14 @@
         self.unacknowledged.extend(commands);
     }
 
-    /// Drops what is unacknowledged: the controller that issued it has ended.
+    /// Drops the pending commands, because the controller that issued them has been replaced.
     pub fn discard_pending(&mut self) {
         self.unacknowledged.clear();
         self.failing = false;
         self.found_invalid = false;
     }
 
-    /// Sends the unacknowledged commands until all are accepted or something stops it.
+    /// Sends the pending commands until all are accepted, one is rejected, or a call fails.
     pub async fn deliver(&mut self) -> DeliveryOutcome {
         let found_invalid_before = std::mem::take(&mut self.found_invalid);
         match self.send_batches().await {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Sends one batch after the other; stops at a command that the relay declines, and returns it.
+    /// Sends one batch after another. Stops at the first command that the relay rejects, and returns it.
     async fn send_batches(&mut self) -> Result<Option<Command>, CallError> {
         while !self.unacknowledged.is_empty() {
             let batch = CommandBatch::next(&self.unacknowledged);
@@ -140,7 +142,7 @@
         Ok(None)
     }
 
-    /// Makes one call; returns how many of its commands the relay accepted.
+    /// Makes one call and returns how many of its commands the relay accepted.
     async fn send(&mut self, batch: CommandBatch) -> Result<usize, CallError> {
         self.update_peer();
         let sent = batch.sent_commands();
@@ -153,8 +155,8 @@
         }
     }
 
-    /// A relay that has moved gets the next call at its new address, even one that failed at the old address: it is
-    /// sent as it was and nothing overtakes it there either.
+    /// Switches to the relay's new address if it has changed. A call that failed at the old address is resent
+    /// to the new one unchanged, and no other command is sent before it there either.
     fn update_peer(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
             self.peer = Peer::new(*self.relay_address.borrow_and_update());
@@ -177,14 +179,14 @@
     }
 }
 
-/// How many commands the relay accepted, if its answer says so.
+/// The number of commands that the relay accepted, if its response states it.
 fn accepted_commands(answer: &[u8]) -> Option<usize> {
     let value: Value = serde_json::from_slice(answer).ok()?;
     value.get("taken")?.as_u64().map(|accepted| accepted as usize)
 }
 
-/// The error of a call whose answer does not say how many commands were accepted. Only an explicit rejection proves that
-/// none was carried out; an internal error of the relay does not.
+/// The error of a call whose response does not state how many commands were accepted. Only an explicit
+/// rejection proves that none was executed; an internal error of the relay does not.
 fn error_of_answer(status: StatusCode, answer: &[u8]) -> CallError {
     let quoted: String = String::from_utf8_lossy(answer).chars().take(MAX_QUOTED_CHARS).collect();
     let cause = format!("status {status}: {quoted}").into();
