--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -1,5 +1,6 @@
-//! The task that owns the controller and the clock. It runs in rounds: wait for an event or a timer, hand all that is
-//! ready to the controller with one moment, and deliver the commands that it issued.
+//! The task that owns the controller and the clock. Each iteration waits for an event or a timer, passes
+//! everything that is ready to the controller with the same timestamp, and delivers the commands that the
+//! controller issued.
 
 use crate::clock::Clock;
 use crate::command::{Command, CommandKind};
@@ -21,7 +22,7 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-/// The control loop before and while it runs.
+/// The control loop and all state that it owns.
 pub struct ControlLoop {
     controller: RestartableController,
     clock: Clock,
@@ -31,18 +32,18 @@
     log: Logger,
 }
 
-/// The ends of the control loop that other tasks hold.
+/// What other tasks use to communicate with the control loop.
 pub struct ControlLoopHandles {
-    /// Sends events into the loop.
+    /// Sends events to the control loop.
     pub events: EventSender,
-    /// The status snapshot as JSON.
+    /// The latest status snapshot, as JSON.
     pub status: watch::Receiver<String>,
-    /// Notified when the controller wants the endpoint list to be watched.
+    /// Notified when the controller requests a watch of the endpoint list.
     pub watch_requests: Rc<Notify>,
 }
 
 impl ControlLoop {
-    /// Starts the controller; the loop goes on with [`ControlLoop::run`].
+    /// Starts the controller. [`ControlLoop::run`] then runs the loop.
     pub fn start(
         config: Rc<Config>,
         relay_address: watch::Receiver<SocketAddr>,
@@ -60,8 +61,8 @@
         (ControlLoop { controller, clock, events, delivery, status, log }, handles)
     }
 
-    /// Runs until the process is to end. A last round sends what was decided by then, and commands whose call has failed
-    /// once more: proxies that have not moved to another instance yet use them.
+    /// Runs until shutdown. A final iteration sends the commands issued so far, and resends those of a failed
+    /// call: proxies that have not yet moved to another instance still use them.
     pub async fn run(mut self, end: CancellationToken) {
         while !end.is_cancelled() {
             let first = self.wait(&end).await;
@@ -71,7 +72,7 @@
         self.run_round(None).await;
     }
 
-    /// Waits for an event; returns none when a timer is due, the status is to be renewed or the process is to end.
+    /// Waits for an event. Returns `None` when a timer or the status snapshot is due, or at shutdown.
     async fn wait(&mut self, end: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
         let wake_up = self.controller.host().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
@@ -93,8 +94,8 @@
         self.report_status();
     }
 
-    /// Hands the first event and all that are queued to the controller. No more than the queue holds, so that busy senders
-    /// can't keep the commands back.
+    /// Passes the first event and all queued ones to the controller. Handles at most as many events as the
+    /// queue holds, so that busy senders can't delay the commands indefinitely.
     fn handle_events(&mut self, now: Moment, first: Option<Event>) {
         let mut next = first;
         for _ in 0..EVENT_QUEUE_CAPACITY {
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Delivers what the controller has issued, and what it issues in response to the outcome. While a call's outcome is
-    /// open nothing overtakes its commands.
+    /// Delivers the commands that the controller has issued, and those that it issues in response to the
+    /// outcome. No other command is sent before those of a call whose outcome is not yet known.
     async fn deliver_commands(&mut self) {
         loop {
             let resend = self.controller.host().take_resend_request();
@@ -136,7 +137,7 @@
                     self.step(now, |controller, now| controller.commands_lost(now, may_have_been_executed));
                     return;
                 }
-                // Sent again as it is it would hold up all further commands for ever.
+                // Resending the same call would block all later commands forever.
                 DeliveryOutcome::Invalid(error) => {
                     error!(self.log, "relay finds the commands invalid"; "why" => #error);
                     self.controller.restart(now);
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Tells the controller of the one command that the relay declined; those behind it are sent on at once.
+    /// Reports a command that the relay rejected to the controller. The commands after it are sent
+    /// immediately.
     fn command_declined(&mut self, now: Moment, command: Command) {
         match command.kind {
             CommandKind::Assignment { proxy } => {
@@ -162,7 +164,8 @@
         self.controller.host().set_resend_requested(failing);
     }
 
-    /// Lets the controller take one step. If it panics it is restarted, and the commands of the old one are dropped.
+    /// Runs one step of the controller. If it panics, the controller is restarted and the commands of the old
+    /// one are dropped.
     fn step(&mut self, now: Moment, step: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
         if self.controller.step(now, step).is_err() {
             self.delivery.discard_pending();
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -1,5 +1,5 @@
-//! Runs the controller, and restarts it when it panics: the process goes on, and so does the host with what it knows of
-//! the fleet outside.
+//! Runs the controller and restarts it when it panics. The process continues, and the new controller takes
+//! over the host with its knowledge of the fleet.
 
 use crate::config::Config;
 use crate::relay_host::RelayHost;
@@ -9,7 +9,7 @@
 use slog::{error, Logger};
 use std::rc::Rc;
 
-/// The controller that runs now, and what the next one would be started with.
+/// The running controller, and what is needed to start its replacement.
 pub struct RestartableController {
     controller: Controller<RelayHost>,
     config: Rc<Config>,
@@ -17,12 +17,12 @@
     starts: u64,
 }
 
-/// The controller panicked and was restarted.
+/// The error of a step in which the controller panicked. It has been restarted.
 #[derive(Debug)]
 pub struct ControllerRestarted;
 
 impl RestartableController {
-    /// Starts the first controller, on the endpoints that the configuration names.
+    /// Starts the first controller with the endpoints in the configuration.
     pub fn start(config: Rc<Config>, log: Logger, now: Moment) -> Self {
         let validator = CommandValidator::new(&config.controller);
         let host = RelayHost::new(validator, config.names.clone(), now, log.clone());
@@ -37,12 +37,12 @@
         self.controller.host()
     }
 
-    /// How many controllers were started since the process was.
+    /// The number of controllers started since the process started.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
-    /// Lets the controller take one step; restarts it if it panics.
+    /// Runs one step of the controller, and restarts the controller if the step panics.
     pub fn step(
         &mut self,
         now: Moment,
@@ -58,10 +58,11 @@
         }
     }
 
-    /// Starts a new controller on the fleet that the old one's host knows.
+    /// Starts a new controller with the fleet that the old controller's host knows.
     ///
-    /// It first learns of the endpoints that were removed or ejected: the relay may still hold commands of the old
-    /// controller about them, and the new one has to take them out of the tables or restore them.
+    /// The new controller is first told of the removed and ejected endpoints. The relay may still hold
+    /// commands of the old controller about them, so the new one must remove them from the tables or restore
+    /// them.
     pub fn restart(&mut self, now: Moment) {
         error!(self.log, "controller restarted");
         let mut host = self.take_host(now);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes the host out of the controller, which gets an empty one until it is replaced.
+    /// Takes the host out of the controller. The controller holds an empty host until it is replaced.
     fn take_host(&mut self, now: Moment) -> RelayHost {
         let names = self.config.names.clone();
         let empty = RelayHost::new(CommandValidator::default(), names, now, self.log.clone());
--- a/control-plane/src/controller_restart/tests.rs
+++ b/control-plane/src/controller_restart/tests.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use slog::{o, Discard};
 
-/// A controller whose configuration names the endpoint `a`.
+/// A controller whose configuration lists the endpoint `a`.
 fn controller() -> (RestartableController, Moment) {
     let config = json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
         "relay": {"address": "127.0.0.1:2"},
@@ -25,7 +25,7 @@
     controller.step(now, step).expect("no panic");
 }
 
-/// How many of the commands that were issued since the start contain a text.
+/// The number of commands issued since the last call that contain `text`.
 fn count_commands(controller: &mut RestartableController, text: &str) -> usize {
     let commands = controller.host().take_commands();
     commands.iter().filter(|command: &&Command| command.text.contains(text)).count()
--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the peers report to the control loop.
+//! The events that the tasks of the peers send to the control loop.
 
 use crate::metrics::Metrics;
 use otterwinch::host::{EndpointId, EndpointUpdate};
@@ -7,71 +7,71 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Events that wait for the control loop. Senders wait while it is full.
+/// The capacity of the control loop's event queue. Senders wait while it is full.
 pub const EVENT_QUEUE_CAPACITY: usize = 4096;
 
-/// One decoded and validated input of the controller.
+/// One decoded and validated input for the controller.
 pub enum Event {
-    /// The whole endpoint list.
+    /// The complete endpoint list.
     EndpointListReplaced {
-        /// Its valid entries.
+        /// The valid entries.
         updates: Vec<EndpointUpdate>,
-        /// Endpoints whose entries are invalid: they stay in the state that they were last listed in.
+        /// Endpoints whose entries are invalid. They keep their last listed state.
         invalid: Vec<EndpointId>,
     },
-    /// Entries of the endpoint list that changed.
+    /// Some entries of the endpoint list changed.
     EndpointsUpdated {
-        /// The entries.
+        /// The changed entries.
         updates: Vec<EndpointUpdate>,
     },
-    /// A call to the endpoint list failed, or its answer may lack a change.
+    /// A call to the endpoint list failed, or its response may be missing a change.
     EndpointWatchFailed,
-    /// A proxy joined the relay. One that is joined already may have left and joined again unnoticed.
+    /// A proxy joined the relay. If it had joined before, it may have left and rejoined unnoticed.
     ProxyJoined {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
-        /// The position of its zone in the configuration.
+        /// The position of the proxy's zone in the configuration.
         zone: u32,
-        /// Its usual rate in requests per second.
+        /// The proxy's usual rate, in requests per second.
         rate: f64,
         /// Whether the relay marks it as new.
         fresh: bool,
     },
     /// A proxy left the relay.
     ProxyLeft {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
     },
-    /// A new proxy stream has named all proxies that are joined. The others left while there was no stream.
+    /// A new proxy stream has listed all joined proxies. Any others left while there was no stream.
     ProxySnapshot {
-        /// The proxies that it named.
+        /// The joined proxies.
         joined: BTreeSet<u32>,
     },
     /// A proxy acknowledged commands.
     Acknowledged {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
-        /// The number that the acknowledgement was requested with.
+        /// The number of the acknowledgement request.
         number: u32,
     },
     /// A load report about one endpoint.
     EndpointOutcomes {
-        /// The endpoint, which need not be listed.
+        /// The endpoint's identifier. The endpoint list may not contain it.
         endpoint: String,
-        /// Attempts that ended in the interval.
+        /// The number of attempts that ended in the interval.
         attempts: f64,
-        /// Those of them that failed without an answer.
+        /// The number of those attempts that failed without a response.
         failures: f64,
-        /// The mean latency of the others.
+        /// The mean latency of the other attempts.
         mean_latency: Span,
-        /// How long the report covers.
+        /// The length of time that the report covers.
         interval: Span,
     },
     /// A load report about one request class.
     Demand {
         /// The position of the class in the configuration.
         class: u32,
-        /// Requests that arrived.
+        /// The number of requests that arrived.
         requests: f64,
     },
 }
@@ -80,20 +80,20 @@
 #[derive(Clone)]
 pub struct EventSender {
     queue: mpsc::Sender<Event>,
-    /// The counters that the senders share.
+    /// Counters that all senders share.
     pub metrics: Rc<Metrics>,
 }
 
 impl EventSender {
-    /// A queue of `capacity` events, and its end that the control loop reads.
+    /// Creates a queue of `capacity` events. Returns the sender and the receiver for the control loop.
     pub fn channel(capacity: usize, metrics: Rc<Metrics>) -> (Self, mpsc::Receiver<Event>) {
         let (queue, events) = mpsc::channel(capacity);
         (EventSender { queue, metrics }, events)
     }
 
-    /// Sends an event; waits while the queue is full.
+    /// Sends an event, and waits while the queue is full.
     pub async fn send(&self, event: Event) {
-        // The queue is closed only while the process ends: events are of no use then.
+        // The queue is closed only during shutdown, when events are no longer needed.
         let _ = self.queue.send(event).await;
     }
 }
--- a/control-plane/src/event_dispatch.rs
+++ b/control-plane/src/event_dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands events to the controller, and keeps what its host knows of the fleet in step with them.
+//! Passes events to the controller, and updates its host's view of the fleet accordingly.
 
 use crate::event::Event;
 use crate::observed_fleet::JoinedProxy;
@@ -7,7 +7,7 @@
 use otterwinch::time::Moment;
 use std::collections::BTreeSet;
 
-/// Lets the controller handle one event.
+/// Passes one event to the controller and its host.
 pub fn dispatch(controller: &mut Controller<RelayHost>, now: Moment, event: Event) {
     match event {
         Event::EndpointListReplaced { mut updates, invalid } => {
--- a/control-plane/src/observed_fleet.rs
+++ b/control-plane/src/observed_fleet.rs
@@ -1,30 +1,30 @@
-//! What stands outside this process, as far as it was observed or ordered: the listed endpoints, the ejected ones and
-//! the joined proxies. A controller that is restarted begins with it.
+//! The state of the fleet as known from events and issued commands: the listed endpoints, the ejected
+//! endpoints and the joined proxies. A restarted controller is initialized from it.
 
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A proxy that is joined to the relay.
+/// A proxy that has joined the relay.
 #[derive(Clone, Copy)]
 pub struct JoinedProxy {
-    /// The position of its zone in the configuration.
+    /// The position of the proxy's zone in the configuration.
     pub zone: u32,
-    /// Its usual rate in requests per second.
+    /// The proxy's usual rate, in requests per second.
     pub rate: f64,
 }
 
-/// The endpoints and proxies outside.
+/// The known endpoints and proxies.
 #[derive(Default)]
 pub struct ObservedFleet {
-    /// Each endpoint that was listed and is not forgotten, in the state that it was last listed in.
+    /// Every endpoint that was ever listed and has not been forgotten since, with its last known state.
     endpoints: BTreeMap<EndpointId, EndpointUpdate>,
-    /// Endpoints that joined proxies are barred from by our command.
+    /// Endpoints that the controller has ejected, so that no joined proxy uses them.
     ejected: BTreeSet<EndpointId>,
     proxies: BTreeMap<u32, JoinedProxy>,
 }
 
 impl ObservedFleet {
-    /// The endpoint list was read whole: endpoints that it does not name were removed.
+    /// Replaces the complete endpoint list. Known endpoints that it does not contain are marked as removed.
     pub fn replace_endpoint_list(&mut self, updates: &[EndpointUpdate]) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.state = EndpointState::Removed;
@@ -32,19 +32,19 @@
         self.update_endpoints(updates);
     }
 
-    /// Entries of the endpoint list changed.
+    /// Applies changed entries of the endpoint list.
     pub fn update_endpoints(&mut self, updates: &[EndpointUpdate]) {
         for update in updates {
             self.endpoints.insert(update.id.clone(), update.clone());
         }
     }
 
-    /// Whether an endpoint is listed, or was until recently.
+    /// Whether an endpoint is listed, or was listed and has not been forgotten since.
     pub fn knows_endpoint(&self, id: &str) -> bool {
         self.endpoints.contains_key(id)
     }
 
-    /// The last listed states of some endpoints, without those that are not listed.
+    /// The last listed entries of those of the endpoints `ids` that are listed.
     pub fn last_listed(&self, ids: &[EndpointId]) -> Vec<EndpointUpdate> {
         ids.iter()
             .filter_map(|id| self.endpoints.get(id))
@@ -58,12 +58,13 @@
         self.endpoints.values().filter(|endpoint| is_listed(endpoint)).cloned().collect()
     }
 
-    /// How many endpoints are listed.
+    /// The number of listed endpoints.
     pub fn listed_count(&self) -> usize {
         self.endpoints.values().filter(|endpoint| is_listed(endpoint)).count()
     }
 
-    /// Endpoints that are removed or ejected, all as removed ones: the relay's tables may still name them.
+    /// The removed and the ejected endpoints, all with the state `Removed`. The relay's tables may still
+    /// contain them.
     pub fn removed_or_ejected(&self) -> Vec<EndpointUpdate> {
         let affected =
             |endpoint: &&EndpointUpdate| !is_listed(endpoint) || self.ejected.contains(&endpoint.id);
@@ -72,33 +73,33 @@
         self.endpoints.values().filter(affected).map(as_removed).collect()
     }
 
-    /// An endpoint was ejected by our command.
+    /// Records that the controller has ejected an endpoint.
     pub fn endpoint_ejected(&mut self, id: &EndpointId) {
         self.ejected.insert(id.clone());
     }
 
-    /// The ejection of an endpoint was lifted.
+    /// Records that the controller has lifted the ejection of an endpoint.
     pub fn endpoint_restored(&mut self, id: &EndpointId) {
         self.ejected.remove(id);
     }
 
-    /// An endpoint was removed long ago.
+    /// Forgets an endpoint that was removed long ago.
     pub fn forget_endpoint(&mut self, id: &EndpointId) {
         self.endpoints.remove(id);
         self.ejected.remove(id);
     }
 
-    /// A proxy joined.
+    /// Records that a proxy joined.
     pub fn proxy_joined(&mut self, number: u32, proxy: JoinedProxy) {
         self.proxies.insert(number, proxy);
     }
 
-    /// A proxy left.
+    /// Records that a proxy left.
     pub fn proxy_left(&mut self, number: u32) {
         self.proxies.remove(&number);
     }
 
-    /// The proxies that are joined, by number.
+    /// The joined proxies, by number.
     pub fn proxies(&self) -> &BTreeMap<u32, JoinedProxy> {
         &self.proxies
     }
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -1,5 +1,6 @@
-//! The controller's host on sockets: validates and queues the commands for the relay, keeps the timers, and knows the
-//! fleet that a restarted controller begins with. Owned by the controller; the control loop reads it between events.
+//! The controller's host in the control plane: validates and queues commands for the relay, keeps the timers,
+//! and tracks the fleet state that a restarted controller is initialized from. The controller owns it; the
+//! control loop accesses it between events.
 
 use crate::command::Command;
 use crate::deployment_names::DeploymentNames;
@@ -13,7 +14,7 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Collects what the controller orders until the control loop carries it out.
+/// Collects the controller's commands, timers and requests until the control loop handles them.
 pub struct RelayHost {
     validator: CommandValidator,
     names: Rc<DeploymentNames>,
@@ -28,7 +29,7 @@
 }
 
 impl RelayHost {
-    /// A host that knows no endpoint and no proxy yet.
+    /// Creates a host that knows no endpoints or proxies yet.
     pub fn new(validator: CommandValidator, names: Rc<DeploymentNames>, now: Moment, log: Logger) -> Self {
         RelayHost {
             validator,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Sets the moment that timers are scheduled from.
+    /// Sets the current time, from which timers are scheduled.
     pub fn set_now(&mut self, now: Moment) {
         self.now = now;
     }
@@ -54,51 +55,51 @@
         &self.fleet
     }
 
-    /// The endpoint list was read whole.
+    /// Replaces the complete endpoint list.
     pub fn replace_endpoint_list(&mut self, updates: &[EndpointUpdate]) {
         self.validator.add_endpoints(updates.iter().map(|update| &update.id));
         self.fleet.replace_endpoint_list(updates);
     }
 
-    /// Entries of the endpoint list changed.
+    /// Applies changed entries of the endpoint list.
     pub fn update_endpoints(&mut self, updates: &[EndpointUpdate]) {
         self.validator.add_endpoints(updates.iter().map(|update| &update.id));
         self.fleet.update_endpoints(updates);
     }
 
-    /// A proxy joined.
+    /// Records that a proxy joined.
     pub fn proxy_joined(&mut self, number: u32, proxy: JoinedProxy) {
         self.validator.set_joined(number, true);
         self.fleet.proxy_joined(number, proxy);
     }
 
-    /// A proxy left.
+    /// Records that a proxy left.
     pub fn proxy_left(&mut self, number: u32) {
         self.validator.set_joined(number, false);
         self.fleet.proxy_left(number);
     }
 
-    /// Notified when the controller wants the endpoint list to be watched.
+    /// Notified when the controller requests a watch of the endpoint list.
     pub fn watch_requests(&self) -> Rc<Notify> {
         self.watch_requests.clone()
     }
 
-    /// Takes the commands that the controller issued since the last call.
+    /// Takes the commands that the controller has issued since the last call.
     pub fn take_commands(&mut self) -> VecDeque<Command> {
         std::mem::take(&mut self.commands)
     }
 
-    /// How many commands the controller has issued since the start.
+    /// The number of commands issued since the start.
     pub fn commands_issued(&self) -> u64 {
         self.commands_issued
     }
 
-    /// Whether unacknowledged commands are to be sent again. The request is answered once.
+    /// Takes the request to resend pending commands: returns whether there is one, and clears it.
     pub fn take_resend_request(&mut self) -> bool {
         std::mem::take(&mut self.resend_requested)
     }
 
-    /// Sets or withdraws the request to send unacknowledged commands again.
+    /// Sets or clears the request to resend pending commands.
     pub fn set_resend_requested(&mut self, requested: bool) {
         self.resend_requested = requested;
     }
@@ -108,12 +109,12 @@
         self.timers.next_due()
     }
 
-    /// Takes the next timer out, if it is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_due_timer(&mut self, now: Moment) -> Option<Timer> {
         self.timers.pop_due(now)
     }
 
-    /// Drops what a controller that ended had ordered; what is known of the fleet stays.
+    /// Drops the commands, timers and resend request of a controller that has ended. The fleet state is kept.
     pub fn discard_pending(&mut self) {
         self.commands.clear();
         self.timers.clear();
