--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -1,70 +1,70 @@
-//! Decodes the lines of the relay's event stream. Their names on the wire are mapped here and nowhere else.
+//! Decodes the lines of the relay's event stream. Their wire names appear only in this module.
 
 use crate::deployment_names::{DeploymentNames, UnknownName};
 use otterwinch_adapter_support::{JsonFieldError, JsonFields};
 use serde_json::Value;
 
-/// A proxy with a higher rate, in requests per second, is an error of the relay.
+/// The highest valid rate of a proxy, in requests per second. A higher one is an error of the relay.
 const MAX_RATE: f64 = 1e7;
 
-/// One line of the stream.
+/// One line of the event stream.
 #[derive(Debug, PartialEq)]
 pub enum ProxyEvent {
     /// A blank line.
     Blank,
-    /// The relay is alive. The first of a stream also ends the proxies that it names as joined.
+    /// The relay is alive. The first heartbeat of a stream also ends its list of joined proxies.
     Heartbeat,
-    /// A proxy joined, or is joined as the stream begins.
+    /// A proxy joined, or was already joined when the stream began.
     Joined {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
-        /// The position of its zone in the configuration.
+        /// The position of the proxy's zone in the configuration.
         zone: u32,
-        /// Its usual rate in requests per second.
+        /// The proxy's usual rate, in requests per second.
         rate: f64,
         /// Whether the relay marks it as new.
         fresh: bool,
     },
     /// A proxy left.
     Left {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
     },
     /// A proxy acknowledged commands.
     Acknowledged {
-        /// Its number.
+        /// The proxy's number.
         proxy: u32,
-        /// The number that the acknowledgement was requested with.
+        /// The number of the acknowledgement request.
         number: u32,
     },
 }
 
-/// A line that can't be used.
+/// Why a line could not be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidLine {
-    /// The line is not JSON, so whatever follows it may be anything.
+    /// The line is not valid JSON, so the lines after it can't be trusted either.
     #[error("a line is not JSON")]
     NotJson(#[from] serde_json::Error),
-    /// The event is invalid, and can be skipped.
+    /// The line is valid JSON but not a valid event. It can be skipped.
     #[error("{reason}")]
     InvalidEvent {
-        /// The proxy that it is about, where that much can be read.
+        /// The proxy that the event is about, if it can be read.
         proxy: Option<u32>,
-        /// What is wrong with it.
+        /// Why the event is invalid.
         reason: InvalidEvent,
     },
 }
 
-/// What is wrong with an event.
+/// Why an event is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidEvent {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// It names what the settings do not.
+    /// The event refers to a zone or proxy that is not in the settings.
     #[error(transparent)]
     Name(#[from] UnknownName),
-    /// Events of this kind do not exist.
+    /// The event's type is unknown.
     #[error("kind '{0}' is unknown")]
     UnknownKind(String),
 }
@@ -73,7 +73,7 @@
     /// Decodes one line.
     ///
     /// # Errors
-    /// The line is not JSON, or no valid event.
+    /// The line is not valid JSON or not a valid event.
     pub fn decode(line: &str, names: &DeploymentNames) -> Result<Self, InvalidLine> {
         if line.trim().is_empty() {
             return Ok(ProxyEvent::Blank);
--- a/control-plane/src/proxy_event/tests.rs
+++ b/control-plane/src/proxy_event/tests.rs
@@ -10,7 +10,7 @@
     ProxyEvent::decode(line, &names)
 }
 
-/// The proxy that an invalid event names; panics where the line is no invalid event.
+/// Decodes an invalid event and returns the proxy that its error names. Panics on any other result.
 fn proxy_of_invalid(event: Value) -> Option<u32> {
     match decode(&event.to_string()) {
         Err(InvalidLine::InvalidEvent { proxy, .. }) => proxy,
--- a/control-plane/src/proxy_snapshot.rs
+++ b/control-plane/src/proxy_snapshot.rs
@@ -1,10 +1,10 @@
-//! The proxies that a new event stream names as joined before its first heartbeat.
+//! The joined proxies, as a new event stream lists them before its first heartbeat.
 
 use std::collections::BTreeSet;
 
-/// Collects the named proxies until they are complete.
+/// Collects the listed proxies until the list is complete.
 pub struct ProxySnapshot {
-    /// Nothing once the snapshot is complete or given up.
+    /// `None` once the snapshot has been completed or invalidated.
     present: Option<BTreeSet<u32>>,
 }
 
@@ -15,26 +15,28 @@
 }
 
 impl ProxySnapshot {
-    /// A proxy was named.
+    /// Adds a proxy that the stream lists as joined.
     pub fn proxy_present(&mut self, proxy: u32) {
         if let Some(present) = &mut self.present {
             present.insert(proxy);
         }
     }
 
-    /// A proxy left.
+    /// Removes a proxy that left.
     pub fn proxy_left(&mut self, proxy: u32) {
         if let Some(present) = &mut self.present {
             present.remove(&proxy);
         }
     }
 
-    /// Not all named proxies are known, so none may be taken as missing.
+    /// Gives up on the snapshot because not all listed proxies are known. No proxy may then be treated as
+    /// missing.
     pub fn give_up(&mut self) {
         self.present = None;
     }
 
-    /// The first heartbeat came: all proxies that are joined. Nothing at later heartbeats, or where it was given up.
+    /// Completes the snapshot at a heartbeat. Returns all joined proxies at the first heartbeat, and `None`
+    /// at later ones or if the snapshot was invalidated.
     pub fn complete(&mut self) -> Option<BTreeSet<u32>> {
         self.present.take()
     }
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -1,4 +1,5 @@
-//! One connection that carries the relay's event stream, with the snapshot of joined proxies that it opens with.
+//! One connection to the relay's event stream, with the snapshot of joined proxies that the stream starts
+//! with.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
@@ -19,19 +20,20 @@
 
 const PATH: &str = "/v3/kv/stream";
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(800);
-/// The relay sends a heartbeat each second. To open another stream in vain costs only an assignment for each proxy.
+/// The relay sends a heartbeat every second. Opening another stream unnecessarily costs only one assignment
+/// per proxy.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_800);
 const MAX_LINE_BYTES: usize = 64 << 10;
 
 type Chunks = Pin<Box<dyn Stream<Item = io::Result<Bytes>>>>;
 type Lines = FramedRead<StreamReader<Chunks, Bytes>, LinesCodec>;
 
-/// An open stream that has sent its first line.
+/// An open stream on which the first line has arrived.
 pub struct ProxyStream {
-    /// Where the relay was when it was opened.
+    /// The relay's address when the stream was opened.
     pub address: SocketAddr,
     lines: Lines,
-    /// The first line, until it is read.
+    /// The first line, until [`ProxyStream::next_line`] returns it.
     first_line: Option<String>,
     snapshot: ProxySnapshot,
 }
@@ -40,7 +42,7 @@
     /// Opens a stream and waits for its first line.
     ///
     /// # Errors
-    /// The relay can't be reached, rejects the request, or sends no line in time.
+    /// The relay can't be reached, rejects the request, or does not send a line in time.
     pub async fn open(peer: &Peer) -> Result<Self, CallError> {
         let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
         if !response.status().is_success() {
@@ -60,10 +62,11 @@
         })
     }
 
-    /// The next line; nothing where the stream is silent. Cancelled, it loses no line.
+    /// Returns the next line, or `None` if none arrives within [`SILENCE_TIMEOUT`]. Cancellation-safe: no
+    /// line is lost.
     ///
     /// # Errors
-    /// The stream ended, or a line is too long or no text.
+    /// The stream ended, or a line is too long or not valid UTF-8.
     pub async fn next_line(&mut self) -> Result<Option<String>, CallError> {
         match self.first_line.take() {
             Some(first_line) => Ok(Some(first_line)),
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Keeps the snapshot in step with an event; returns what the control loop has to know of it.
+    /// Updates the snapshot with an event, and returns the event to send to the control loop, if any.
     pub fn track(&mut self, event: ProxyEvent) -> Option<Event> {
         match event {
             ProxyEvent::Blank => None,
@@ -88,8 +91,8 @@
         }
     }
 
-    /// Keeps the snapshot in step with an invalid event. Its proxy is not missing; one that does not name its proxy may be
-    /// about any.
+    /// Updates the snapshot with an invalid event. The proxy that it names counts as joined; an event that
+    /// does not name its proxy could be about any proxy and invalidates the snapshot.
     pub fn track_invalid(&mut self, proxy: Option<u32>) {
         match proxy {
             Some(proxy) => self.snapshot.proxy_present(proxy),
@@ -98,7 +101,7 @@
     }
 }
 
-/// The next line; nothing where none comes in time.
+/// Returns the next line, or `None` if none arrives within [`SILENCE_TIMEOUT`].
 async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
     match within(SILENCE_TIMEOUT, lines.next()).await {
         None => Ok(None),
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,8 +1,9 @@
-//! Follows the relay's event stream: which proxies are joined, and what they have acknowledged.
+//! Follows the relay's event stream, which reports the joined proxies and their acknowledgements.
 //!
-//! A stream that is silent is kept while another is opened beside it: one that speaks again has missed nothing, and no
-//! proxy need be reassigned. One that ended may have missed any joining or leaving: the next names all joined proxies,
-//! and those that it does not name have left. A relay that has moved is followed as soon as it speaks at its new address.
+//! A silent stream is kept while another is opened in parallel. If the silent stream resumes, it has missed
+//! nothing and no proxy needs to be reassigned. After a stream has ended, any join or leave may have been
+//! missed: the next stream lists all joined proxies, and those that it does not list have left. When the
+//! relay's address changes, the old stream is used until a line has arrived from the new address.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
@@ -20,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Pauses before an attempt to open a stream, by the number of attempts that failed before it.
+/// Delays before an attempt to open a stream, by the number of failed attempts before it.
 const BACKOFF: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(60),
@@ -28,21 +29,21 @@
     Duration::from_millis(240),
 ];
 
-/// What following the stream needs.
+/// The task that follows the event stream. It is cloned for each restart after a panic.
 #[derive(Clone)]
 pub struct ProxyStreams {
-    /// Where the relay is.
+    /// The relay's address.
     pub address: watch::Receiver<SocketAddr>,
-    /// The names of the settings.
+    /// The zones, request classes and proxies in the settings.
     pub names: Rc<DeploymentNames>,
-    /// Where the events go.
+    /// Sends events to the control loop.
     pub events: EventSender,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
 impl ProxyStreams {
-    /// Follows the stream for ever.
+    /// Follows the stream forever.
     pub async fn run(self) {
         Follower::new(self).run().await;
     }
@@ -50,10 +51,10 @@
 
 type Opening = Pin<Box<dyn Future<Output = Result<ProxyStream, CallError>>>>;
 
-/// Follows one stream, and opens another where that has to be.
+/// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
     context: ProxyStreams,
-    /// Kept for all attempts at one address: a slow connection comes up for a later attempt.
+    /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
     peer: Rc<Peer>,
     stream: Option<ProxyStream>,
     opening: Option<Opening>,
@@ -61,9 +62,9 @@
     skipped_event_log: LogRateLimit,
 }
 
-/// What a follower waits for.
+/// The events that a follower waits for.
 enum Progress {
-    /// A line of the stream, or none where it is silent.
+    /// A line arrived, or the stream is silent (`None`) or lost.
     Line(Result<Option<String>, CallError>),
     /// An attempt to open a stream ended.
     Opened(Result<ProxyStream, CallError>),
@@ -167,8 +168,8 @@
         self.failed_attempts = 0;
     }
 
-    /// Drops the stream and opens another, whatever attempt is under way: a connection that was reset shows that the
-    /// relay is back, and the attempt may hang.
+    /// Drops the stream and opens another, even if an attempt is already in progress: a reset connection
+    /// shows that the relay is reachable again, while the earlier attempt may hang.
     fn stream_lost(&mut self, error: &CallError) {
         warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
@@ -177,7 +178,7 @@
     }
 }
 
-/// The next line of the stream; pending where there is no stream.
+/// Waits for the next line of the stream; stays pending if there is no stream.
 async fn next_line(stream: &mut Option<ProxyStream>) -> Result<Option<String>, CallError> {
     match stream {
         Some(stream) => stream.next_line().await,
@@ -185,7 +186,7 @@
     }
 }
 
-/// The end of the attempt to open a stream; pending where there is no attempt.
+/// Waits for the attempt to open a stream to end; stays pending if there is no attempt.
 async fn next_opened(opening: &mut Option<Opening>) -> Result<ProxyStream, CallError> {
     match opening {
         Some(opening) => opening.await,
