--- a/control-plane/src/call_error.rs
+++ b/control-plane/src/call_error.rs
@@ -1,30 +1,30 @@
-//! Errors of HTTP calls to a peer, classified by whether the peer may have executed the request.
+//! Errors in communication with a peer, classified by whether the peer may have executed a request.
 
 use std::error::Error;
 
 /// The underlying error of a [`CallError`].
 pub type Cause = Box<dyn Error + Send + Sync>;
 
-/// Why a call to a peer failed.
+/// Why communication with a peer failed.
 ///
 /// `Display` prints only the kind of failure. The causes are available through [`Error::source`], and the log
 /// prints all of them.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// Nothing was sent, so the request was not executed.
-    #[error("not connected")]
+    #[error("not connected to the peer")]
     NotConnected(#[source] Cause),
     /// The request was sent at least in part and no response arrived. It may have been executed.
-    #[error("sent, no answer")]
+    #[error("peer did not respond")]
     NoAnswer(#[source] Cause),
     /// A response arrived that was truncated, too large or malformed. The request may have been executed.
-    #[error("answer not usable")]
+    #[error("peer sent invalid data")]
     UnusableAnswer(#[source] Cause),
     /// The peer rejected the request for now, for example because it is throttling. It was not executed.
-    #[error("rejected")]
+    #[error("peer rejected the request")]
     Rejected(#[source] Cause),
     /// The request is invalid: the peer did not execute it and never will.
-    #[error("invalid request")]
+    #[error("peer reports an invalid request")]
     Invalid(#[source] Cause),
 }
 
--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -61,7 +61,7 @@
 }
 
 fn connect_timed_out() -> io::Error {
-    let text = format!("not connected after {} ms", CONNECT_TIMEOUT.as_millis());
+    let text = format!("no connection established within {} ms", CONNECT_TIMEOUT.as_millis());
     io::Error::new(io::ErrorKind::TimedOut, text)
 }
 
@@ -111,7 +111,7 @@
                 Err(CallError::NotConnected(error.into()))
             }
             Some(Err(error)) => Err(CallError::NoAnswer(error.into())),
-            None => Err(CallError::NoAnswer(format!("silent for {} ms", limit.as_millis()).into())),
+            None => Err(CallError::NoAnswer(format!("no response within {} ms", limit.as_millis()).into())),
         }
     }
 
@@ -133,7 +133,7 @@
             Some(Ok(body)) => Ok((status, body.to_bytes())),
             Some(Err(error)) => Err(CallError::UnusableAnswer(error)),
             None => {
-                let text = format!("incomplete after {} ms", limit.as_millis());
+                let text = format!("response body incomplete after {} ms", limit.as_millis());
                 Err(CallError::UnusableAnswer(text.into()))
             }
         }
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -113,7 +113,7 @@
                 DeliveryOutcome::Accepted
             }
             Ok(Some(declined)) => {
-                warn!(self.log, "command declined by the relay"; "command" => &declined.text);
+                warn!(self.log, "relay rejected a command"; "command" => &declined.text);
                 DeliveryOutcome::Declined(declined)
             }
             Err(error) => {
@@ -189,7 +189,7 @@
 /// rejection proves that none was executed; an internal error of the relay does not.
 fn error_of_answer(status: StatusCode, answer: &[u8]) -> CallError {
     let quoted: String = String::from_utf8_lossy(answer).chars().take(MAX_QUOTED_CHARS).collect();
-    let cause = format!("status {status}: {quoted}").into();
+    let cause = format!("response status {status}, body: {quoted}").into();
     if quoted.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
         CallError::Rejected(cause)
     } else if status.is_client_error() && quoted.contains("invalid") {
--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidLine {
     /// The line is not valid JSON, so the lines after it can't be trusted either.
-    #[error("a line is not JSON")]
+    #[error("line is not valid JSON")]
     NotJson(#[from] serde_json::Error),
     /// The line is valid JSON but not a valid event. It can be skipped.
     #[error("{reason}")]
@@ -65,7 +65,7 @@
     #[error(transparent)]
     Name(#[from] UnknownName),
     /// The event's type is unknown.
-    #[error("kind '{0}' is unknown")]
+    #[error("unknown event type '{0}'")]
     UnknownKind(String),
 }
 
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -46,13 +46,14 @@
     pub async fn open(peer: &Peer) -> Result<Self, CallError> {
         let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
         if !response.status().is_success() {
-            return Err(CallError::Rejected(format!("status {}", response.status()).into()));
+            return Err(CallError::Rejected(format!("response status {}", response.status()).into()));
         }
         let chunks: Chunks = Box::pin(BodyDataStream::new(response.into_body()).map_err(io::Error::other));
         let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
         let mut lines = FramedRead::new(StreamReader::new(chunks), codec);
         let Some(first_line) = read_line(&mut lines).await? else {
-            return Err(CallError::NoAnswer("no first line".into()));
+            let text = format!("no line within {} ms of opening the stream", SILENCE_TIMEOUT.as_millis());
+            return Err(CallError::NoAnswer(text.into()));
         };
         Ok(ProxyStream {
             address: peer.address,
@@ -105,7 +106,7 @@
 async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
     match within(SILENCE_TIMEOUT, lines.next()).await {
         None => Ok(None),
-        Some(None) => Err(CallError::UnusableAnswer("ended".into())),
+        Some(None) => Err(CallError::UnusableAnswer("stream ended".into())),
         Some(Some(Ok(line))) => Ok(Some(line)),
         Some(Some(Err(error))) => Err(CallError::UnusableAnswer(error.into())),
     }
--- a/control-plane/tests/sockets/commands.rs
+++ b/control-plane/tests/sockets/commands.rs
@@ -118,7 +118,7 @@
     relay.proxy_joins(9);
     let call = relay.next_call_with("attach");
     let declined = call[0].clone();
-    assert_eq!(control_plane.wait_for_log("command declined by the relay")["command"], declined.to_string());
+    assert_eq!(control_plane.wait_for_log("relay rejected a command")["command"], declined.to_string());
     if call.len() > 1 {
         assert_eq!(relay.next_call(), call[1..]);
     }
