--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -106,7 +106,7 @@
             .body(Full::new(body))
             .map_err(|error| CallError::NotConnected(error.into()))?;
         match within(limit, self.client.request(request)).await {
-            Some(Ok(answer)) => Ok(answer),
+            Some(Ok(response)) => Ok(response),
             Some(Err(error)) if error.is_connect() || was_never_sent(&error) => {
                 Err(CallError::NotConnected(error.into()))
             }
@@ -125,11 +125,11 @@
         limit: Duration,
         max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let begun = Instant::now();
-        let answer = self.send(method, path, body, limit).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), max_bytes).collect();
-        match within(limit.saturating_sub(begun.elapsed()), body).await {
+        let started = Instant::now();
+        let response = self.send(method, path, body, limit).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), max_bytes).collect();
+        match within(limit.saturating_sub(started.elapsed()), body).await {
             Some(Ok(body)) => Ok((status, body.to_bytes())),
             Some(Err(error)) => Err(CallError::UnusableAnswer(error)),
             None => {
--- a/control-plane/src/client/tests.rs
+++ b/control-plane/src/client/tests.rs
@@ -6,13 +6,13 @@
 const LIMIT: Duration = Duration::from_millis(40);
 
 async fn call(address: SocketAddr) -> CallError {
-    let answer = Peer::new(address).call(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
-    answer.expect_err("nobody answers")
+    let response = Peer::new(address).call(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
+    response.expect_err("the peer does not respond")
 }
 
 /// Makes many calls, so that their timeouts fall on all parts of a timer tick.
 #[tokio::test]
-async fn a_peer_that_sends_nothing_in_time_has_not_answered() {
+async fn a_peer_that_sends_nothing_in_time_has_not_responded() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut calls = JoinSet::new();
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_whose_body_does_not_end_in_time_is_not_usable() {
+async fn a_response_whose_body_does_not_end_in_time_is_invalid() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let server = tokio::spawn(async move {
--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -6,7 +6,7 @@
 /// One command for the relay.
 pub struct Command {
     /// The command as JSON.
-    pub text: String,
+    pub json: String,
     /// What the command does.
     pub kind: CommandKind,
 }
@@ -78,7 +78,7 @@
     }
 
     fn new(value: Value, kind: CommandKind) -> Self {
-        Command { text: value.to_string(), kind }
+        Command { json: value.to_string(), kind }
     }
 }
 
--- a/control-plane/src/command_batch.rs
+++ b/control-plane/src/command_batch.rs
@@ -20,7 +20,7 @@
     /// The request body, as JSON.
     pub body: String,
     /// The number of commands that it takes from the front of the queue.
-    pub commands: usize,
+    pub queued_commands: usize,
     /// Whether the body ends with a copy of an acknowledgement request that itself stays in the queue.
     pub repeats_acknowledgement_request: bool,
 }
@@ -29,28 +29,28 @@
     /// Builds the next batch from a non-empty queue.
     pub fn next(queue: &VecDeque<Command>) -> Self {
         let request = queue.back().filter(|command| command.is_acknowledgement_request());
-        let reserved = request.map_or(0, |request| SEPARATOR.len() + request.text.len());
-        let commands = commands_that_fit(queue, MAX_BODY_BYTES - reserved);
-        let repeated = request.filter(|_| commands < queue.len());
-        let texts: Vec<&str> =
-            queue.iter().take(commands).chain(repeated).map(|command| command.text.as_str()).collect();
+        let reserved = request.map_or(0, |request| SEPARATOR.len() + request.json.len());
+        let queued_commands = count_fitting_commands(queue, MAX_BODY_BYTES - reserved);
+        let repeated = request.filter(|_| queued_commands < queue.len());
+        let commands_json: Vec<&str> =
+            queue.iter().take(queued_commands).chain(repeated).map(|command| command.json.as_str()).collect();
         CommandBatch {
-            body: [BODY_START, &texts.join(SEPARATOR), BODY_END].concat(),
-            commands,
+            body: [BODY_START, &commands_json.join(SEPARATOR), BODY_END].concat(),
+            queued_commands,
             repeats_acknowledgement_request: repeated.is_some(),
         }
     }
 
     /// The number of commands in the body, including a repeated acknowledgement request.
     pub fn sent_commands(&self) -> usize {
-        self.commands + usize::from(self.repeats_acknowledgement_request)
+        self.queued_commands + usize::from(self.repeats_acknowledgement_request)
     }
 }
 
 /// The number of commands from the front of the queue that go into one body: as many as fit, but at least
 /// one. A group of commands that reach the same proxies is left for the next batch if only part of it fits,
 /// unless it is the first group.
-fn commands_that_fit(queue: &VecDeque<Command>, max_bytes: usize) -> usize {
+fn count_fitting_commands(queue: &VecDeque<Command>, max_bytes: usize) -> usize {
     let mut length = BODY_START.len() + BODY_END.len();
     let mut group_start = 0;
     for (position, command) in queue.iter().enumerate() {
@@ -60,7 +60,7 @@
             }
             length += SEPARATOR.len();
         }
-        length += command.text.len();
+        length += command.json.len();
         if position > 0 && length > max_bytes {
             return if group_start > 0 { group_start } else { position };
         }
--- a/control-plane/src/command_batch/tests.rs
+++ b/control-plane/src/command_batch/tests.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 fn command(kind: CommandKind) -> Command {
-    Command { text: format!("\"{}\"", "x".repeat(20_000)), kind }
+    Command { json: format!("\"{}\"", "x".repeat(20_000)), kind }
 }
 
 /// The number of queued commands in the first batch, and whether it repeats the acknowledgement request.
@@ -12,7 +12,7 @@
     assert!(batch.body.len() <= MAX_BODY_BYTES);
     let sent: Value = serde_json::from_str(&batch.body).unwrap();
     assert_eq!(sent["changes"].as_array().unwrap().len(), batch.sent_commands());
-    (batch.commands, batch.repeats_acknowledgement_request)
+    (batch.queued_commands, batch.repeats_acknowledgement_request)
 }
 
 fn assignment(proxy: u32) -> CommandKind {
@@ -24,28 +24,28 @@
 }
 
 #[test]
-fn a_call_that_would_be_too_long_is_cut_between_commands() {
+fn a_batch_that_would_be_too_long_is_split_between_commands() {
     assert_eq!(first_batch((0..4).map(assignment)), (2, false));
 }
 
 #[test]
-fn a_call_is_cut_between_tables_where_it_can_be() {
+fn a_batch_is_split_between_tables_where_possible() {
     assert_eq!(first_batch([assignment(1), admission(), admission()]), (1, false));
     assert_eq!(first_batch([admission(), admission(), admission()]), (2, false));
 }
 
 #[test]
-fn each_call_of_a_moment_repeats_its_acknowledgement_request() {
+fn each_batch_repeats_the_acknowledgement_request() {
     let kinds = [assignment(1), assignment(2), assignment(3), CommandKind::AcknowledgementRequest];
     assert_eq!(first_batch(kinds), (1, true));
 }
 
 #[test]
-fn a_body_is_full_up_to_the_limit_and_no_further() {
+fn a_body_is_filled_up_to_the_limit_and_no_further() {
     let longest = MAX_BODY_BYTES - BODY_START.len() - BODY_END.len() - SEPARATOR.len() - 20_002;
     for (length, commands) in [(longest, 2), (longest + 1, 1)] {
-        let second = Command { text: "1".repeat(length), kind: assignment(2) };
+        let second = Command { json: "1".repeat(length), kind: assignment(2) };
         let batch = CommandBatch::next(&VecDeque::from([command(assignment(1)), second]));
-        assert_eq!(batch.commands, commands);
+        assert_eq!(batch.queued_commands, commands);
     }
 }
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -20,8 +20,8 @@
 /// The relay responds within 50 ms or not at all. The rest allows for opening a new connection and for a
 /// process that is scheduled late. The controller must react to an unresponsive relay within 1.5 s of the
 /// call.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
-const MAX_ANSWER_BYTES: usize = 64 << 10;
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// The length at which an unusable response is truncated in the error text.
 const MAX_QUOTED_CHARS: usize = 120;
 
@@ -30,7 +30,7 @@
     /// The relay accepted all pending commands.
     Accepted,
     /// The relay rejected this command and accepted all before it. Those after it are still pending.
-    Declined(Command),
+    Rejected(Command),
     /// A call failed and may be resent unchanged.
     Failed(CallError),
     /// The relay reported the same call as invalid twice, which rules out a corrupted response.
@@ -42,11 +42,11 @@
     relay_address: watch::Receiver<SocketAddr>,
     peer: Peer,
     log: Logger,
-    unacknowledged: VecDeque<Command>,
+    pending: VecDeque<Command>,
     /// Whether the latest call failed.
     failing: bool,
     /// Whether the relay reported the latest call as invalid.
-    found_invalid: bool,
+    last_call_invalid: bool,
     calls: u64,
     failed_calls: u64,
 }
@@ -60,9 +60,9 @@
             relay_address,
             peer,
             log,
-            unacknowledged: VecDeque::new(),
+            pending: VecDeque::new(),
             failing: false,
-            found_invalid: false,
+            last_call_invalid: false,
             calls: 0,
             failed_calls: 0,
         }
@@ -75,7 +75,7 @@
 
     /// Whether there are commands to send, or a failed call to recover from.
     pub fn is_pending(&self) -> bool {
-        !self.unacknowledged.is_empty() || self.failing
+        !self.pending.is_empty() || self.failing
     }
 
     /// The number of calls since the start.
@@ -92,33 +92,33 @@
     /// of the failed call, so that the acknowledgement shows which of the two calls arrived.
     pub fn enqueue(&mut self, commands: VecDeque<Command>) {
         if commands.iter().any(Command::is_acknowledgement_request) {
-            self.unacknowledged.retain(|command| !command.is_acknowledgement_request());
+            self.pending.retain(|command| !command.is_acknowledgement_request());
         }
-        self.unacknowledged.extend(commands);
+        self.pending.extend(commands);
     }
 
     /// Drops the pending commands, because the controller that issued them has been replaced.
     pub fn discard_pending(&mut self) {
-        self.unacknowledged.clear();
+        self.pending.clear();
         self.failing = false;
-        self.found_invalid = false;
+        self.last_call_invalid = false;
     }
 
     /// Sends the pending commands until all are accepted, one is rejected, or a call fails.
     pub async fn deliver(&mut self) -> DeliveryOutcome {
-        let found_invalid_before = std::mem::take(&mut self.found_invalid);
+        let previous_call_invalid = std::mem::take(&mut self.last_call_invalid);
         match self.send_batches().await {
             Ok(None) => {
                 self.call_succeeded();
                 DeliveryOutcome::Accepted
             }
-            Ok(Some(declined)) => {
-                warn!(self.log, "relay rejected a command"; "command" => &declined.text);
-                DeliveryOutcome::Declined(declined)
+            Ok(Some(rejected)) => {
+                warn!(self.log, "relay rejected a command"; "command" => &rejected.json);
+                DeliveryOutcome::Rejected(rejected)
             }
             Err(error) => {
-                self.found_invalid = matches!(error, CallError::Invalid(_));
-                if self.found_invalid && found_invalid_before {
+                self.last_call_invalid = matches!(error, CallError::Invalid(_));
+                if self.last_call_invalid && previous_call_invalid {
                     return DeliveryOutcome::Invalid(error);
                 }
                 self.call_failed(&error);
@@ -129,14 +129,14 @@
 
     /// Sends one batch after another. Stops at the first command that the relay rejects, and returns it.
     async fn send_batches(&mut self) -> Result<Option<Command>, CallError> {
-        while !self.unacknowledged.is_empty() {
-            let batch = CommandBatch::next(&self.unacknowledged);
+        while !self.pending.is_empty() {
+            let batch = CommandBatch::next(&self.pending);
             self.calls += 1;
-            let commands = batch.commands;
+            let queued = batch.queued_commands;
             let accepted = self.send(batch).await?;
-            self.unacknowledged.drain(..accepted.min(commands));
-            if accepted < commands {
-                return Ok(self.unacknowledged.pop_front());
+            self.pending.drain(..accepted.min(queued));
+            if accepted < queued {
+                return Ok(self.pending.pop_front());
             }
         }
         Ok(None)
@@ -144,20 +144,20 @@
 
     /// Makes one call and returns how many of its commands the relay accepted.
     async fn send(&mut self, batch: CommandBatch) -> Result<usize, CallError> {
-        self.update_peer();
+        self.update_relay_address();
         let sent = batch.sent_commands();
         let body = Bytes::from(batch.body);
-        let (status, answer) =
-            self.peer.call(Method::POST, PATH, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await?;
-        match accepted_commands(&answer) {
+        let (status, response) =
+            self.peer.call(Method::POST, PATH, body, RESPONSE_TIMEOUT, MAX_RESPONSE_BYTES).await?;
+        match accepted_count(&response) {
             Some(accepted) if accepted <= sent && status.is_success() => Ok(accepted),
-            _ => Err(error_of_answer(status, &answer)),
+            _ => Err(response_error(status, &response)),
         }
     }
 
     /// Switches to the relay's new address if it has changed. A call that failed at the old address is resent
     /// to the new one unchanged, and no other command is sent before it there either.
-    fn update_peer(&mut self) {
+    fn update_relay_address(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
             self.peer = Peer::new(*self.relay_address.borrow_and_update());
         }
@@ -173,22 +173,22 @@
     fn call_failed(&mut self, error: &CallError) {
         self.failed_calls += 1;
         if !self.failing {
-            warn!(self.log, "command delivery failed"; "why" => #error, "commands" => self.unacknowledged.len());
+            warn!(self.log, "command delivery failed"; "why" => #error, "commands" => self.pending.len());
         }
         self.failing = true;
     }
 }
 
 /// The number of commands that the relay accepted, if its response states it.
-fn accepted_commands(answer: &[u8]) -> Option<usize> {
-    let value: Value = serde_json::from_slice(answer).ok()?;
+fn accepted_count(response: &[u8]) -> Option<usize> {
+    let value: Value = serde_json::from_slice(response).ok()?;
     value.get("taken")?.as_u64().map(|accepted| accepted as usize)
 }
 
 /// The error of a call whose response does not state how many commands were accepted. Only an explicit
 /// rejection proves that none was executed; an internal error of the relay does not.
-fn error_of_answer(status: StatusCode, answer: &[u8]) -> CallError {
-    let quoted: String = String::from_utf8_lossy(answer).chars().take(MAX_QUOTED_CHARS).collect();
+fn response_error(status: StatusCode, response: &[u8]) -> CallError {
+    let quoted: String = String::from_utf8_lossy(response).chars().take(MAX_QUOTED_CHARS).collect();
     let cause = format!("response status {status}, body: {quoted}").into();
     if quoted.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
         CallError::Rejected(cause)
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -63,17 +63,17 @@
 
     /// Runs until shutdown. A final iteration sends the commands issued so far, and resends those of a failed
     /// call: proxies that have not yet moved to another instance still use them.
-    pub async fn run(mut self, end: CancellationToken) {
-        while !end.is_cancelled() {
-            let first = self.wait(&end).await;
-            self.run_round(first).await;
+    pub async fn run(mut self, shutdown: CancellationToken) {
+        while !shutdown.is_cancelled() {
+            let first_event = self.wait_for_event(&shutdown).await;
+            self.run_iteration(first_event).await;
         }
         self.controller.host().set_resend_requested(true);
-        self.run_round(None).await;
+        self.run_iteration(None).await;
     }
 
     /// Waits for an event. Returns `None` when a timer or the status snapshot is due, or at shutdown.
-    async fn wait(&mut self, end: &CancellationToken) -> Option<Event> {
+    async fn wait_for_event(&mut self, shutdown: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
         let wake_up = self.controller.host().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
         let pause = Duration::from_micros((wake_up - now).as_us().max(0) as u64);
@@ -81,14 +81,14 @@
             biased;
             event = self.events.recv() => event,
             () = sleep(pause) => None,
-            () = end.cancelled() => None,
+            () = shutdown.cancelled() => None,
         }
     }
 
-    async fn run_round(&mut self, first: Option<Event>) {
+    async fn run_iteration(&mut self, first_event: Option<Event>) {
         let now = self.clock.now();
         self.controller.host().set_now(now);
-        self.handle_events(now, first);
+        self.handle_events(now, first_event);
         self.fire_timers(now);
         self.deliver_commands().await;
         self.report_status();
@@ -96,8 +96,8 @@
 
     /// Passes the first event and all queued ones to the controller. Handles at most as many events as the
     /// queue holds, so that busy senders can't delay the commands indefinitely.
-    fn handle_events(&mut self, now: Moment, first: Option<Event>) {
-        let mut next = first;
+    fn handle_events(&mut self, now: Moment, first_event: Option<Event>) {
+        let mut next = first_event;
         for _ in 0..EVENT_QUEUE_CAPACITY {
             let Some(event) = next.or_else(|| self.events.try_recv().ok()) else { return };
             self.step(now, |controller, now| dispatch(controller, now, event));
@@ -131,7 +131,7 @@
                 DeliveryOutcome::Accepted => {
                     self.step(now, |controller, now| controller.commands_accepted(now));
                 }
-                DeliveryOutcome::Declined(command) => self.command_declined(now, command),
+                DeliveryOutcome::Rejected(command) => self.command_rejected(now, command),
                 DeliveryOutcome::Failed(error) => {
                     let may_have_been_executed = error.may_have_been_executed();
                     self.step(now, |controller, now| controller.commands_lost(now, may_have_been_executed));
@@ -150,7 +150,7 @@
 
     /// Reports a command that the relay rejected to the controller. The commands after it are sent
     /// immediately.
-    fn command_declined(&mut self, now: Moment, command: Command) {
+    fn command_rejected(&mut self, now: Moment, command: Command) {
         match command.kind {
             CommandKind::Assignment { proxy } => {
                 self.step(now, |controller, now| controller.assignment_rejected(now, proxy));
--- a/control-plane/src/control_loop/tests.rs
+++ b/control-plane/src/control_loop/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn unacknowledged_commands_of_a_controller_that_panicked_are_dropped() {
+fn pending_commands_of_a_controller_that_panicked_are_dropped() {
     let mut control_loop = control_loop();
     control_loop.delivery.enqueue([Command::assign_table(3, 0)].into());
     let now = control_loop.clock.now();
--- a/control-plane/src/controller_restart/tests.rs
+++ b/control-plane/src/controller_restart/tests.rs
@@ -28,7 +28,7 @@
 /// The number of commands issued since the last call that contain `text`.
 fn count_commands(controller: &mut RestartableController, text: &str) -> usize {
     let commands = controller.host().take_commands();
-    commands.iter().filter(|command: &&Command| command.text.contains(text)).count()
+    commands.iter().filter(|command: &&Command| command.json.contains(text)).count()
 }
 
 #[test]
