--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -34,8 +34,8 @@
         zone: u32,
         /// The proxy's usual rate, in requests per second.
         rate: f64,
-        /// Whether the relay marks it as new.
-        fresh: bool,
+        /// Whether the relay marks the proxy as new, so that it still holds its initial table.
+        has_initial_table: bool,
     },
     /// A proxy left the relay.
     ProxyLeft {
--- a/control-plane/src/event_dispatch.rs
+++ b/control-plane/src/event_dispatch.rs
@@ -20,12 +20,12 @@
             controller.endpoints_updated(now, &updates);
         }
         Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
-        Event::ProxyJoined { proxy, zone, rate, fresh } => {
+        Event::ProxyJoined { proxy, zone, rate, has_initial_table } => {
             controller.host().proxy_joined(proxy, JoinedProxy { zone, rate });
-            controller.proxy_joined(now, proxy, zone, rate, fresh);
+            controller.proxy_joined(now, proxy, zone, rate, has_initial_table);
         }
         Event::ProxyLeft { proxy } => proxy_left(controller, now, proxy),
-        Event::ProxySnapshot { joined } => missing_proxies_left(controller, now, &joined),
+        Event::ProxySnapshot { joined } => remove_missing_proxies(controller, now, &joined),
         Event::Acknowledged { proxy, number } => {
             if controller.host().fleet().proxies().contains_key(&proxy) {
                 controller.acknowledged(now, number, proxy);
@@ -40,7 +40,7 @@
     }
 }
 
-fn missing_proxies_left(controller: &mut Controller<RelayHost>, now: Moment, joined: &BTreeSet<u32>) {
+fn remove_missing_proxies(controller: &mut Controller<RelayHost>, now: Moment, joined: &BTreeSet<u32>) {
     let known: Vec<u32> = controller.host().fleet().proxies().keys().copied().collect();
     for proxy in known {
         if !joined.contains(&proxy) {
--- a/control-plane/src/event_dispatch/tests.rs
+++ b/control-plane/src/event_dispatch/tests.rs
@@ -42,7 +42,11 @@
 fn a_proxy_that_the_snapshot_does_not_name_has_left() {
     let mut controller = controller();
     for proxy in [3, 4] {
-        dispatch(&mut controller, NOW, Event::ProxyJoined { proxy, zone: 0, rate: 5.0, fresh: true });
+        dispatch(
+            &mut controller,
+            NOW,
+            Event::ProxyJoined { proxy, zone: 0, rate: 5.0, has_initial_table: true },
+        );
     }
     dispatch(&mut controller, NOW, Event::ProxySnapshot { joined: [4, 5].into() });
     assert!(controller.host().fleet().proxies().keys().eq([&4]));
--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -22,8 +22,8 @@
         zone: u32,
         /// The proxy's usual rate, in requests per second.
         rate: f64,
-        /// Whether the relay marks it as new.
-        fresh: bool,
+        /// Whether the relay marks the proxy as new, so that it still holds its initial table.
+        has_initial_table: bool,
     },
     /// A proxy left.
     Left {
@@ -83,11 +83,11 @@
             return Ok(ProxyEvent::Heartbeat);
         }
         decode_event(&value, names)
-            .map_err(|reason| InvalidLine::InvalidEvent { proxy: proxy_of(&value), reason })
+            .map_err(|reason| InvalidLine::InvalidEvent { proxy: proxy_number(&value), reason })
     }
 }
 
-fn proxy_of(event: &Value) -> Option<u32> {
+fn proxy_number(event: &Value) -> Option<u32> {
     event["object"]["node"].as_u64().and_then(|number| u32::try_from(number).ok())
 }
 
@@ -100,7 +100,7 @@
             proxy,
             zone: names.zone(fields.text("locality")?)?,
             rate: fields.number_within("w", 0.0..=MAX_RATE)?,
-            fresh: fields.flag("cold"),
+            has_initial_table: fields.flag("cold"),
         }),
         "bye" => Ok(ProxyEvent::Left { proxy }),
         "ack" => Ok(ProxyEvent::Acknowledged { proxy, number: fields.u32("nonce")? }),
--- a/control-plane/src/proxy_event/tests.rs
+++ b/control-plane/src/proxy_event/tests.rs
@@ -21,7 +21,10 @@
 #[test]
 fn each_kind_of_line_is_decoded() {
     let joined = r#"{"type":"hello","object":{"node":3,"locality":"south","w":20.5,"cold":true}}"#;
-    assert_eq!(decode(joined).unwrap(), ProxyEvent::Joined { proxy: 3, zone: 1, rate: 20.5, fresh: true });
+    assert_eq!(
+        decode(joined).unwrap(),
+        ProxyEvent::Joined { proxy: 3, zone: 1, rate: 20.5, has_initial_table: true }
+    );
     let left = r#"{"type":"bye","object":{"node":3}}"#;
     assert_eq!(decode(left).unwrap(), ProxyEvent::Left { proxy: 3 });
     let acknowledged = r#"{"type":"ack","object":{"node":3,"nonce":9}}"#;
--- a/control-plane/src/proxy_snapshot/tests.rs
+++ b/control-plane/src/proxy_snapshot/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
 #[test]
-fn a_snapshot_is_complete_once_and_holds_who_was_named_and_has_not_left() {
+fn a_snapshot_completes_once_and_holds_the_listed_proxies_that_have_not_left() {
     let mut snapshot = ProxySnapshot::default();
     for proxy in [3, 4, 5] {
-        snapshot.proxy_present(proxy);
+        snapshot.insert(proxy);
     }
-    snapshot.proxy_left(4);
+    snapshot.remove(4);
     assert_eq!(snapshot.complete(), Some([3, 5].into()));
-    snapshot.proxy_present(6);
+    snapshot.insert(6);
     assert_eq!(snapshot.complete(), None);
 }
 
 #[test]
-fn a_snapshot_that_was_given_up_is_never_complete() {
+fn an_invalidated_snapshot_never_completes() {
     let mut snapshot = ProxySnapshot::default();
-    snapshot.proxy_present(3);
-    snapshot.give_up();
-    snapshot.proxy_present(4);
+    snapshot.insert(3);
+    snapshot.invalidate();
+    snapshot.insert(4);
     assert_eq!(snapshot.complete(), None);
 }
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -80,12 +80,12 @@
         match event {
             ProxyEvent::Blank => None,
             ProxyEvent::Heartbeat => self.snapshot.complete().map(|joined| Event::ProxySnapshot { joined }),
-            ProxyEvent::Joined { proxy, zone, rate, fresh } => {
-                self.snapshot.proxy_present(proxy);
-                Some(Event::ProxyJoined { proxy, zone, rate, fresh })
+            ProxyEvent::Joined { proxy, zone, rate, has_initial_table } => {
+                self.snapshot.insert(proxy);
+                Some(Event::ProxyJoined { proxy, zone, rate, has_initial_table })
             }
             ProxyEvent::Left { proxy } => {
-                self.snapshot.proxy_left(proxy);
+                self.snapshot.remove(proxy);
                 Some(Event::ProxyLeft { proxy })
             }
             ProxyEvent::Acknowledged { proxy, number } => Some(Event::Acknowledged { proxy, number }),
@@ -96,8 +96,8 @@
     /// does not name its proxy could be about any proxy and invalidates the snapshot.
     pub fn track_invalid(&mut self, proxy: Option<u32>) {
         match proxy {
-            Some(proxy) => self.snapshot.proxy_present(proxy),
-            None => self.snapshot.give_up(),
+            Some(proxy) => self.snapshot.insert(proxy),
+            None => self.snapshot.invalidate(),
         }
     }
 }
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -49,7 +49,7 @@
     }
 }
 
-type Opening = Pin<Box<dyn Future<Output = Result<ProxyStream, CallError>>>>;
+type OpenAttempt = Pin<Box<dyn Future<Output = Result<ProxyStream, CallError>>>>;
 
 /// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
@@ -57,30 +57,30 @@
     /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
     peer: Rc<Peer>,
     stream: Option<ProxyStream>,
-    opening: Option<Opening>,
+    open_attempt: Option<OpenAttempt>,
     failed_attempts: usize,
     skipped_event_log: LogRateLimit,
 }
 
 /// The events that a follower waits for.
-enum Progress {
+enum FollowerEvent {
     /// A line arrived, or the stream is silent (`None`) or lost.
-    Line(Result<Option<String>, CallError>),
+    LineReceived(Result<Option<String>, CallError>),
     /// An attempt to open a stream ended.
-    Opened(Result<ProxyStream, CallError>),
+    AttemptEnded(Result<ProxyStream, CallError>),
     /// The relay has a new address.
-    Moved,
+    RelayMoved,
 }
 
 impl Follower {
     fn new(mut context: ProxyStreams) -> Self {
         let peer = Rc::new(Peer::new(*context.address.borrow_and_update()));
-        let opening = open_after(Duration::ZERO, &peer);
+        let open_attempt = open_after(Duration::ZERO, &peer);
         Follower {
             context,
             peer,
             stream: None,
-            opening: Some(opening),
+            open_attempt: Some(open_attempt),
             failed_attempts: 0,
             skipped_event_log: LogRateLimit::default(),
         }
@@ -88,33 +88,33 @@
 
     async fn run(mut self) {
         loop {
-            match self.next().await {
-                Progress::Line(Ok(Some(line))) => {
+            match self.next_event().await {
+                FollowerEvent::LineReceived(Ok(Some(line))) => {
                     if let Err(error) = self.line_received(&line).await {
                         self.stream_lost(&error);
                     }
                 }
-                Progress::Line(Ok(None)) => self.stream_silent(),
-                Progress::Line(Err(error)) => self.stream_lost(&error),
-                Progress::Opened(Ok(stream)) => self.stream_opened(stream),
-                Progress::Opened(Err(error)) => self.attempt_failed(&error),
-                Progress::Moved => self.relay_moved(),
+                FollowerEvent::LineReceived(Ok(None)) => self.stream_silent(),
+                FollowerEvent::LineReceived(Err(error)) => self.stream_lost(&error),
+                FollowerEvent::AttemptEnded(Ok(stream)) => self.stream_opened(stream),
+                FollowerEvent::AttemptEnded(Err(error)) => self.attempt_failed(&error),
+                FollowerEvent::RelayMoved => self.relay_moved(),
             }
         }
     }
 
-    async fn next(&mut self) -> Progress {
+    async fn next_event(&mut self) -> FollowerEvent {
         tokio::select! {
             biased;
-            line = next_line(&mut self.stream) => Progress::Line(line),
-            opened = next_opened(&mut self.opening) => Progress::Opened(opened),
-            Ok(()) = self.context.address.changed() => Progress::Moved,
+            line = next_line(&mut self.stream) => FollowerEvent::LineReceived(line),
+            result = await_open_attempt(&mut self.open_attempt) => FollowerEvent::AttemptEnded(result),
+            Ok(()) = self.context.address.changed() => FollowerEvent::RelayMoved,
         }
     }
 
     async fn line_received(&mut self, line: &str) -> Result<(), CallError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        if stream.address == self.peer.address && self.opening.take().is_some() {
+        if stream.address == self.peer.address && self.open_attempt.take().is_some() {
             info!(self.context.log, "proxy stream recovered");
         }
         match ProxyEvent::decode(line, &self.context.names) {
@@ -126,30 +126,30 @@
             }
             Err(InvalidLine::InvalidEvent { proxy, reason }) => {
                 stream.track_invalid(proxy);
-                self.event_skipped(&reason);
+                self.log_skipped_event(&reason);
                 Ok(())
             }
             Err(error @ InvalidLine::NotJson(_)) => Err(CallError::UnusableAnswer(error.into())),
         }
     }
 
-    fn event_skipped(&mut self, reason: &InvalidEvent) {
+    fn log_skipped_event(&mut self, reason: &InvalidEvent) {
         if let Some(times) = self.skipped_event_log.record() {
             warn!(self.context.log, "proxy stream event skipped"; "why" => %reason, "times" => times);
         }
     }
 
     fn stream_silent(&mut self) {
-        if self.opening.is_none() {
+        if self.open_attempt.is_none() {
             warn!(self.context.log, "proxy stream silent"; "seconds" => SILENCE_TIMEOUT.as_secs_f32());
-            self.opening = Some(open_after(Duration::ZERO, &self.peer));
+            self.open_attempt = Some(open_after(Duration::ZERO, &self.peer));
         }
     }
 
     fn stream_opened(&mut self, stream: ProxyStream) {
         info!(self.context.log, "proxy stream connected");
         self.stream = Some(stream);
-        self.opening = None;
+        self.open_attempt = None;
         self.failed_attempts = 0;
     }
 
@@ -158,13 +158,13 @@
             warn!(self.context.log, "proxy stream connect failed"; "why" => #error);
         }
         self.failed_attempts += 1;
-        let pause = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
-        self.opening = Some(open_after(pause, &self.peer));
+        let delay = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
+        self.open_attempt = Some(open_after(delay, &self.peer));
     }
 
     fn relay_moved(&mut self) {
         self.peer = Rc::new(Peer::new(*self.context.address.borrow_and_update()));
-        self.opening = Some(open_after(Duration::ZERO, &self.peer));
+        self.open_attempt = Some(open_after(Duration::ZERO, &self.peer));
         self.failed_attempts = 0;
     }
 
@@ -173,7 +173,7 @@
     fn stream_lost(&mut self, error: &CallError) {
         warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
-        self.opening = Some(open_after(BACKOFF[0], &self.peer));
+        self.open_attempt = Some(open_after(BACKOFF[0], &self.peer));
         self.failed_attempts = 0;
     }
 }
@@ -187,17 +187,17 @@
 }
 
 /// Waits for the attempt to open a stream to end; stays pending if there is no attempt.
-async fn next_opened(opening: &mut Option<Opening>) -> Result<ProxyStream, CallError> {
-    match opening {
-        Some(opening) => opening.await,
+async fn await_open_attempt(open_attempt: &mut Option<OpenAttempt>) -> Result<ProxyStream, CallError> {
+    match open_attempt {
+        Some(open_attempt) => open_attempt.await,
         None => pending().await,
     }
 }
 
-fn open_after(pause: Duration, peer: &Rc<Peer>) -> Opening {
+fn open_after(delay: Duration, peer: &Rc<Peer>) -> OpenAttempt {
     let peer = peer.clone();
     Box::pin(async move {
-        sleep(pause).await;
+        sleep(delay).await;
         ProxyStream::open(&peer).await
     })
 }
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -121,8 +121,8 @@
         self.resend_requested = false;
     }
 
-    fn issue(&mut self, validity: Result<(), InvalidCommand>, command: Command) {
-        if let Err(invalid) = validity {
+    fn issue(&mut self, validation: Result<(), InvalidCommand>, command: Command) {
+        if let Err(invalid) = validation {
             warn!(self.log, "invalid command not sent"; "why" => %invalid);
             return;
         }
@@ -138,25 +138,25 @@
 
 impl Host for RelayHost {
     fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
-        let validity = self.validator.check_weight(table, endpoint, weight);
-        self.issue(validity, Command::set_weight(table, endpoint, weight));
+        let validation = self.validator.check_weight(table, endpoint, weight);
+        self.issue(validation, Command::set_weight(table, endpoint, weight));
     }
 
     fn assign_table(&mut self, proxy: u32, table: u32) {
-        let validity = self.validator.check_assignment(proxy, table);
-        self.issue(validity, Command::assign_table(proxy, table));
+        let validation = self.validator.check_assignment(proxy, table);
+        self.issue(validation, Command::assign_table(proxy, table));
     }
 
     fn eject_endpoint(&mut self, endpoint: &EndpointId) {
         self.fleet.endpoint_ejected(endpoint);
-        let validity = self.validator.check_ejection(endpoint);
-        self.issue(validity, Command::eject(endpoint));
+        let validation = self.validator.check_ejection(endpoint);
+        self.issue(validation, Command::eject(endpoint));
     }
 
     fn restore_endpoint(&mut self, endpoint: &EndpointId) {
         self.fleet.endpoint_restored(endpoint);
-        let validity = self.validator.check_ejection(endpoint);
-        self.issue(validity, Command::restore(endpoint));
+        let validation = self.validator.check_ejection(endpoint);
+        self.issue(validation, Command::restore(endpoint));
     }
 
     fn forget_endpoint(&mut self, endpoint: &EndpointId) {
@@ -165,9 +165,9 @@
     }
 
     fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy) {
-        let validity = self.validator.check_admission(table, admitted);
+        let validation = self.validator.check_admission(table, admitted);
         let command = Command::set_admission(table, &self.class_names(classes), admitted, retry);
-        self.issue(validity, command);
+        self.issue(validation, command);
     }
 
     fn request_acknowledgement(&mut self, number: u32) {
--- a/control-plane/src/timer_queue/tests.rs
+++ b/control-plane/src/timer_queue/tests.rs
@@ -2,7 +2,7 @@
 use otterwinch::time::Span;
 
 #[test]
-fn timers_of_one_moment_fire_in_the_order_in_which_they_were_scheduled() {
+fn timers_due_at_the_same_time_fire_in_the_order_in_which_they_were_scheduled() {
     let due = Moment::from_us(1_000_000);
     let mut queue = TimerQueue::default();
     queue.schedule(due, Timer::Resend);
