--- a/control-plane/src/call_error.rs
+++ b/control-plane/src/call_error.rs
@@ -16,21 +16,21 @@
     NotConnected(#[source] Cause),
     /// The request was sent at least in part and no response arrived. It may have been executed.
     #[error("peer did not respond")]
-    NoAnswer(#[source] Cause),
-    /// A response arrived that was truncated, too large or malformed. The request may have been executed.
+    NoResponse(#[source] Cause),
+    /// The peer sent data that is truncated, too large or malformed. A request may have been executed.
     #[error("peer sent invalid data")]
-    UnusableAnswer(#[source] Cause),
+    InvalidData(#[source] Cause),
     /// The peer rejected the request for now, for example because it is throttling. It was not executed.
     #[error("peer rejected the request")]
     Rejected(#[source] Cause),
     /// The request is invalid: the peer did not execute it and never will.
     #[error("peer reports an invalid request")]
-    Invalid(#[source] Cause),
+    InvalidRequest(#[source] Cause),
 }
 
 impl CallError {
     /// Whether the peer may have executed the request although the call failed.
     pub fn may_have_been_executed(&self) -> bool {
-        matches!(self, CallError::NoAnswer(_) | CallError::UnusableAnswer(_))
+        matches!(self, CallError::NoResponse(_) | CallError::InvalidData(_))
     }
 }
--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -110,8 +110,8 @@
             Some(Err(error)) if error.is_connect() || was_never_sent(&error) => {
                 Err(CallError::NotConnected(error.into()))
             }
-            Some(Err(error)) => Err(CallError::NoAnswer(error.into())),
-            None => Err(CallError::NoAnswer(format!("no response within {} ms", limit.as_millis()).into())),
+            Some(Err(error)) => Err(CallError::NoResponse(error.into())),
+            None => Err(CallError::NoResponse(format!("no response within {} ms", limit.as_millis()).into())),
         }
     }
 
@@ -131,10 +131,10 @@
         let body = Limited::new(response.into_body(), max_bytes).collect();
         match within(limit.saturating_sub(started.elapsed()), body).await {
             Some(Ok(body)) => Ok((status, body.to_bytes())),
-            Some(Err(error)) => Err(CallError::UnusableAnswer(error)),
+            Some(Err(error)) => Err(CallError::InvalidData(error)),
             None => {
                 let text = format!("response body incomplete after {} ms", limit.as_millis());
-                Err(CallError::UnusableAnswer(text.into()))
+                Err(CallError::InvalidData(text.into()))
             }
         }
     }
--- a/control-plane/src/client/tests.rs
+++ b/control-plane/src/client/tests.rs
@@ -23,7 +23,7 @@
     }
     while let Some(error) = calls.join_next().await {
         let error = error.unwrap();
-        assert!(matches!(error, CallError::NoAnswer(_)), "{error}: {:?}", error.source());
+        assert!(matches!(error, CallError::NoResponse(_)), "{error}: {:?}", error.source());
     }
 }
 
@@ -38,6 +38,6 @@
         let _ = stream.read_to_end(&mut Vec::new()).await;
     });
     let error = call(address).await;
-    assert!(matches!(error, CallError::UnusableAnswer(_)), "{error}: {:?}", error.source());
+    assert!(matches!(error, CallError::InvalidData(_)), "{error}: {:?}", error.source());
     server.abort();
 }
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -117,7 +117,7 @@
                 DeliveryOutcome::Rejected(rejected)
             }
             Err(error) => {
-                self.last_call_invalid = matches!(error, CallError::Invalid(_));
+                self.last_call_invalid = matches!(error, CallError::InvalidRequest(_));
                 if self.last_call_invalid && previous_call_invalid {
                     return DeliveryOutcome::Invalid(error);
                 }
@@ -193,9 +193,9 @@
     if quoted.contains("throttled") || status == StatusCode::TOO_MANY_REQUESTS {
         CallError::Rejected(cause)
     } else if status.is_client_error() && quoted.contains("invalid") {
-        CallError::Invalid(cause)
+        CallError::InvalidRequest(cause)
     } else {
-        CallError::UnusableAnswer(cause)
+        CallError::InvalidData(cause)
     }
 }
 
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -54,7 +54,7 @@
             None => return Ok(()),
         },
     };
-    let finished = finished.ok_or_else(|| CallError::NoAnswer("not identified in time".into()))?;
+    let finished = finished.ok_or_else(|| CallError::NoResponse("not identified in time".into()))?;
     let Some(collector) = finished? else { return Ok(()) };
     slot.identify(collector.zone());
     info!(log, "collector connected"; "zone" => collector.zone());
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -121,7 +121,7 @@
         self.failing = true;
         // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
         // reject a poll since a version that it does not know.
-        if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
+        if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
             self.wait_for_request().await;
         } else {
             self.read_whole_on_request().await;
@@ -186,9 +186,8 @@
     if status != StatusCode::OK {
         return Err(CallError::Rejected(format!("status {status}").into()));
     }
-    let value = serde_json::from_slice(&body).map_err(|error| CallError::UnusableAnswer(error.into()))?;
-    let list =
-        EndpointList::decode(&value, names).map_err(|error| CallError::UnusableAnswer(error.into()))?;
+    let value = serde_json::from_slice(&body).map_err(|error| CallError::InvalidData(error.into()))?;
+    let list = EndpointList::decode(&value, names).map_err(|error| CallError::InvalidData(error.into()))?;
     check_continues(&list, version)?;
     Ok(list)
 }
@@ -202,9 +201,9 @@
         return Ok(());
     }
     match version {
-        None => Err(CallError::UnusableAnswer("a part where the whole list was asked for".into())),
+        None => Err(CallError::InvalidData("a part where the whole list was asked for".into())),
         Some(known) if list.version < known => {
-            Err(CallError::UnusableAnswer(format!("a change of version {}", list.version).into()))
+            Err(CallError::InvalidData(format!("a change of version {}", list.version).into()))
         }
         Some(_) => Ok(()),
     }
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -120,7 +120,7 @@
                 Some(frame) => return frame.transpose().map_err(unusable),
                 // A socket may be reported as readable although there is nothing to read.
                 None if self.frames.read_buffer().is_empty() => {}
-                None => return Err(CallError::NoAnswer("half a frame".into())),
+                None => return Err(CallError::NoResponse("half a frame".into())),
             }
         }
     }
@@ -135,7 +135,7 @@
         let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
         let readable = tokio::select! {
             readable = within(remaining, stream.readable()) => {
-                readable.ok_or_else(|| CallError::NoAnswer("silent".into()))?
+                readable.ok_or_else(|| CallError::NoResponse("silent".into()))?
             }
             () = closing.cancelled() => match within(CLOSING_GRACE, stream.readable()).await {
                 Some(readable) => readable,
@@ -158,8 +158,8 @@
 async fn answer_probe(frames: &mut Frames) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
     match within(ANSWER_TIMEOUT, answer).await {
-        Some(sent) => sent.map_err(|error| CallError::NoAnswer(error.into())),
-        None => Err(CallError::NoAnswer("the answer is left unread".into())),
+        Some(sent) => sent.map_err(|error| CallError::NoResponse(error.into())),
+        None => Err(CallError::NoResponse("the answer is left unread".into())),
     }
 }
 
@@ -170,5 +170,5 @@
 }
 
 fn unusable(error: impl Into<Cause>) -> CallError {
-    CallError::UnusableAnswer(error.into())
+    CallError::InvalidData(error.into())
 }
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -53,7 +53,7 @@
         let mut lines = FramedRead::new(StreamReader::new(chunks), codec);
         let Some(first_line) = read_line(&mut lines).await? else {
             let text = format!("no line within {} ms of opening the stream", SILENCE_TIMEOUT.as_millis());
-            return Err(CallError::NoAnswer(text.into()));
+            return Err(CallError::NoResponse(text.into()));
         };
         Ok(ProxyStream {
             address: peer.address,
@@ -106,8 +106,8 @@
 async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
     match within(SILENCE_TIMEOUT, lines.next()).await {
         None => Ok(None),
-        Some(None) => Err(CallError::UnusableAnswer("stream ended".into())),
+        Some(None) => Err(CallError::InvalidData("stream ended".into())),
         Some(Some(Ok(line))) => Ok(Some(line)),
-        Some(Some(Err(error))) => Err(CallError::UnusableAnswer(error.into())),
+        Some(Some(Err(error))) => Err(CallError::InvalidData(error.into())),
     }
 }
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -129,7 +129,7 @@
                 self.log_skipped_event(&reason);
                 Ok(())
             }
-            Err(error @ InvalidLine::NotJson(_)) => Err(CallError::UnusableAnswer(error.into())),
+            Err(error @ InvalidLine::NotJson(_)) => Err(CallError::InvalidData(error.into())),
         }
     }
 
--- a/control-plane/src/status_pages.rs
+++ b/control-plane/src/status_pages.rs
@@ -38,7 +38,7 @@
         .max_buf_size(MAX_HEADER_BYTES)
         .keep_alive(false)
         .serve_connection(TokioIo::new(stream), TowerToHyperService::new(pages));
-    connection.await.map_err(|error| CallError::UnusableAnswer(error.into()))
+    connection.await.map_err(|error| CallError::InvalidData(error.into()))
 }
 
 #[cfg(test)]
