--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -72,13 +72,13 @@
 }
 
 /// An HTTP client for one peer.
-pub struct Peer {
+pub struct PeerClient {
     client: Client<PeerConnector, Full<Bytes>>,
     /// The peer's address.
     pub address: SocketAddr,
 }
 
-impl Peer {
+impl PeerClient {
     /// Creates a client for the peer at `address`. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> Self {
         let connector = PeerConnector { address, connector: Arc::new(Mutex::new(Connector::new())) };
@@ -88,7 +88,7 @@
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
-        Peer { client, address }
+        PeerClient { client, address }
     }
 
     /// Sends a request and waits up to `limit` for the response head.
--- a/control-plane/src/client/tests.rs
+++ b/control-plane/src/client/tests.rs
@@ -6,7 +6,7 @@
 const LIMIT: Duration = Duration::from_millis(40);
 
 async fn call(address: SocketAddr) -> CallError {
-    let response = Peer::new(address).call(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
+    let response = PeerClient::new(address).call(Method::GET, "/", Bytes::new(), LIMIT, 1 << 10).await;
     response.expect_err("the peer does not respond")
 }
 
--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -4,7 +4,7 @@
 //! is sent before them, and the controller decides when they are resent.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::command::Command;
 use crate::command_batch::CommandBatch;
 use hyper::body::Bytes;
@@ -40,7 +40,7 @@
 /// The commands that the relay has not accepted yet, and the state of the calls that deliver them.
 pub struct CommandDelivery {
     relay_address: watch::Receiver<SocketAddr>,
-    peer: Peer,
+    peer: PeerClient,
     log: Logger,
     pending: VecDeque<Command>,
     /// Whether the latest call failed.
@@ -55,7 +55,7 @@
     /// Creates a delivery to the relay at `relay_address`. When the address changes, the next call uses the
     /// new one.
     pub fn new(mut relay_address: watch::Receiver<SocketAddr>, log: Logger) -> Self {
-        let peer = Peer::new(*relay_address.borrow_and_update());
+        let peer = PeerClient::new(*relay_address.borrow_and_update());
         CommandDelivery {
             relay_address,
             peer,
@@ -159,7 +159,7 @@
     /// to the new one unchanged, and no other command is sent before it there either.
     fn update_relay_address(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
-            self.peer = Peer::new(*self.relay_address.borrow_and_update());
+            self.peer = PeerClient::new(*self.relay_address.borrow_and_update());
         }
     }
 
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -2,7 +2,7 @@
 //! the start and after a call that failed. An invalid entry is left out alone: the endpoint stays in its last state.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::deployment_names::DeploymentNames;
 use crate::endpoint_list::{EndpointList, InvalidEntry};
 use crate::event::{Event, EventSender};
@@ -49,7 +49,7 @@
 /// A watch that runs.
 struct Watcher {
     context: EndpointWatch,
-    peer: Peer,
+    peer: PeerClient,
     /// The version that changes are polled for since; without one the list is read whole.
     version: Option<u64>,
     /// Whether to poll; else the controller is to request it.
@@ -61,7 +61,7 @@
 
 impl Watcher {
     fn new(mut context: EndpointWatch) -> Self {
-        let peer = Peer::new(*context.address.borrow_and_update());
+        let peer = PeerClient::new(*context.address.borrow_and_update());
         Watcher {
             context,
             peer,
@@ -93,7 +93,7 @@
     }
 
     fn move_to_new_address(&mut self) {
-        self.peer = Peer::new(*self.context.address.borrow_and_update());
+        self.peer = PeerClient::new(*self.context.address.borrow_and_update());
         self.version = None;
         self.polling = true;
     }
@@ -170,7 +170,7 @@
 
 /// Reads the whole list, or waits for what has changed since a version.
 async fn poll(
-    peer: &Peer,
+    peer: &PeerClient,
     version: Option<u64>,
     names: &DeploymentNames,
     max_bytes: usize,
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -2,7 +2,7 @@
 //! with.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::event::Event;
 use crate::proxy_event::ProxyEvent;
 use crate::proxy_snapshot::ProxySnapshot;
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// The relay can't be reached, rejects the request, or does not send a line in time.
-    pub async fn open(peer: &Peer) -> Result<Self, CallError> {
+    pub async fn open(peer: &PeerClient) -> Result<Self, CallError> {
         let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
         if !response.status().is_success() {
             return Err(CallError::Rejected(format!("response status {}", response.status()).into()));
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -6,7 +6,7 @@
 //! relay's address changes, the old stream is used until a line has arrived from the new address.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
@@ -55,7 +55,7 @@
 struct Follower {
     context: ProxyStreams,
     /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
-    peer: Rc<Peer>,
+    peer: Rc<PeerClient>,
     stream: Option<ProxyStream>,
     open_attempt: Option<OpenAttempt>,
     failed_attempts: usize,
@@ -74,7 +74,7 @@
 
 impl Follower {
     fn new(mut context: ProxyStreams) -> Self {
-        let peer = Rc::new(Peer::new(*context.address.borrow_and_update()));
+        let peer = Rc::new(PeerClient::new(*context.address.borrow_and_update()));
         let open_attempt = open_after(Duration::ZERO, &peer);
         Follower {
             context,
@@ -163,7 +163,7 @@
     }
 
     fn relay_moved(&mut self) {
-        self.peer = Rc::new(Peer::new(*self.context.address.borrow_and_update()));
+        self.peer = Rc::new(PeerClient::new(*self.context.address.borrow_and_update()));
         self.open_attempt = Some(open_after(Duration::ZERO, &self.peer));
         self.failed_attempts = 0;
     }
@@ -194,7 +194,7 @@
     }
 }
 
-fn open_after(delay: Duration, peer: &Rc<Peer>) -> OpenAttempt {
+fn open_after(delay: Duration, peer: &Rc<PeerClient>) -> OpenAttempt {
     let peer = peer.clone();
     Box::pin(async move {
         sleep(delay).await;
