--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -3,7 +3,7 @@
 
 use crate::call_error::CallError;
 use crate::connector::Connector;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -54,7 +54,7 @@
     async fn connect(self) -> io::Result<TokioIo<TcpStream>> {
         let mut connector = self.connector.lock().await;
         let connected = connector.connect(TcpStream::connect(self.address), is_usable);
-        let stream = within(CONNECT_TIMEOUT, connected).await.ok_or_else(connect_timed_out)??;
+        let stream = timeout_with_grace(CONNECT_TIMEOUT, connected).await.ok_or_else(connect_timed_out)??;
         stream.set_nodelay(true)?;
         Ok(TokioIo::new(stream))
     }
@@ -105,7 +105,7 @@
             .header("content-type", "application/json")
             .body(Full::new(body))
             .map_err(|error| CallError::NotConnected(error.into()))?;
-        match within(limit, self.client.request(request)).await {
+        match timeout_with_grace(limit, self.client.request(request)).await {
             Some(Ok(response)) => Ok(response),
             Some(Err(error)) if error.is_connect() || was_never_sent(&error) => {
                 Err(CallError::NotConnected(error.into()))
@@ -129,7 +129,7 @@
         let response = self.send(method, path, body, limit).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), max_bytes).collect();
-        match within(limit.saturating_sub(started.elapsed()), body).await {
+        match timeout_with_grace(limit.saturating_sub(started.elapsed()), body).await {
             Some(Ok(body)) => Ok((status, body.to_bytes())),
             Some(Err(error)) => Err(CallError::InvalidData(error)),
             None => {
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -9,7 +9,7 @@
 use crate::event::EventSender;
 use crate::load_reports::{Collector, CLOSING_GRACE};
 use crate::status_pages;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use axum::Router;
 use slog::{info, Logger};
 use std::io;
@@ -46,10 +46,10 @@
     closing: &CancellationToken,
     log: &Logger,
 ) -> Result<(), CallError> {
-    let mut handshake = pin!(within(HANDSHAKE_TIMEOUT, handshake(stream, context)));
+    let mut handshake = pin!(timeout_with_grace(HANDSHAKE_TIMEOUT, handshake(stream, context)));
     let finished = tokio::select! {
         finished = &mut handshake => finished,
-        () = closing.cancelled() => match within(CLOSING_GRACE, handshake).await {
+        () = closing.cancelled() => match timeout_with_grace(CLOSING_GRACE, handshake).await {
             Some(finished) => finished,
             None => return Ok(()),
         },
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -6,7 +6,7 @@
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
 use slog::{warn, Logger};
@@ -116,7 +116,7 @@
                 return Ok(None);
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
-            match within(timeout, self.frames.next()).await {
+            match timeout_with_grace(timeout, self.frames.next()).await {
                 Some(frame) => return frame.transpose().map_err(unusable),
                 // A socket may be reported as readable although there is nothing to read.
                 None if self.frames.read_buffer().is_empty() => {}
@@ -134,10 +134,10 @@
         let stream = self.frames.get_ref();
         let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
         let readable = tokio::select! {
-            readable = within(remaining, stream.readable()) => {
+            readable = timeout_with_grace(remaining, stream.readable()) => {
                 readable.ok_or_else(|| CallError::NoResponse("silent".into()))?
             }
-            () = closing.cancelled() => match within(CLOSING_GRACE, stream.readable()).await {
+            () = closing.cancelled() => match timeout_with_grace(CLOSING_GRACE, stream.readable()).await {
                 Some(readable) => readable,
                 None => return Ok(false),
             },
@@ -157,7 +157,7 @@
 
 async fn answer_probe(frames: &mut Frames) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
-    match within(ANSWER_TIMEOUT, answer).await {
+    match timeout_with_grace(ANSWER_TIMEOUT, answer).await {
         Some(sent) => sent.map_err(|error| CallError::NoResponse(error.into())),
         None => Err(CallError::NoResponse("the answer is left unread".into())),
     }
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -6,7 +6,7 @@
 use crate::event::Event;
 use crate::proxy_event::ProxyEvent;
 use crate::proxy_snapshot::ProxySnapshot;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use futures_util::{Stream, StreamExt, TryStreamExt};
 use http_body_util::BodyDataStream;
 use hyper::body::Bytes;
@@ -104,7 +104,7 @@
 
 /// Returns the next line, or `None` if none arrives within [`SILENCE_TIMEOUT`].
 async fn read_line(lines: &mut Lines) -> Result<Option<String>, CallError> {
-    match within(SILENCE_TIMEOUT, lines.next()).await {
+    match timeout_with_grace(SILENCE_TIMEOUT, lines.next()).await {
         None => Ok(None),
         Some(None) => Err(CallError::InvalidData("stream ended".into())),
         Some(Some(Ok(line))) => Ok(Some(line)),
--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of the process: the signals that ask for it, and the tasks that have to finish before it.
 
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use slog::{warn, Logger};
 use std::io;
 use std::time::Duration;
@@ -82,7 +82,7 @@
     /// The panic of one of them.
     pub async fn finish(self, log: &Logger) -> Result<(), TaskError> {
         let all = async { tokio::join!(self.control_loop, self.listener) };
-        let Some((control_loop, listener)) = within(SHUTDOWN_TIMEOUT, all).await else {
+        let Some((control_loop, listener)) = timeout_with_grace(SHUTDOWN_TIMEOUT, all).await else {
             let timeout = SHUTDOWN_TIMEOUT.as_millis() as u64;
             warn!(log, "shutdown timed out with work pending"; "after_ms" => timeout);
             return Ok(());
--- a/control-plane/src/timeout.rs
+++ b/control-plane/src/timeout.rs
@@ -12,7 +12,7 @@
 ///
 /// A process that shares its core may have been suspended itself. Its timer then expires before it has read
 /// the data that arrived in the meantime, so the future gets a grace period after the limit.
-pub async fn within<F: Future>(limit: Duration, future: F) -> Option<F::Output> {
+pub async fn timeout_with_grace<F: Future>(limit: Duration, future: F) -> Option<F::Output> {
     let mut future = pin!(future);
     match timeout(limit, &mut future).await {
         Ok(output) => Some(output),
--- a/control-plane/src/timeout/tests.rs
+++ b/control-plane/src/timeout/tests.rs
@@ -10,10 +10,10 @@
         }
         7
     };
-    assert_eq!(within(Duration::ZERO, read).await, Some(7));
+    assert_eq!(timeout_with_grace(Duration::ZERO, read).await, Some(7));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_silent_peer_times_out() {
-    assert_eq!(within(Duration::from_secs(2), std::future::pending::<()>()).await, None);
+    assert_eq!(timeout_with_grace(Duration::from_secs(2), std::future::pending::<()>()).await, None);
 }
