--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -40,7 +40,7 @@
 /// The commands that the relay has not accepted yet, and the state of the calls that deliver them.
 pub struct CommandDelivery {
     relay_address: watch::Receiver<SocketAddr>,
-    peer: PeerClient,
+    client: PeerClient,
     log: Logger,
     pending: VecDeque<Command>,
     /// Whether the latest call failed.
@@ -55,10 +55,10 @@
     /// Creates a delivery to the relay at `relay_address`. When the address changes, the next call uses the
     /// new one.
     pub fn new(mut relay_address: watch::Receiver<SocketAddr>, log: Logger) -> Self {
-        let peer = PeerClient::new(*relay_address.borrow_and_update());
+        let client = PeerClient::new(*relay_address.borrow_and_update());
         CommandDelivery {
             relay_address,
-            peer,
+            client,
             log,
             pending: VecDeque::new(),
             failing: false,
@@ -148,7 +148,7 @@
         let sent = batch.sent_commands();
         let body = Bytes::from(batch.body);
         let (status, response) =
-            self.peer.call(Method::POST, PATH, body, RESPONSE_TIMEOUT, MAX_RESPONSE_BYTES).await?;
+            self.client.call(Method::POST, PATH, body, RESPONSE_TIMEOUT, MAX_RESPONSE_BYTES).await?;
         match accepted_count(&response) {
             Some(accepted) if accepted <= sent && status.is_success() => Ok(accepted),
             _ => Err(response_error(status, &response)),
@@ -159,7 +159,7 @@
     /// to the new one unchanged, and no other command is sent before it there either.
     fn update_relay_address(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
-            self.peer = PeerClient::new(*self.relay_address.borrow_and_update());
+            self.client = PeerClient::new(*self.relay_address.borrow_and_update());
         }
     }
 
--- a/control-plane/src/proxy_stream_connection.rs
+++ b/control-plane/src/proxy_stream_connection.rs
@@ -43,8 +43,8 @@
     ///
     /// # Errors
     /// The relay can't be reached, rejects the request, or does not send a line in time.
-    pub async fn open(peer: &PeerClient) -> Result<Self, CallError> {
-        let response = peer.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
+    pub async fn open(client: &PeerClient) -> Result<Self, CallError> {
+        let response = client.send(Method::GET, PATH, Bytes::new(), RESPONSE_TIMEOUT).await?;
         if !response.status().is_success() {
             return Err(CallError::Rejected(format!("response status {}", response.status()).into()));
         }
@@ -56,7 +56,7 @@
             return Err(CallError::NoResponse(text.into()));
         };
         Ok(ProxyStream {
-            address: peer.address,
+            address: client.address,
             lines,
             first_line: Some(first_line),
             snapshot: ProxySnapshot::default(),
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -55,7 +55,7 @@
 struct Follower {
     context: ProxyStreams,
     /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
-    peer: Rc<PeerClient>,
+    client: Rc<PeerClient>,
     stream: Option<ProxyStream>,
     open_attempt: Option<OpenAttempt>,
     failed_attempts: usize,
@@ -74,11 +74,11 @@
 
 impl Follower {
     fn new(mut context: ProxyStreams) -> Self {
-        let peer = Rc::new(PeerClient::new(*context.address.borrow_and_update()));
-        let open_attempt = open_after(Duration::ZERO, &peer);
+        let client = Rc::new(PeerClient::new(*context.address.borrow_and_update()));
+        let open_attempt = open_after(Duration::ZERO, &client);
         Follower {
             context,
-            peer,
+            client,
             stream: None,
             open_attempt: Some(open_attempt),
             failed_attempts: 0,
@@ -114,7 +114,7 @@
 
     async fn line_received(&mut self, line: &str) -> Result<(), CallError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        if stream.address == self.peer.address && self.open_attempt.take().is_some() {
+        if stream.address == self.client.address && self.open_attempt.take().is_some() {
             info!(self.context.log, "proxy stream recovered");
         }
         match ProxyEvent::decode(line, &self.context.names) {
@@ -142,7 +142,7 @@
     fn stream_silent(&mut self) {
         if self.open_attempt.is_none() {
             warn!(self.context.log, "proxy stream silent"; "seconds" => SILENCE_TIMEOUT.as_secs_f32());
-            self.open_attempt = Some(open_after(Duration::ZERO, &self.peer));
+            self.open_attempt = Some(open_after(Duration::ZERO, &self.client));
         }
     }
 
@@ -159,12 +159,12 @@
         }
         self.failed_attempts += 1;
         let delay = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
-        self.open_attempt = Some(open_after(delay, &self.peer));
+        self.open_attempt = Some(open_after(delay, &self.client));
     }
 
     fn relay_moved(&mut self) {
-        self.peer = Rc::new(PeerClient::new(*self.context.address.borrow_and_update()));
-        self.open_attempt = Some(open_after(Duration::ZERO, &self.peer));
+        self.client = Rc::new(PeerClient::new(*self.context.address.borrow_and_update()));
+        self.open_attempt = Some(open_after(Duration::ZERO, &self.client));
         self.failed_attempts = 0;
     }
 
@@ -173,7 +173,7 @@
     fn stream_lost(&mut self, error: &CallError) {
         warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
-        self.open_attempt = Some(open_after(BACKOFF[0], &self.peer));
+        self.open_attempt = Some(open_after(BACKOFF[0], &self.client));
         self.failed_attempts = 0;
     }
 }
@@ -194,10 +194,10 @@
     }
 }
 
-fn open_after(delay: Duration, peer: &Rc<PeerClient>) -> OpenAttempt {
-    let peer = peer.clone();
+fn open_after(delay: Duration, client: &Rc<PeerClient>) -> OpenAttempt {
+    let client = client.clone();
     Box::pin(async move {
         sleep(delay).await;
-        ProxyStream::open(&peer).await
+        ProxyStream::open(&client).await
     })
 }
