--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -139,7 +139,7 @@
                 }
                 // Resending the same call would block all later commands forever.
                 DeliveryOutcome::Invalid(error) => {
-                    error!(self.log, "relay reported the same commands as invalid twice"; "why" => #error);
+                    error!(self.log, "relay reported the pending commands as invalid twice"; "why" => #error);
                     self.controller.restart(now);
                     self.delivery.discard_pending();
                     return;
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -17,7 +17,7 @@
     starts: u64,
 }
 
-/// The error of a step in which the controller panicked. It has been restarted.
+/// The controller panicked during a step and has been restarted.
 #[derive(Debug)]
 pub struct ControllerRestarted;
 
--- a/control-plane/src/event.rs
+++ b/control-plane/src/event.rs
@@ -26,7 +26,7 @@
     },
     /// A call to the endpoint list failed, or its response may be missing a change.
     EndpointWatchFailed,
-    /// A proxy joined the relay. If it had joined before, it may have left and rejoined unnoticed.
+    /// A proxy joined the relay. If it was already joined, it may have left and rejoined unnoticed.
     ProxyJoined {
         /// The proxy's number.
         proxy: u32,
