--- a/control-plane/src/cli.rs
+++ b/control-plane/src/cli.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, descr("otterwinch: a central control plane for a layer of plain proxies"))]
 pub enum Command {
-    /// Run the control plane on the config that GW_CONFIG names, until SIGTERM or SIGINT
+    /// Run the control plane with the config file that GW_CONFIG names, until SIGTERM or SIGINT
     #[bpaf(command)]
     Serve,
-    /// Check the config and name every fault in it, without starting anything
+    /// Validate the config file and print every fault in it, without starting the control plane
     #[bpaf(command)]
     Check {
-        /// The file to check; without it the one that GW_CONFIG names
+        /// The file to check; defaults to the one that GW_CONFIG names
         #[bpaf(positional("FILE"), optional)]
         file: Option<String>,
     },
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a control plane: one file, checked against the environment and itself.
+//! The configuration of a control plane: one JSON file, which has to be consistent and to agree with the
+//! environment.
 
 use crate::config_fault::ConfigFault;
 use crate::deployment_names::DeploymentNames;
@@ -10,26 +11,27 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Connections to the listener, whatever the configuration allows.
+/// Upper bound of the listener's connections, however many sockets the configuration allows.
 const MAX_CONNECTIONS: u64 = 512;
 const DEFAULT_SOCKETS: u64 = 2 * MAX_CONNECTIONS;
 const DEFAULT_MEMORY_MB: u64 = 1024;
 const MAX_LIST_BYTES: u64 = 4 << 20;
-/// The part of the memory that one answer of the endpoint list may take: decoded, it is ten times as large.
+/// An answer of the endpoint list may take this fraction of the memory limit, because it takes ten times its
+/// size once decoded.
 const LIST_MEMORY_DIVISOR: u64 = 32;
-/// Commands name request classes by the bits of a word.
+/// A command refers to request classes by the bits of an integer.
 const MAX_REQUEST_CLASSES: usize = RequestClassSet::BITS as usize;
-/// Bound of the proxy numbers where the settings don't say how many proxies there are.
+/// Upper bound of the proxy numbers if the settings do not state the number of proxies.
 const DEFAULT_PROXY_COUNT: u32 = 65_536;
-/// Fields that must agree with the environment. The endpoint list's address is not among them: a new file may move it,
-/// while the environment of a process never changes.
+/// Fields that must agree with an environment variable, if it is set. The address of the endpoint list is not
+/// among them: a reload may change it, while the environment of a process stays the same.
 const ENVIRONMENT_VARIABLES: [(&str, &str); 2] = [("name", "GW_NAME"), ("listen", "GW_LISTEN")];
 
 /// The configuration of one control plane.
 pub struct Config {
-    /// Names this control plane in its log.
+    /// Name of this control plane in its log.
     pub name: String,
-    /// Where the listener accepts load reports and status requests.
+    /// Address on which the listener accepts load reports and status requests.
     pub listen: SocketAddr,
     /// Address of the endpoint list.
     pub endpoint_list: SocketAddr,
@@ -37,23 +39,24 @@
     pub relay: SocketAddr,
     /// Seed of the controller's random numbers.
     pub seed: u64,
-    /// The names of the settings.
+    /// Zones, request classes and proxies of the settings.
     pub names: Rc<DeploymentNames>,
-    /// What the controller decides by.
+    /// Parameters of the controller.
     pub controller: ControllerConfig,
-    /// The endpoints to start with, until the endpoint list answers.
+    /// Endpoints to use until the endpoint list has answered.
     pub known_endpoints: Vec<EndpointUpdate>,
-    /// Connections that the listener may hold: half of all sockets, so that outgoing connections have theirs.
+    /// How many connections the listener may hold: half of all sockets, which leaves the others for outgoing
+    /// connections.
     pub max_connections: usize,
-    /// The longest answer of the endpoint list, in bytes.
+    /// Size limit of an answer of the endpoint list, in bytes.
     pub max_list_bytes: usize,
 }
 
 impl Config {
-    /// Reads the file at `path`, or the one that GW_CONFIG names.
+    /// Reads the file at `path`, or the one that GW_CONFIG names if there is no path.
     ///
     /// # Errors
-    /// All faults of the file, in the order of their fields.
+    /// All faults in the file, in the order in which the fields are read.
     pub fn from_file(
         path: Option<&str>,
         env: impl Fn(&str) -> Option<String>,
@@ -65,7 +68,7 @@
     /// Reads a configuration from JSON.
     ///
     /// # Errors
-    /// All faults, in the order of their fields.
+    /// All faults, in the order in which the fields are read.
     pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<ConfigFault>> {
         let fields = JsonFields::of_object(value, "config").map_err(|error| vec![error.into()])?;
         let mut reader = ConfigReader { fields, faults: Vec::new() };
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Checks that a running control plane can go on with `newer`.
+    /// Checks that a running control plane can switch to `newer`.
     ///
     /// # Errors
     /// A fault for each field that only a restart can change.
@@ -108,14 +111,14 @@
     serde_json::from_slice(&bytes).map_err(|source| ConfigFault::NotJson { path, source })
 }
 
-/// Reads the fields of one configuration and collects their faults, so that all of them are reported at once.
+/// Reads the fields of a configuration and collects all faults, so that they can be reported together.
 struct ConfigReader<'a> {
     fields: JsonFields<'a>,
     faults: Vec<ConfigFault>,
 }
 
 impl<'a> ConfigReader<'a> {
-    /// Reads all fields, also after a fault; nothing where a value is missing.
+    /// Reads all fields, also after a fault. Returns `None` if a value is missing or invalid.
     fn config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
         self.check_environment(env);
         let name = self.collect(self.fields.text("name"));
@@ -141,7 +144,7 @@
         })
     }
 
-    /// The value, or nothing once its fault is recorded.
+    /// Returns the value, or records the fault and returns `None`.
     fn collect<T>(&mut self, read: Result<T, impl Into<ConfigFault>>) -> Option<T> {
         match read {
             Ok(value) => Some(value),
@@ -180,12 +183,12 @@
         self.collect(parsed)
     }
 
-    /// What the settings hold; without settings it is empty.
+    /// Reads the settings. If they are missing, empty ones are returned and the fault is recorded.
     fn settings(&mut self) -> (DeploymentNames, ControllerConfig) {
         let settings = self.collect(self.fields.settings("settings"));
         let reader = settings.unwrap_or(SettingsReader::new(&Value::Null));
         let names = deployment_names(reader);
-        // On sockets the endpoint list answers only when it is polled, whatever the settings say.
+        // This control plane gets changes to the endpoint list only by polling, whatever the settings say.
         let controller = ControllerConfig { polls_endpoint_list: true, ..controller_config(&reader) };
         if settings.is_some() {
             self.check_settings(&names, &controller);
--- a/control-plane/src/config_fault.rs
+++ b/control-plane/src/config_fault.rs
@@ -1,81 +1,81 @@
-//! What can be wrong with a configuration, each with the text that `check` prints.
+//! Faults in a configuration, with the texts that `check` and `serve` print.
 
 use otterwinch_adapter_support::JsonFieldError;
 
-/// One fault of a configuration. All faults of a file are reported together.
+/// A fault in a configuration. All faults in a file are reported together.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFault {
-    /// Neither the command line nor the environment names a file.
-    #[error("GW_CONFIG names no file")]
+    /// Neither the command line nor GW_CONFIG names a file.
+    #[error("no config file given: GW_CONFIG is not set")]
     NoFile,
     /// The file can't be read.
-    #[error("{path} can't be read: {source}")]
+    #[error("config file {path} can't be read: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file does not hold a JSON value.
-    #[error("{path} is not JSON: {source}")]
+    /// The file is not JSON.
+    #[error("config file {path} is not valid JSON: {source}")]
     NotJson {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where it stops being JSON.
+        /// The syntax error and its position.
         source: serde_json::Error,
     },
     /// A field is missing or of the wrong type.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// An environment variable says something else than the file.
-    #[error("config: field '{field}' is '{value}' but {variable} says '{expected}'")]
+    /// An environment variable contradicts the file.
+    #[error("config: field '{field}' is '{value}' but {variable} is '{expected}'")]
     ContradictsEnvironment {
-        /// The field of the file.
+        /// The field in the file.
         field: &'static str,
-        /// What the file says.
+        /// The value in the file.
         value: String,
         /// The environment variable.
         variable: &'static str,
-        /// What the environment says.
+        /// The value of the environment variable.
         expected: String,
     },
-    /// A field is no IP address with a port.
-    #[error("config: field '{field}' is no address with a port: '{value}'")]
+    /// A field is not an IP address with a port.
+    #[error("config: field '{field}' is not an IP address with a port: '{value}'")]
     NotAnAddress {
         /// The field.
         field: &'static str,
-        /// What it is.
+        /// Its value.
         value: String,
     },
-    /// The seed is no hexadecimal number of up to 64 bits.
-    #[error("config: field 'seed' is not hexadecimal: '{value}'")]
+    /// The seed is not a hexadecimal number of up to 64 bits.
+    #[error("config: field 'seed' is not a hexadecimal number of up to 64 bits: '{value}'")]
     SeedNotHexadecimal {
-        /// What it is.
+        /// Its value.
         value: String,
     },
-    /// A list of the settings that must have entries has none.
-    #[error("config: field 'settings.{list}' holds nothing")]
+    /// A list in the settings that must have entries is empty.
+    #[error("config: field 'settings.{list}' is missing or empty")]
     EmptySetting {
-        /// The list.
+        /// Name of the list.
         list: &'static str,
     },
-    /// There are more request classes than a command can name.
-    #[error("config: field 'settings.classes' holds more than {limit}")]
+    /// There are more request classes than a command can refer to.
+    #[error("config: field 'settings.classes' has more than {limit} entries")]
     TooManyRequestClasses {
-        /// How many a command can name.
+        /// The greatest number of request classes.
         limit: usize,
     },
-    /// The settings ask for shards, which the relay does not have.
-    #[error("config: field 'settings.familyInfo.slices' is above 0: the relay has no slices")]
+    /// The settings ask for shards, which the relay does not support.
+    #[error("config: field 'settings.familyInfo.slices' must be 0: the relay does not support slices")]
     ShardsNotSupported,
-    /// The endpoint list of the file, or one of its entries, can't be used.
+    /// The endpoint list in the file, or one of its entries, is invalid.
     #[error("config: field 'known': {reason}")]
     KnownEndpoints {
-        /// Why not.
+        /// Why it is invalid.
         reason: String,
     },
-    /// A reloaded file changes what only a restart can.
-    #[error("config: field '{field}' can't change while the control plane runs")]
+    /// A reloaded file changes a field that can only be changed by a restart.
+    #[error("config: changing field '{field}' requires a restart")]
     NeedsRestart {
         /// The field.
         field: &'static str,
--- a/control-plane/src/config_reload.rs
+++ b/control-plane/src/config_reload.rs
@@ -1,5 +1,6 @@
-//! Reloads the configuration file at each SIGHUP. A new file may move the peers; what it can't change while the control
-//! plane runs is rejected, and a faulty file leaves the current configuration in force.
+//! Reloads the configuration file at each SIGHUP. A reload can change the addresses of the endpoint list and
+//! the relay. A file that is faulty, or that changes a field which requires a restart, is rejected as a
+//! whole.
 
 use crate::config::Config;
 use crate::config_fault::ConfigFault;
@@ -12,22 +13,23 @@
 
 /// The task that reloads the configuration.
 pub struct ConfigReload {
-    /// SIGHUP. Several that come close together are one; what the file holds after the last is what counts.
+    /// SIGHUP. Signals in quick succession may be merged into one, which reads the file as it is after the
+    /// last.
     pub hangups: Signal,
-    /// The configuration that the process started with.
+    /// The configuration that the process was started with.
     pub config: Rc<Config>,
     /// Publishes the address of the endpoint list.
     pub endpoint_list: watch::Sender<SocketAddr>,
     /// Publishes the address of the relay.
     pub relay: watch::Sender<SocketAddr>,
-    /// Counts reloads and rejections.
+    /// Counts reloaded and rejected configurations.
     pub metrics: Rc<Metrics>,
     /// Where to log.
     pub log: Logger,
 }
 
 impl ConfigReload {
-    /// Runs until no more signals can come.
+    /// Runs until the signal stream ends.
     pub async fn run(mut self) {
         while self.hangups.recv().await.is_some() {
             match self.read() {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Publishes an address if it is another one; true where it is.
+/// Publishes an address if it differs from the current one. Returns whether it does.
 fn publish_address(published: &watch::Sender<SocketAddr>, address: SocketAddr) -> bool {
     published.send_if_modified(|current| {
         let moved = *current != address;
--- a/control-plane/src/deployment_names.rs
+++ b/control-plane/src/deployment_names.rs
@@ -1,17 +1,17 @@
-//! The names of the settings and their positions: messages name zones and request classes, the controller numbers them.
+//! Maps the names of zones and request classes, which messages use, to the numbers that the controller uses.
 
-/// The zones, request classes and proxies of the settings, in their order there.
+/// The zones and request classes of the settings, in the same order, and the number of proxies.
 #[derive(PartialEq)]
 pub struct DeploymentNames {
-    /// Names of the zones; a zone's number is its position.
+    /// Names of the zones. The position of a zone is its number.
     pub zones: Vec<String>,
-    /// Names of the request classes; a class's number is its position.
+    /// Names of the request classes. The position of a class is its number.
     pub request_classes: Vec<String>,
-    /// Proxies are numbered below this.
+    /// The proxies have the numbers below this one.
     pub proxy_count: u32,
 }
 
-/// A message names something that the settings do not.
+/// A message refers to something that is not in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnknownName {
     /// No zone has this name.
@@ -21,22 +21,22 @@
     #[error("request class '{0}' is not in the settings")]
     RequestClass(String),
     /// No proxy has this number.
-    #[error("proxy {0} is beyond the number in the settings")]
+    #[error("proxy {0} is not below the proxy count of the settings")]
     Proxy(u32),
 }
 
 impl DeploymentNames {
-    /// The number of the zone of that name.
+    /// Returns the number of the zone with this name.
     pub fn zone(&self, name: &str) -> Result<u32, UnknownName> {
         position(&self.zones, name).ok_or_else(|| UnknownName::Zone(name.to_owned()))
     }
 
-    /// The number of the request class of that name.
+    /// Returns the number of the request class with this name.
     pub fn request_class(&self, name: &str) -> Result<u32, UnknownName> {
         position(&self.request_classes, name).ok_or_else(|| UnknownName::RequestClass(name.to_owned()))
     }
 
-    /// The number of a proxy, if it is one of the deployment's.
+    /// Returns the number if there is a proxy with it.
     pub fn proxy(&self, number: u32) -> Result<u32, UnknownName> {
         if number < self.proxy_count {
             Ok(number)
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane of `otterwinch` on sockets: the program and its sub-commands.
+//! The `otterwinch` program: runs the control plane as a network service, and checks its configuration.
 
 mod call_error;
 mod cli;
@@ -57,7 +57,7 @@
         }
         cli::Command::Check { file } => match Config::from_file(file.as_deref(), environment) {
             Ok(config) => {
-                println!("config of {} is in order", config.name);
+                println!("config of {} is valid", config.name);
                 ExitCode::SUCCESS
             }
             Err(faults) => print_faults(&faults),
@@ -94,7 +94,7 @@
     }
 }
 
-/// All tasks share one thread, so they share state without locks.
+/// Runs all tasks on one thread, so that they can share state without locks.
 fn block_on_server(config: Config, log: Logger) -> Result<(), ServeError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(config, log))
--- a/control-plane/tests/sockets/config.rs
+++ b/control-plane/tests/sockets/config.rs
@@ -44,7 +44,7 @@
     config["settings"]["classes"] = (0..64).map(class).collect();
     assert_eq!(check(&config.to_string()).0, Some(0));
     config["settings"]["classes"] = (0..65).map(class).collect();
-    let said = "otterwinch: config: field 'settings.classes' holds more than 64\n";
+    let said = "otterwinch: config: field 'settings.classes' has more than 64 entries\n";
     assert_eq!(check(&config.to_string()), (Some(2), said.into()));
 }
 
@@ -60,12 +60,13 @@
     let file = ConfigFile::with(&valid_config().to_string());
     let out = program().arg("serve").env("GW_CONFIG", &file.path).env("GW_NAME", "n9").output().unwrap();
     let said = String::from_utf8(out.stderr).unwrap();
-    assert_eq!((out.status.code(), said.contains("'name' is 'n1' but GW_NAME says 'n9'")), (Some(2), true));
+    assert_eq!((out.status.code(), said.contains("'name' is 'n1' but GW_NAME is 'n9'")), (Some(2), true));
 }
 
 #[test]
 fn a_missing_or_unreadable_config_is_one_plain_line() {
     let out = program().arg("serve").output().unwrap();
-    assert_eq!((out.status.code(), out.stderr), (Some(2), b"otterwinch: GW_CONFIG names no file\n".to_vec()));
+    let said = b"otterwinch: no config file given: GW_CONFIG is not set\n".to_vec();
+    assert_eq!((out.status.code(), out.stderr), (Some(2), said));
     assert_eq!(check("{\"name\":").1.lines().count(), 1);
 }
