--- a/control-plane/src/collector_message.rs
+++ b/control-plane/src/collector_message.rs
@@ -1,5 +1,5 @@
-//! Decodes the messages of collectors. Their names on the wire are mapped here and nowhere else. Every field that is
-//! used is validated before the control loop gets it.
+//! Decodes the messages of collectors. This is the only module that knows their wire names. Every field that
+//! is used is validated before the message reaches the control loop.
 
 use crate::deployment_names::{DeploymentNames, UnknownName};
 use crate::event::Event;
@@ -7,60 +7,61 @@
 use otterwinch_adapter_support::{JsonFieldError, JsonFields};
 use serde_json::Value;
 
-/// Beyond these bounds a figure is an error of its sender: attempts or requests of one report; a latency or interval.
+/// Upper bound of the attempts or requests in one report. A greater count is an error of the sender.
 const MAX_COUNT: f64 = 1e6;
+/// Upper bound of a latency or report interval. A greater one is an error of the sender.
 const MAX_MS: f64 = 600_000.0;
 
 const KIND_FIELD: &str = "msg";
 const PROBE: &str = "probe";
 const IDENTIFICATION: &str = "agent";
 
-/// A message of a peer that has not identified itself.
+/// A message of a peer that has not identified itself yet.
 pub enum Handshake {
-    /// It asks for a sign of life.
+    /// A health check, which is to be answered.
     Probe,
-    /// It identifies itself as a collector.
+    /// The peer identifies itself as a collector.
     Identification {
-        /// The position of its zone in the configuration.
+        /// Position of the collector's zone in the configuration.
         zone: u32,
     },
 }
 
 /// A message of a collector that has identified itself.
 pub enum CollectorMessage {
-    /// It asks for a sign of life.
+    /// A health check, which is to be answered.
     Probe,
-    /// It identifies itself once more.
+    /// A repeated identification.
     Identification,
     /// A load report.
     Report(Event),
 }
 
-/// A message that can't be used.
+/// Why a frame can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidMessage {
-    /// The frame is not JSON, so whatever follows it may be anything.
-    #[error("not a JSON value")]
+    /// The frame is not JSON, so the frames after it can't be trusted either.
+    #[error("frame is not valid JSON")]
     NotJson(#[from] serde_json::Error),
-    /// The message is invalid, and can be skipped.
+    /// The message is JSON but invalid. It can be skipped.
     #[error(transparent)]
     Content(#[from] InvalidContent),
 }
 
-/// What is wrong with a message.
+/// Why a message is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidContent {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// It names what the settings do not.
+    /// The message names a zone, request class or proxy that is not in the settings.
     #[error(transparent)]
     Name(#[from] UnknownName),
-    /// Messages of this kind do not exist.
-    #[error("kind '{0}' is unknown")]
+    /// There is no such kind of message.
+    #[error("unknown message kind '{0}'")]
     UnknownKind(String),
-    /// The peer has to identify itself first.
-    #[error("'{0}' before the identification")]
+    /// The peer sent something else before it identified itself.
+    #[error("expected '{IDENTIFICATION}' or '{PROBE}' before the identification, got '{0}'")]
     NotIdentified(String),
 }
 
@@ -79,7 +80,7 @@
     /// Decodes a frame of a collector.
     ///
     /// # Errors
-    /// The frame is not JSON, or no valid message.
+    /// The frame is not JSON or not a valid message.
     pub fn decode(frame: &[u8], names: &DeploymentNames) -> Result<Self, InvalidMessage> {
         let value: Value = serde_json::from_slice(frame)?;
         Ok(decode_message(&value, names)?)
@@ -115,7 +116,7 @@
     let attempts = decode_total(fields)?;
     let interval = decode_interval(fields)?;
     let failures = fields.number_within("errors", 0.0..=attempts)?;
-    // The mean of the attempts that were answered. Where none was there is no mean.
+    // The mean covers only the attempts that were answered, so there is none if all failed.
     let mean_latency =
         if failures < attempts { decode_ms(fields.number_within("rtt", 0.0..=MAX_MS)?) } else { Span::ZERO };
     Ok(Event::EndpointOutcomes { endpoint, attempts, failures, mean_latency, interval })
@@ -126,7 +127,7 @@
     let class = names.request_class(fields.text("route")?)?;
     let requests = decode_total(fields)?;
     decode_interval(fields)?;
-    // Not bounded by the total: a request that arrived in an earlier interval may fail in this one.
+    // May exceed the total: a request that arrived in an earlier interval may fail in this one.
     fields.number_within("errors", 0.0..=MAX_COUNT)?;
     Ok(Event::Demand { class, requests })
 }
--- a/control-plane/src/collector_message/tests.rs
+++ b/control-plane/src/collector_message/tests.rs
@@ -5,7 +5,7 @@
     DeploymentNames { zones: vec!["a".into()], request_classes: vec!["quote".into()], proxy_count: 8 }
 }
 
-/// Whether a valid report is still a report with one field replaced, or removed.
+/// Whether a report that was valid decodes after one field is replaced or removed.
 fn is_report(kind: &str, field: &str, replacement: Option<Value>) -> bool {
     let mut report = match kind {
         "demand" => json!({"node": 3, "route": "quote", "total": 9, "errors": 1, "interval": 1e3}),
@@ -30,21 +30,22 @@
         ("outcomes", &["locality", "endpoint", "total", "errors", "rtt", "interval"] as &[&str]),
         ("demand", &["node", "route", "total", "errors", "interval"]),
     ] {
-        assert!(is_report(kind, "metrics", Some(json!(7))), "a field that is not used may be anything");
+        assert!(is_report(kind, "metrics", Some(json!(7))), "the value of an unused field is not validated");
         for field in fields {
             assert!(!is_report(kind, field, None), "{kind} without {field}");
             for invalid in [&none, &many, &json!(-1), &json!([]), &json!({})] {
                 assert!(!is_report(kind, field, Some(invalid.clone())), "{kind} with {field} {invalid}");
             }
             if !["endpoint"].contains(field) {
-                assert!(!is_report(kind, field, Some(text.clone())), "{kind} with {field} a text");
+                assert!(!is_report(kind, field, Some(text.clone())), "{kind} with a string as {field}");
             }
         }
-        // Attempts end within their report's interval; a request may have arrived in the one before.
+        // Attempts are counted in the interval in which they end. A request that fails may have arrived in an
+        // earlier one.
         assert_eq!(is_report(kind, "errors", Some(json!(10))), kind == "demand");
         assert!(!is_report(kind, "interval", Some(json!(0))));
     }
-    assert!(!is_report("demand", "node", Some(json!(8))), "a proxy beyond the number in the settings");
+    assert!(!is_report("demand", "node", Some(json!(8))), "a proxy number that is not below the proxy count");
     assert!(is_report("outcomes", "errors", Some(json!(9))));
 }
 
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -1,7 +1,7 @@
-//! One accepted connection, from its first byte to its end.
+//! Serves one accepted connection.
 //!
-//! The first byte of a frame is always 0 and that of an HTTP request never is: it tells a collector, which sends frames,
-//! from a client of the status pages.
+//! The first byte distinguishes the two protocols of the listener. It is always 0 in the length-prefixed
+//! frames that collectors send, and never in an HTTP request for a status page.
 
 use crate::call_error::CallError;
 use crate::connection_table::ConnectionSlot;
@@ -19,26 +19,26 @@
 use tokio::net::TcpStream;
 use tokio_util::sync::CancellationToken;
 
-/// From the accept until a collector has identified itself or a page is answered. Nothing that the peer sends meanwhile
-/// extends it, so that health checks do not keep a connection open.
+/// Time from the accept until a collector has identified itself or a status page is answered. Nothing that
+/// the peer sends extends it, so that health checks do not keep a connection open.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
 const FIRST_BYTE_OF_A_FRAME: u8 = 0;
 
-/// What all connections share.
+/// State that all connections share.
 #[derive(Clone)]
 pub struct ConnectionContext {
-    /// The names that load reports may use.
+    /// Names that are valid in load reports.
     pub names: Rc<DeploymentNames>,
-    /// Takes the load reports.
+    /// Passes the load reports on to the control loop.
     pub events: EventSender,
-    /// The pages for HTTP clients.
+    /// The status pages for HTTP clients.
     pub status_pages: Router,
     /// Where to log.
     pub log: Logger,
 }
 
-/// Serves a connection until its peer leaves, breaks the protocol or is silent for too long. Once `closing` is cancelled
-/// it ends as soon as what has arrived by then is handled.
+/// Serves a connection until its peer disconnects, violates the protocol or is silent for too long. Once
+/// `closing` is cancelled, it handles what has arrived and returns.
 pub async fn serve_connection(
     stream: TcpStream,
     context: &ConnectionContext,
@@ -54,7 +54,7 @@
             None => return Ok(()),
         },
     };
-    let finished = finished.ok_or_else(|| CallError::NoAnswer("not identified in time".into()))?;
+    let finished = finished.ok_or_else(handshake_timed_out)?;
     let Some(collector) = finished? else { return Ok(()) };
     slot.identify(collector.zone());
     info!(log, "collector connected"; "zone" => collector.zone());
@@ -64,7 +64,12 @@
     Ok(())
 }
 
-/// A collector that has identified itself; nothing where the peer asked for a page or left.
+fn handshake_timed_out() -> CallError {
+    CallError::NoAnswer(format!("handshake not completed within {} ms", HANDSHAKE_TIMEOUT.as_millis()).into())
+}
+
+/// Returns a collector that has identified itself, or `None` if the peer requested a status page or
+/// disconnected.
 async fn handshake(stream: TcpStream, context: &ConnectionContext) -> Result<Option<Collector>, CallError> {
     let not_connected = |error: io::Error| CallError::NotConnected(error.into());
     let mut first = [0];
--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections of the listener, and which of them gives way where there are too many.
+//! The open connections of the listener, and the choice of the one to close if there are too many.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,14 +7,15 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Connections that the collectors of one zone may have. A collector that reconnects leaves the old connection silent.
+/// How many collector connections one zone may have. There may be several per collector, since one that
+/// reconnects can leave its old connection open and silent.
 const MAX_COLLECTORS_PER_ZONE: usize = 8;
 
 /// Open connections by number, in the order in which they were accepted.
 ///
-/// Collectors take at most half of the places. So a full table always holds an unidentified connection, and the oldest
-/// of those makes room: a collector identifies itself and a health check is answered at once, so one that has done
-/// neither for long is not going to.
+/// Collectors take at most half of the places, so a full table always has an unidentified connection, and the
+/// oldest of those is closed to make room. Collectors identify themselves and health checks are answered
+/// right after the accept, so the oldest unidentified connection is the least likely to do either.
 pub struct ConnectionTable {
     max_connections: usize,
     max_per_zone: usize,
@@ -23,7 +24,7 @@
     collectors: BTreeMap<u64, CollectorConnection>,
 }
 
-/// A connection whose peer has not said what it is.
+/// A connection whose peer has not identified itself.
 struct UnidentifiedConnection {
     task: AbortHandle,
     closing: CancellationToken,
@@ -36,7 +37,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table of `max_connections` places for the collectors of `zones` zones and others.
+    /// An empty table with `max_connections` places, for a deployment with `zones` zones.
     pub fn new(max_connections: usize, zones: usize) -> Self {
         let max_per_zone = (max_connections / 2 / zones.max(1)).clamp(1, MAX_COLLECTORS_PER_ZONE);
         ConnectionTable {
@@ -53,9 +54,9 @@
         self.unidentified.len() + self.collectors.len() >= self.max_connections
     }
 
-    /// Ends the task of the oldest unidentified connection; false where there is none.
+    /// Aborts the task of the oldest unidentified connection. Returns false if there is none.
     pub fn abort_oldest_unidentified(&mut self) -> bool {
-        // Whatever it requested was answered long ago.
+        // Any request that it sent was answered long ago.
         match self.unidentified.pop_first() {
             Some((_, oldest)) => {
                 oldest.task.abort();
@@ -65,20 +66,20 @@
         }
     }
 
-    /// The number of the next connection.
+    /// Returns the number for the next connection.
     pub fn next_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
     }
 
-    /// Adds an accepted connection; `closing` asks its task to end.
+    /// Adds an accepted connection. Cancelling `closing` asks its task to end.
     pub fn insert(&mut self, number: u64, task: AbortHandle, closing: CancellationToken) {
         self.unidentified.insert(number, UnidentifiedConnection { task, closing });
     }
 
-    /// A connection turned out to be a zone's collector. If the zone has too many then, the one that has been silent for
-    /// the longest is asked to end.
+    /// Marks a connection as that of a zone's collector. If the zone already has the maximum, the one that
+    /// has been silent for the longest is asked to end.
     fn identify(&mut self, number: u64, zone: u32) {
         let Some(connection) = self.unidentified.remove(&number) else { return };
         if self.of_zone(zone).count() >= self.max_per_zone {
@@ -112,24 +113,24 @@
     }
 }
 
-/// A connection's place in the table. It is free again once this is dropped, so also after a panic or an abort.
+/// A connection's place in the table. Dropping it frees the place, also after a panic or an abort.
 pub struct ConnectionSlot {
     number: u64,
     table: Rc<RefCell<ConnectionTable>>,
 }
 
 impl ConnectionSlot {
-    /// The place of connection `number`.
+    /// The place of the connection with this number.
     pub fn new(number: u64, table: Rc<RefCell<ConnectionTable>>) -> Self {
         ConnectionSlot { number, table }
     }
 
-    /// The peer is the collector of a zone.
+    /// Marks the peer as a collector of a zone.
     pub fn identify(&self, zone: u32) {
         self.table.borrow_mut().identify(self.number, zone);
     }
 
-    /// The collector has sent something.
+    /// Records that the collector has sent a frame.
     pub fn heard(&self) {
         self.table.borrow_mut().heard(self.number);
     }
--- a/control-plane/src/connection_table/tests.rs
+++ b/control-plane/src/connection_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tokio::task::JoinHandle;
 
-/// A connection in the table, and what the table does to end it.
+/// A connection in the table, with the handles through which the table ends it.
 struct Connection {
     slot: ConnectionSlot,
     task: JoinHandle<()>,
--- a/control-plane/src/connector.rs
+++ b/control-plane/src/connector.rs
@@ -1,5 +1,6 @@
-//! Connection attempts to one peer that outlive the call that began them. An attempt may be slow and still succeed: if
-//! each call gave up its own and the next began anew, none ever would.
+//! Connection attempts to one peer, which outlive the call that started them. A peer may take longer to
+//! accept a connection than a call waits: if each call cancelled its own attempt, no attempt would ever
+//! succeed.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -8,18 +9,18 @@
 use tokio::task::{AbortHandle, Id, JoinSet};
 use tokio::time::timeout;
 
-/// An attempt that takes longer lost its first packet long ago: a younger one is quicker.
+/// An attempt that takes longer has probably lost its first packets, and a newer one will be faster.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
 const MAX_ATTEMPTS: usize = 4;
 
-/// The attempts that are under way.
+/// The attempts in progress.
 pub struct Connector<S> {
     attempts: JoinSet<io::Result<S>>,
-    /// Handles of the attempts, the oldest first.
+    /// Handles of the attempts, oldest first.
     handles: VecDeque<AbortHandle>,
 }
 
-/// An attempt that is over.
+/// An attempt that has ended.
 struct Finished<S> {
     attempt: Id,
     result: io::Result<S>,
@@ -31,11 +32,12 @@
         Connector { attempts: JoinSet::new(), handles: VecDeque::new() }
     }
 
-    /// Begins one more attempt and waits for the first that yields a usable connection. If this is dropped before, all
-    /// attempts go on for the next call.
+    /// Starts another attempt and waits for the first one that yields a usable connection. If the returned
+    /// future is dropped before, all attempts continue for the next call.
     ///
     /// # Errors
-    /// The failure of the new attempt. That of an older one says nothing about the peer's present state.
+    /// The new attempt failed. A failure of an older one is ignored, as it says nothing about the current
+    /// state of the peer.
     pub async fn connect(
         &mut self,
         attempt: impl Future<Output = io::Result<S>> + Send + 'static,
@@ -46,7 +48,7 @@
             let finished = self.next_finished().await?;
             match finished.result {
                 Ok(connection) if is_usable(&connection) => {
-                    // Ends the other attempts: each holds a descriptor.
+                    // Aborts the other attempts, each of which holds a file descriptor.
                     *self = Connector::new();
                     return Ok(connection);
                 }
@@ -56,8 +58,8 @@
         }
     }
 
-    /// Where there are too many attempts the youngest gives way: the older ones are nearer to success, and a new one is
-    /// needed for a network that has just recovered.
+    /// Starts an attempt. If there are too many, it replaces the newest: the older ones are closer to
+    /// success, and a new one is needed in case the network has just recovered.
     fn begin(&mut self, attempt: impl Future<Output = io::Result<S>> + Send + 'static) -> Id {
         if self.handles.len() >= MAX_ATTEMPTS {
             if let Some(youngest) = self.handles.pop_back() {
@@ -77,7 +79,7 @@
             Some(Err(panicked)) => {
                 Finished { attempt: panicked.id(), result: Err(io::Error::other(panicked)) }
             }
-            None => return Err(io::Error::other("no connection attempt is under way")),
+            None => return Err(io::Error::other("no connection attempt is in progress")),
         };
         self.handles.retain(|handle| handle.id() != finished.attempt);
         Ok(finished)
--- a/control-plane/src/connector/tests.rs
+++ b/control-plane/src/connector/tests.rs
@@ -6,7 +6,7 @@
     result
 }
 
-/// What one call does: an attempt of its own, and as long a wait as that of a call.
+/// Does what a call does: starts an attempt and waits for as long as a call waits for a connection.
 async fn call(
     connector: &mut Connector<u32>,
     attempt: impl Future<Output = io::Result<u32>> + Send + 'static,
@@ -21,7 +21,10 @@
     assert_eq!(call(&mut connector, after(400, Ok(2))).await, None);
     assert_eq!(call(&mut connector, after(400, Ok(3))).await, Some(1));
     assert_eq!(begun.elapsed().as_millis(), 400);
-    assert!(connector.attempts.is_empty() && connector.handles.is_empty(), "the others end with it");
+    assert!(
+        connector.attempts.is_empty() && connector.handles.is_empty(),
+        "a success aborts the other attempts"
+    );
 }
 
 #[tokio::test(start_paused = true)]
--- a/control-plane/src/listener.rs
+++ b/control-plane/src/listener.rs
@@ -1,4 +1,4 @@
-//! The listener of the control plane: accepts collectors and clients of the status pages, a task a connection.
+//! The listener of the control plane: accepts collectors and HTTP clients, and runs one task per connection.
 
 use crate::connection::{serve_connection, ConnectionContext};
 use crate::connection_table::{ConnectionSlot, ConnectionTable};
@@ -32,7 +32,8 @@
 }
 
 impl Listener {
-    /// A listener on a bound socket that holds up to `max_connections` and runs until `shutdown` is cancelled.
+    /// A listener on a bound socket. It holds up to `max_connections` connections and runs until `shutdown`
+    /// is cancelled.
     pub fn new(
         socket: TcpListener,
         context: ConnectionContext,
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Accepts until the shutdown, and returns once all connections have ended. Who had connected by then is served to
-    /// the end of what it had sent.
+    /// Accepts connections until the shutdown, and returns once all have ended. Everything that peers had
+    /// sent before the shutdown is handled, also on connections that were still in the accept queue.
     pub async fn run(mut self) {
         while let Some(accepted) = self.accept().await {
             match accepted {
@@ -70,7 +71,7 @@
         self.tasks.wait().await;
     }
 
-    /// The next connection; nothing at the shutdown.
+    /// Returns the next connection, or `None` at the shutdown.
     async fn accept(&self) -> Option<io::Result<(TcpStream, SocketAddr)>> {
         tokio::select! {
             biased;
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Descriptors may have run out, or the peer gave up: both pass.
+    /// Waits before the next accept. Accepting fails if file descriptors have run out or the peer has already
+    /// closed the connection, both of which are temporary.
     async fn pause_accepting(&mut self, error: &io::Error) {
         if let Some(times) = self.accept_errors.record() {
             warn!(self.context.log, "accept failed"; "why" => %error, "times" => times);
@@ -89,25 +91,26 @@
 
     async fn admit(&mut self, stream: TcpStream, peer: SocketAddr) {
         if self.connections.borrow().is_full() && self.evict() {
-            // Lets the aborted task end, so that its descriptor is closed before the next accept.
+            // Lets the aborted task end, so that its file descriptor is closed before the next accept.
             yield_now().await;
         }
-        // A panic over one connection must not end the listener.
+        // A panic while handling one connection must not end the listener.
         if let Err(cause) = catch_panic(|| self.spawn_connection(stream, peer)) {
             error!(self.context.log, "panic while accepting a connection"; "why" => %cause);
         }
     }
 
-    /// Closes the oldest unidentified connection; false where there is none.
+    /// Closes the oldest unidentified connection. Returns false if there is none.
     fn evict(&mut self) -> bool {
         self.context.events.metrics.rejected_connections.increment();
         if let Some(times) = self.evictions.record() {
-            warn!(self.context.log, "too many connections, closing the oldest unidentified one"; "times" => times);
+            warn!(self.context.log, "too many connections, closing the oldest unidentified one";
+                "times" => times);
         }
         self.connections.borrow_mut().abort_oldest_unidentified()
     }
 
-    /// Gives a connection a task of its own. It is closed where the table is full.
+    /// Starts a task for a connection, or closes the connection if the table is full.
     fn spawn_connection(&self, stream: TcpStream, peer: SocketAddr) {
         if self.connections.borrow().is_full() {
             return;
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -1,5 +1,5 @@
-//! Receives load reports: a collector connects to our address, identifies itself with its zone, and sends frames of a
-//! four-byte length and one JSON object.
+//! Receives load reports. A collector connects to the listener, identifies itself with its zone, and sends
+//! frames that consist of a four-byte length and one JSON object.
 
 use crate::call_error::{CallError, Cause};
 use crate::collector_message::{CollectorMessage, Handshake, InvalidContent, InvalidMessage};
@@ -17,22 +17,23 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// Enough for an identification and a probe. An unidentified peer gets no larger buffer: hundreds of them that each
-/// announce a long frame would use up the memory.
+/// Enough for an identification or a probe. Unidentified peers get no larger buffer, because hundreds of them
+/// that each announce a long frame would exhaust the memory.
 const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 1 << 10;
-/// A report takes some hundred bytes.
+/// Ample, as a report takes a few hundred bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
-/// For a peer to read an answer.
+/// Time for a peer to read an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// From the first byte of a frame to its last.
+/// Time from the first byte of a frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Collectors report each second or so. One that vanished would leave its connection open for ever.
+/// Collectors report about once a second. Without a timeout, the connection of one that vanished would stay
+/// open forever.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// For reading what had arrived when a connection is closed.
+/// Time for reading what has arrived before a connection is closed.
 pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
 const PROBE_ANSWER: &[u8] = br#"{"msg":"alive"}"#;
-/// A frame with its length.
+/// A complete frame, including the length.
 const ERROR_FRAME: &[u8] = b"\0\0\0\x0f{\"msg\":\"error\"}";
 
 type Frames = Framed<TcpStream, LengthDelimitedCodec>;
@@ -44,10 +45,11 @@
 }
 
 impl Collector {
-    /// Reads frames until the peer identifies itself as a collector; nothing where it leaves. Probes are answered.
+    /// Reads frames until the peer identifies itself as a collector. Answers probes. Returns `None` if the
+    /// peer disconnects.
     ///
     /// # Errors
-    /// The peer sends anything else, and is sent an error frame, or it does not read an answer.
+    /// The peer sends anything else, to which it gets an error frame, or it does not read an answer.
     pub async fn identify(stream: TcpStream, names: &DeploymentNames) -> Result<Option<Self>, CallError> {
         let codec =
             LengthDelimitedCodec::builder().max_frame_length(MAX_UNIDENTIFIED_FRAME_BYTES).new_codec();
@@ -60,7 +62,7 @@
                     return Ok(Some(Collector { frames, zone }));
                 }
                 Err(error) => {
-                    // As much as can be written at once: the close does not wait for a peer that does not read.
+                    // Best effort: closing the connection must not wait for a peer that does not read.
                     let _ = frames.get_ref().try_write(ERROR_FRAME);
                     return Err(error);
                 }
@@ -69,16 +71,17 @@
         Ok(None)
     }
 
-    /// The position of its zone in the configuration.
+    /// Position of the collector's zone in the configuration.
     pub fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// Receives reports until the collector leaves, and calls `on_frame` at each frame. An invalid report is dropped
-    /// alone. Once `closing` is cancelled it ends as soon as what has arrived by then is handled.
+    /// Receives reports until the collector disconnects, and calls `on_frame` for each frame. An invalid
+    /// report is dropped without affecting others. Once `closing` is cancelled, this handles what has arrived
+    /// and returns.
     ///
     /// # Errors
-    /// Frames can't be decoded any more, or the collector is silent for too long: it has to connect again.
+    /// Frames can no longer be decoded, or the collector is silent for too long. It has to connect again.
     pub async fn receive_reports(
         mut self,
         names: &DeploymentNames,
@@ -104,8 +107,9 @@
         Ok(())
     }
 
-    /// The next frame; nothing where the collector leaves, or has sent nothing more when it is to close. Silence counts
-    /// from the frame before, an incomplete frame from its first byte: else single bytes would keep a connection open.
+    /// Returns the next frame, or `None` if the collector disconnects, or if the connection is to close and
+    /// no more data has arrived. The silence timeout starts at the previous frame and the frame timeout at
+    /// the first byte of a frame, so that a peer can't keep the connection open by sending single bytes.
     async fn next_frame(
         &mut self,
         closing: &CancellationToken,
@@ -118,14 +122,19 @@
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
             match within(timeout, self.frames.next()).await {
                 Some(frame) => return frame.transpose().map_err(unusable),
-                // A socket may be reported as readable although there is nothing to read.
+                // Readiness may be spurious: a socket can be reported as readable when there is nothing to
+                // read.
                 None if self.frames.read_buffer().is_empty() => {}
-                None => return Err(CallError::NoAnswer("half a frame".into())),
+                None => {
+                    let reason = format!("frame incomplete after {} ms", timeout.as_millis());
+                    return Err(CallError::NoAnswer(reason.into()));
+                }
             }
         }
     }
 
-    /// Waits for bytes to read; false where the connection is to close and none have arrived.
+    /// Waits until there are bytes to read. Returns false if the connection is to close and none have
+    /// arrived.
     async fn wait_readable(
         &self,
         previous_frame: Instant,
@@ -135,7 +144,7 @@
         let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
         let readable = tokio::select! {
             readable = within(remaining, stream.readable()) => {
-                readable.ok_or_else(|| CallError::NoAnswer("silent".into()))?
+                readable.ok_or_else(silence_timed_out)?
             }
             () = closing.cancelled() => match within(CLOSING_GRACE, stream.readable()).await {
                 Some(readable) => readable,
@@ -147,6 +156,10 @@
     }
 }
 
+fn silence_timed_out() -> CallError {
+    CallError::NoAnswer(format!("no complete frame for {} s", SILENCE_TIMEOUT.as_secs()).into())
+}
+
 fn decode_handshake(
     frame: std::io::Result<impl Deref<Target = [u8]>>,
     names: &DeploymentNames,
@@ -159,7 +172,10 @@
     let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
     match within(ANSWER_TIMEOUT, answer).await {
         Some(sent) => sent.map_err(|error| CallError::NoAnswer(error.into())),
-        None => Err(CallError::NoAnswer("the answer is left unread".into())),
+        None => {
+            let reason = format!("peer did not read the answer within {} ms", ANSWER_TIMEOUT.as_millis());
+            Err(CallError::NoAnswer(reason.into()))
+        }
     }
 }
 
