--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Decodes the endpoint list. Its names on the wire are mapped here and nowhere else.
+//! Decodes the endpoint list. This is the only module that knows its wire names.
 
 use crate::deployment_names::DeploymentNames;
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 const ENTRY: &str = "list entry";
-/// The zone of an endpoint whose zone the settings do not name: it is far from all that they do.
+/// Zone number of an endpoint whose zone is not in the settings: the endpoint is in no proxy's zone.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 const DEFAULT_ZONE: u32 = 0;
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -15,41 +15,41 @@
 
 /// An answer of the endpoint list.
 pub struct EndpointList {
-    /// Grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Whether it names all endpoints; else only those that changed.
+    /// Whether the answer contains all endpoints, rather than only those that changed.
     pub whole: bool,
-    /// The valid entries.
+    /// The changes from the valid entries.
     pub updates: Vec<EndpointUpdate>,
-    /// The others.
+    /// The invalid entries.
     pub invalid: Vec<InvalidEntry>,
 }
 
-/// An entry that can't be used.
+/// An entry that is invalid.
 #[derive(Debug, thiserror::Error)]
 #[error("entry {position}: {reason}")]
 pub struct InvalidEntry {
-    /// Its position in the answer.
+    /// Position of the entry in the answer.
     pub position: usize,
-    /// Which endpoint it describes, where that much can be read.
+    /// The endpoint of the entry, if the entry has a readable name of it.
     pub id: Option<EndpointId>,
-    /// What is wrong with it.
+    /// Why the entry is invalid.
     pub reason: InvalidEndpoint,
 }
 
-/// What is wrong with an entry.
+/// Why an entry is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidEndpoint {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// The endpoint is in a state that does not exist.
-    #[error("{ENTRY}: field 'health' is unknown: '{0}'")]
+    /// There is no such endpoint state.
+    #[error("{ENTRY}: field 'health' is not 'active', 'leaving' or 'left': '{0}'")]
     UnknownState(String),
 }
 
 impl EndpointList {
-    /// Decodes an answer. Invalid entries are left out one by one.
+    /// Decodes an answer. Invalid entries are skipped and do not affect the others.
     ///
     /// # Errors
     /// The answer as a whole is malformed.
@@ -83,7 +83,7 @@
     if state == EndpointState::Ready {
         return Ok(EndpointUpdate { id, zone: zone?, weight: weight?, state, started: started? });
     }
-    // An endpoint that drains or is removed has to be left, whatever else is wrong with its entry.
+    // Traffic has to leave a draining or removed endpoint, even if other fields of its entry are invalid.
     Ok(EndpointUpdate {
         id,
         zone: zone.unwrap_or(DEFAULT_ZONE),
@@ -117,7 +117,7 @@
     fields.non_negative("share")
 }
 
-/// When the endpoint started; nothing where the list does not say, which it does not of a start long past.
+/// When the endpoint started, or `None` if the list does not say, as for endpoints that started long ago.
 fn started(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
     let started_ms = fields.i64_or("born_ms", 0)?;
     if started_ms <= 0 {
--- a/control-plane/src/endpoint_list/tests.rs
+++ b/control-plane/src/endpoint_list/tests.rs
@@ -38,7 +38,10 @@
     assert_eq!(list.updates.len(), 1);
     let [unknown_state, nameless] = &list.invalid[..] else { panic!("two invalid entries") };
     assert_eq!(unknown_state.id.as_deref(), Some("b"));
-    assert_eq!(unknown_state.to_string(), "entry 1: list entry: field 'health' is unknown: 'asleep'");
+    assert_eq!(
+        unknown_state.to_string(),
+        "entry 1: list entry: field 'health' is not 'active', 'leaving' or 'left': 'asleep'"
+    );
     assert_eq!(nameless.id, None);
 }
 
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,5 +1,6 @@
-//! Watches the endpoint list: reads it whole once, then polls for changes. The controller says when a watch begins, at
-//! the start and after a call that failed. An invalid entry is left out alone: the endpoint stays in its last state.
+//! Watches the endpoint list: reads the whole list once, then polls for changes. The controller requests the
+//! watch at the start and again after each failed call. An invalid entry is skipped, and its endpoint keeps
+//! its last state.
 
 use crate::call_error::CallError;
 use crate::client::Peer;
@@ -16,45 +17,46 @@
 use tokio::sync::{watch, Notify};
 
 const PATH: &str = "/v1/servers";
-/// How long a poll may wait for a change: a list that has fallen silent is noticed this late.
+/// How long the server may hold a poll that finds no change. A list that stops answering is noticed only
+/// after this time.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What a watch needs.
+/// The parameters of a watch.
 #[derive(Clone)]
 pub struct EndpointWatch {
-    /// Where the list is. At a new address it is read whole at once.
+    /// Address of the list. When it changes, the whole list is read from the new address at once.
     pub address: watch::Receiver<SocketAddr>,
-    /// The longest answer, in bytes.
+    /// Size limit of an answer, in bytes.
     pub max_answer_bytes: usize,
-    /// The names of the settings.
+    /// Zones, request classes and proxies of the settings.
     pub names: Rc<DeploymentNames>,
-    /// Notified when the controller wants the list to be watched.
+    /// Notified when the controller requests the watch.
     pub requests: Rc<Notify>,
-    /// Where the answers go.
+    /// Passes changes and failures on to the control loop.
     pub events: EventSender,
     /// Where to log.
     pub log: Logger,
 }
 
 impl EndpointWatch {
-    /// Watches for ever.
+    /// Watches the list and never returns.
     pub async fn run(self) {
-        // The controller does not know of a watch that panicked, so its successor does not wait for a request.
+        // A watch that is restarted after a panic gets no request from the controller, so it starts without one.
         self.requests.notify_one();
         Watcher::new(self).run().await;
     }
 }
 
-/// A watch that runs.
+/// A watch in progress.
 struct Watcher {
     context: EndpointWatch,
     peer: Peer,
-    /// The version that changes are polled for since; without one the list is read whole.
+    /// The version since which changes are polled. If there is none, the whole list is read.
     version: Option<u64>,
-    /// Whether to poll; else the controller is to request it.
+    /// Whether to poll. If not, the controller has to request the watch first.
     polling: bool,
-    /// The latest call failed.
+    /// Whether the latest call failed.
     failing: bool,
     invalid_entry_log: LogRateLimit,
 }
@@ -79,7 +81,12 @@
                     self.polling = true;
                     continue;
                 }
-                answer = poll(&self.peer, self.version, &self.context.names, self.context.max_answer_bytes), if self.polling => answer,
+                answer = poll(
+                    &self.peer,
+                    self.version,
+                    &self.context.names,
+                    self.context.max_answer_bytes,
+                ), if self.polling => answer,
                 Ok(()) = self.context.address.changed() => {
                     self.move_to_new_address();
                     continue;
@@ -100,7 +107,8 @@
 
     async fn list_received(&mut self, list: EndpointList) {
         if self.failing || self.version.is_none() {
-            info!(self.context.log, "endpoint watch established"; "version" => list.version, "endpoints" => list.updates.len());
+            info!(self.context.log, "endpoint watch established";
+                "version" => list.version, "endpoints" => list.updates.len());
         }
         self.failing = false;
         self.version = Some(list.version);
@@ -119,8 +127,8 @@
             warn!(self.context.log, "endpoint watch failed"; "why" => #error, "version" => self.version);
         }
         self.failing = true;
-        // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
-        // reject a poll since a version that it does not know.
+        // An unusable answer may have contained a change, which no later answer repeats. A server that has
+        // lost its state may reject a poll since a version that it does not know.
         if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
             self.wait_for_request().await;
         } else {
@@ -148,7 +156,8 @@
     }
 }
 
-/// Whether an invalid entry hides something that no later answer repeats: any change, or which endpoint it was about.
+/// Whether information that no later answer repeats was lost with an invalid entry: a change, or the
+/// endpoint's name.
 fn misses_a_change(list: &EndpointList) -> bool {
     has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
 }
@@ -157,8 +166,8 @@
     list.invalid.iter().any(|entry| entry.id.is_none())
 }
 
-/// An endpoint whose entry is invalid is not missing from the list. Where an entry does not even name its endpoint, no
-/// endpoint is taken as missing.
+/// Converts an answer to an event. An endpoint with an invalid entry does not count as removed from the list.
+/// If an entry does not even name its endpoint, no endpoint counts as removed.
 fn event_of(list: EndpointList) -> Event {
     if list.whole && !has_unidentified_entry(&list) {
         let invalid = list.invalid.into_iter().filter_map(|entry| entry.id).collect();
@@ -168,7 +177,7 @@
     }
 }
 
-/// Reads the whole list, or waits for what has changed since a version.
+/// Reads the whole list, or waits for the changes since a version.
 async fn poll(
     peer: &Peer,
     version: Option<u64>,
@@ -184,7 +193,7 @@
     };
     let (status, body) = peer.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
     if status != StatusCode::OK {
-        return Err(CallError::Rejected(format!("status {status}").into()));
+        return Err(CallError::Rejected(format!("expected status 200, got {status}").into()));
     }
     let value = serde_json::from_slice(&body).map_err(|error| CallError::UnusableAnswer(error.into()))?;
     let list =
@@ -193,18 +202,20 @@
     Ok(list)
 }
 
-/// Checks that an answer goes on from the version that was asked for.
+/// Checks that an answer follows the requested version.
 ///
-/// A change older than that was delayed on its way, or the list has lost its state and its versions begin again: only the
-/// whole list shows which. Where the whole list was requested, a part would be mistaken for it.
+/// If it is older, either the answer was delayed, or the server has lost its state and counts versions from
+/// the start again. Only the whole list shows which. If the whole list was requested, an answer with changes
+/// only is an error, as it would be mistaken for the whole list.
 fn check_continues(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
         return Ok(());
     }
     match version {
-        None => Err(CallError::UnusableAnswer("a part where the whole list was asked for".into())),
+        None => Err(CallError::UnusableAnswer("expected the whole list, got changes only".into())),
         Some(known) if list.version < known => {
-            Err(CallError::UnusableAnswer(format!("a change of version {}", list.version).into()))
+            let reason = format!("expected changes since version {known}, got version {}", list.version);
+            Err(CallError::UnusableAnswer(reason.into()))
         }
         Some(_) => Ok(()),
     }
--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -125,7 +125,7 @@
     assert!(control_plane.wait_for_log("endpoint watch failed")["why"]
         .as_str()
         .unwrap()
-        .contains("version 1"));
+        .ends_with("got version 1"));
     let call = relay.next_call_with("eject");
     assert!(call.iter().all(|o| o["op"] != "uneject"), "{call:?}");
     assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
