--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: JSON lines on standard error, written by a thread of their own. Lines that do not fit its queue are dropped
-//! and counted, so that a blocked reader never delays the control loop.
+//! The log: JSON lines on standard error, written by a separate thread. If its queue is full, lines are
+//! dropped and counted, so that a blocked reader never delays the control loop.
 
 use slog::{o, Drain, Logger};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
@@ -10,7 +10,8 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 const MIN_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A logger to standard error for the control plane of that name, and the guard that [`flush`] takes.
+/// Returns a logger to standard error for the control plane with this name, and the guard to pass to
+/// [`flush`].
 pub fn to_stderr(name: &str) -> (Logger, AsyncGuard) {
     let lines = slog_json::Json::default(std::io::stderr()).ignore_res();
     let (drain, guard) = Async::new(lines)
@@ -20,7 +21,7 @@
     (Logger::root(drain.ignore_res(), o!("instance" => name.to_owned())), guard)
 }
 
-/// Writes what is still queued, but not for long: a blocked reader must not keep the process alive.
+/// Writes the queued lines within a time limit, so that a blocked reader does not keep the process alive.
 pub fn flush(guard: AsyncGuard) {
     let (done, written) = mpsc::channel();
     std::thread::spawn(move || {
@@ -30,7 +31,7 @@
     let _ = written.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// Limits how often something is logged that may happen with every message.
+/// Limits how often an event is logged that may occur with every message.
 #[derive(Default)]
 pub struct LogRateLimit {
     unlogged: u64,
@@ -38,7 +39,8 @@
 }
 
 impl LogRateLimit {
-    /// Counts one occurrence. If it is to be logged, the number of occurrences since the last one that was.
+    /// Counts an occurrence. If it is to be logged, returns the number of occurrences since the last one that
+    /// was logged, including this one.
     pub fn record(&mut self) -> Option<u64> {
         self.unlogged += 1;
         let recent = self.last_logged.is_some_and(|logged| logged.elapsed() < MIN_LOG_INTERVAL);
--- a/control-plane/src/metrics.rs
+++ b/control-plane/src/metrics.rs
@@ -1,15 +1,17 @@
-//! Counters of rejected input that `/state` and the summary in the log show.
+//! Counters of rejected input, connections and configurations, shown by `/state` and by the summary in the
+//! log.
 
 use std::cell::Cell;
 
-/// What was rejected since the start.
+/// Counts since the start of the process.
 #[derive(Default)]
 pub struct Metrics {
-    /// Load reports and entries of the endpoint list that were invalid.
+    /// Invalid load reports and endpoint list entries.
     pub invalid_inputs: Counter,
-    /// Connections to our address that ended with an error.
+    /// Connections to the listener that ended with an error.
     pub connection_errors: Counter,
-    /// Unidentified connections that were closed to make room.
+    /// Connections that arrived while the listener was full. Each has the oldest unidentified one closed to
+    /// make room.
     pub rejected_connections: Counter,
     /// Configurations that were reloaded.
     pub config_reloads: Counter,
@@ -17,17 +19,17 @@
     pub config_rejections: Counter,
 }
 
-/// A count that only grows.
+/// A monotonic counter.
 #[derive(Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one more.
+    /// Adds 1.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// Returns the count.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -19,17 +19,17 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Why the control plane ended by itself.
+/// Why the control plane ended without a signal.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The runtime, a signal handler or the address could not be set up.
+    /// The runtime, a signal handler or the listener could not be set up.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A task that runs until the shutdown ended without one.
     #[error(transparent)]
     Task(#[from] TaskError),
-    /// The handler of SIGHUP is gone.
-    #[error("no more signals can be received")]
+    /// The signal stream of SIGHUP ended.
+    #[error("SIGHUP can no longer be received")]
     SignalsClosed,
 }
 
@@ -39,19 +39,20 @@
     server.run().await
 }
 
-/// A control plane whose tasks are started.
+/// A running control plane.
 struct Server {
     signals: ShutdownSignals,
     reload: ConfigReload,
     tasks: ServerTasks,
-    /// Ends the tasks.
+    /// Cancelled to end the tasks.
     shutdown: CancellationToken,
     log: Logger,
 }
 
 impl Server {
     async fn start(config: Rc<Config>, log: Logger) -> io::Result<Self> {
-        // Installed before the listener answers anybody: without a handler a SIGHUP ends the process.
+        // The handlers are installed before the listener accepts connections: without one, SIGHUP would end
+        // the process.
         let signals = ShutdownSignals::install()?;
         let hangups = signal(SignalKind::hangup())?;
         let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
@@ -97,7 +98,7 @@
         Ok(Server { signals, reload, tasks, shutdown, log })
     }
 
-    /// Runs until a signal and the shutdown that follows it, or until a task fails.
+    /// Runs until the shutdown after a signal is complete, or until a task fails.
     async fn run(mut self) -> Result<(), ServeError> {
         let signal = tokio::select! {
             error = self.tasks.unexpected_end() => return Err(error.into()),
@@ -110,7 +111,7 @@
     }
 }
 
-// A panic in the task of a peer restarts that task alone.
+// If the task for a peer panics, only that task is restarted.
 
 fn spawn_endpoint_watch(watch: EndpointWatch) {
     restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the process: the signals that ask for it, and the tasks that have to finish before it.
+//! Shutdown: the signals that request it, and the tasks that have to finish before the process ends.
 
 use crate::timeout::within;
 use slog::{warn, Logger};
@@ -12,16 +12,16 @@
 const LISTENER: &str = "the listener";
 const CONTROL_LOOP: &str = "the control loop";
 
-/// A task that runs until the shutdown ended without one, or panicked.
+/// A task ended although there was no shutdown, or panicked.
 #[derive(Debug, thiserror::Error)]
 pub enum TaskError {
-    /// It returned.
-    #[error("{task} ended")]
+    /// The task returned.
+    #[error("{task} ended unexpectedly")]
     Ended {
         /// Which task.
         task: &'static str,
     },
-    /// It panicked.
+    /// The task panicked.
     #[error("{task} panicked")]
     Panicked {
         /// Which task.
@@ -31,14 +31,14 @@
     },
 }
 
-/// The signals that end the process.
+/// The signals that request a shutdown.
 pub struct ShutdownSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl ShutdownSignals {
-    /// Installs their handlers.
+    /// Installs the signal handlers.
     pub fn install() -> io::Result<Self> {
         Ok(ShutdownSignals {
             terminate: signal(SignalKind::terminate())?,
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Waits for one of them; its name.
+    /// Waits for a signal and returns its name.
     pub async fn received(&mut self) -> &'static str {
         tokio::select! {
             _ = self.terminate.recv() => "SIGTERM",
@@ -55,7 +55,7 @@
     }
 }
 
-/// The tasks that run until the shutdown and finish their work then.
+/// The tasks that run until the shutdown, and then finish their work.
 pub struct ServerTasks {
     /// Accepts connections.
     pub listener: JoinHandle<()>,
@@ -64,7 +64,7 @@
 }
 
 impl ServerTasks {
-    /// Waits for one of them to end although there is no shutdown.
+    /// Waits for a task to end without a shutdown.
     pub async fn unexpected_end(&mut self) -> TaskError {
         let (task, ended) = tokio::select! {
             ended = &mut self.control_loop => (CONTROL_LOOP, ended),
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Waits for all of them, for as long as a shutdown may take.
+    /// Waits for all tasks to end, up to the shutdown timeout.
     ///
     /// # Errors
-    /// The panic of one of them.
+    /// A task panicked.
     pub async fn finish(self, log: &Logger) -> Result<(), TaskError> {
         let all = async { tokio::join!(self.control_loop, self.listener) };
         let Some((control_loop, listener)) = within(SHUTDOWN_TIMEOUT, all).await else {
--- a/control-plane/src/status.rs
+++ b/control-plane/src/status.rs
@@ -1,4 +1,4 @@
-//! The status snapshot that `/state` shows, and the summary of it in the log.
+//! The status snapshot that `/state` returns, and its summary in the log.
 
 use crate::metrics::Metrics;
 use otterwinch::time::{Moment, Span};
@@ -7,29 +7,29 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// How often the snapshot is renewed.
+/// How often the snapshot is updated.
 pub const SNAPSHOT_INTERVAL: Span = Span::from_us(1_000_000);
 const SUMMARY_INTERVAL: Span = Span::from_us(10_000_000);
 
-/// The state of the control loop.
+/// Status of the control loop.
 pub struct LoopStatus {
-    /// Endpoints that are listed.
+    /// Number of listed endpoints.
     pub endpoints: usize,
-    /// Proxies that are joined.
+    /// Number of joined proxies.
     pub proxies: usize,
-    /// Commands that the controller has issued.
+    /// Commands that the controller has issued since the start.
     pub commands: u64,
-    /// Calls to the relay.
+    /// Calls to the relay since the start.
     pub calls: u64,
-    /// Calls to the relay that failed.
+    /// Calls to the relay that failed since the start.
     pub failed_calls: u64,
-    /// Controllers that were started.
+    /// Controllers that were started: the first one, and one more at each restart.
     pub controller_starts: u64,
     /// Whether the latest call to the relay failed.
     pub delivery_failing: bool,
 }
 
-/// Renews the snapshot and writes the summary.
+/// Updates the snapshot and logs the summary.
 pub struct StatusReporter {
     snapshot: watch::Sender<String>,
     metrics: Rc<Metrics>,
@@ -39,18 +39,18 @@
 }
 
 impl StatusReporter {
-    /// A reporter, and the snapshot that it renews.
+    /// Returns a reporter and the receiver of its snapshots.
     pub fn new(metrics: Rc<Metrics>, log: Logger, now: Moment) -> (Self, watch::Receiver<String>) {
         let (snapshot, shown) = watch::channel(String::from("{}"));
         (StatusReporter { snapshot, metrics, log, last_snapshot: now, last_summary: now }, shown)
     }
 
-    /// Whether it is time for a new snapshot.
+    /// Whether a new snapshot is due.
     pub fn is_due(&self, now: Moment) -> bool {
         now - self.last_snapshot >= SNAPSHOT_INTERVAL
     }
 
-    /// Renews the snapshot, and writes the summary if that is due.
+    /// Updates the snapshot, and logs the summary if it is due.
     pub fn report(&mut self, now: Moment, status: &LoopStatus) {
         self.last_snapshot = now;
         self.snapshot.send_replace(self.snapshot_text(status));
@@ -78,7 +78,7 @@
         snapshot.to_string()
     }
 
-    /// The keys are those of the snapshot.
+    /// Logs the summary under the same keys as in the snapshot.
     fn log_summary(&self, status: &LoopStatus) {
         info!(self.log, "summary";
             "servers" => status.endpoints,
--- a/control-plane/src/status_pages.rs
+++ b/control-plane/src/status_pages.rs
@@ -1,4 +1,4 @@
-//! The read-only HTTP pages: `/healthz` and `/state`.
+//! The read-only HTTP status pages: `/healthz` and `/state`.
 
 use crate::call_error::CallError;
 use axum::extract::State;
@@ -16,7 +16,7 @@
 const HEADER_TIMEOUT: Duration = Duration::from_millis(1_500);
 const MAX_HEADER_BYTES: usize = 8 << 10;
 
-/// The pages; `status` is the JSON text of `/state`.
+/// Returns the router of the pages. `status` holds the JSON text of `/state`.
 pub fn router(status: watch::Receiver<String>) -> Router {
     Router::new().route("/healthz", get(health)).route("/state", get(state)).with_state(status)
 }
@@ -29,8 +29,8 @@
     ([(CONTENT_TYPE, "application/json")], status.borrow().clone())
 }
 
-/// Answers one request on a connection. A second one would keep the connection open although its peer never identifies
-/// itself.
+/// Answers one request on a connection and closes it. With keep-alive, a peer could keep its connection open
+/// without identifying itself.
 pub async fn serve(stream: TcpStream, pages: Router) -> Result<(), CallError> {
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/control-plane/src/status_pages/tests.rs
+++ b/control-plane/src/status_pages/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tokio::io::AsyncWriteExt;
 
-/// The reason why frames are told apart before they reach the HTTP server.
+/// Frames have to be recognized before they reach the HTTP server, because its parser would reject them.
 #[tokio::test]
 async fn an_http_parser_ends_the_connection_at_a_frames_first_byte() {
     let (mut ours, theirs) = tokio::io::duplex(1024);
--- a/control-plane/src/task_restart.rs
+++ b/control-plane/src/task_restart.rs
@@ -1,4 +1,4 @@
-//! Supervision of tasks that run for as long as the process does.
+//! Supervision of tasks that run until the process ends.
 
 use slog::{error, Logger};
 use std::future::Future;
@@ -8,8 +8,8 @@
 
 const RESTART_DELAY: Duration = Duration::from_millis(100);
 
-/// Starts a task and restarts it whenever it ends, so that a panic in it does not cost the process. `name` stands in the
-/// log.
+/// Starts a task and restarts it whenever it ends, so that a panic in it does not end the process. `name`
+/// identifies the task in the log.
 pub fn restart_on_panic<F: Future<Output = ()> + 'static>(
     name: &'static str,
     log: Logger,
