--- a/control-plane/src/collector_message.rs
+++ b/control-plane/src/collector_message.rs
@@ -17,7 +17,7 @@
 const IDENTIFICATION: &str = "agent";
 
 /// A message of a peer that has not identified itself yet.
-pub enum Handshake {
+pub enum HandshakeMessage {
     /// A health check, which is to be answered.
     Probe,
     /// The peer identifies itself as a collector.
@@ -65,7 +65,7 @@
     NotIdentified(String),
 }
 
-impl Handshake {
+impl HandshakeMessage {
     /// Decodes a frame of a peer that has not identified itself.
     ///
     /// # Errors
@@ -87,11 +87,13 @@
     }
 }
 
-fn decode_handshake(value: &Value, names: &DeploymentNames) -> Result<Handshake, InvalidContent> {
+fn decode_handshake(value: &Value, names: &DeploymentNames) -> Result<HandshakeMessage, InvalidContent> {
     let fields = JsonFields::of_message(value, KIND_FIELD)?;
     match fields.kind {
-        PROBE => Ok(Handshake::Probe),
-        IDENTIFICATION => Ok(Handshake::Identification { zone: names.zone(fields.text("locality")?)? }),
+        PROBE => Ok(HandshakeMessage::Probe),
+        IDENTIFICATION => {
+            Ok(HandshakeMessage::Identification { zone: names.zone(fields.text("locality")?)? })
+        }
         kind => Err(InvalidContent::NotIdentified(kind.to_owned())),
     }
 }
--- a/control-plane/src/collector_message/tests.rs
+++ b/control-plane/src/collector_message/tests.rs
@@ -6,7 +6,7 @@
 }
 
 /// Whether a report that was valid decodes after one field is replaced or removed.
-fn is_report(kind: &str, field: &str, replacement: Option<Value>) -> bool {
+fn is_accepted(kind: &str, field: &str, replacement: Option<Value>) -> bool {
     let mut report = match kind {
         "demand" => json!({"node": 3, "route": "quote", "total": 9, "errors": 1, "interval": 1e3}),
         _ => {
@@ -24,33 +24,39 @@
 }
 
 #[test]
-fn a_report_is_valid_only_if_each_field_is_there_of_its_type_within_bounds_and_names_what_exists() {
+fn a_report_with_a_missing_mistyped_out_of_range_or_unknown_field_is_rejected() {
     let (text, none, many) = (json!("9"), Value::Null, json!(1e300));
     for (kind, fields) in [
         ("outcomes", &["locality", "endpoint", "total", "errors", "rtt", "interval"] as &[&str]),
         ("demand", &["node", "route", "total", "errors", "interval"]),
     ] {
-        assert!(is_report(kind, "metrics", Some(json!(7))), "the value of an unused field is not validated");
+        assert!(
+            is_accepted(kind, "metrics", Some(json!(7))),
+            "the value of an unused field is not validated"
+        );
         for field in fields {
-            assert!(!is_report(kind, field, None), "{kind} without {field}");
+            assert!(!is_accepted(kind, field, None), "{kind} without {field}");
             for invalid in [&none, &many, &json!(-1), &json!([]), &json!({})] {
-                assert!(!is_report(kind, field, Some(invalid.clone())), "{kind} with {field} {invalid}");
+                assert!(!is_accepted(kind, field, Some(invalid.clone())), "{kind} with {field} {invalid}");
             }
             if !["endpoint"].contains(field) {
-                assert!(!is_report(kind, field, Some(text.clone())), "{kind} with a string as {field}");
+                assert!(!is_accepted(kind, field, Some(text.clone())), "{kind} with a string as {field}");
             }
         }
         // Attempts are counted in the interval in which they end. A request that fails may have arrived in an
         // earlier one.
-        assert_eq!(is_report(kind, "errors", Some(json!(10))), kind == "demand");
-        assert!(!is_report(kind, "interval", Some(json!(0))));
+        assert_eq!(is_accepted(kind, "errors", Some(json!(10))), kind == "demand");
+        assert!(!is_accepted(kind, "interval", Some(json!(0))));
     }
-    assert!(!is_report("demand", "node", Some(json!(8))), "a proxy number that is not below the proxy count");
-    assert!(is_report("outcomes", "errors", Some(json!(9))));
+    assert!(
+        !is_accepted("demand", "node", Some(json!(8))),
+        "a proxy number that is not below the proxy count"
+    );
+    assert!(is_accepted("outcomes", "errors", Some(json!(9))));
 }
 
 #[test]
-fn a_report_is_decoded_with_its_times_in_microseconds() {
+fn times_of_a_report_are_converted_to_microseconds() {
     let frame =
         br#"{"msg":"outcomes","locality":"a","endpoint":"s","total":9,"errors":1,"rtt":4.5,"interval":1000}"#;
     let Ok(CollectorMessage::Report(Event::EndpointOutcomes {
@@ -68,11 +74,11 @@
 }
 
 #[test]
-fn nothing_but_a_probe_and_an_identification_is_valid_before_the_identification() {
-    let decode = |text: &str| Handshake::decode(text.as_bytes(), &names());
-    assert!(matches!(decode(r#"{"msg":"probe"}"#), Ok(Handshake::Probe)));
+fn only_probes_and_identifications_are_valid_before_the_identification() {
+    let decode = |text: &str| HandshakeMessage::decode(text.as_bytes(), &names());
+    assert!(matches!(decode(r#"{"msg":"probe"}"#), Ok(HandshakeMessage::Probe)));
     let identification = r#"{"msg":"agent","locality":"a"}"#;
-    assert!(matches!(decode(identification), Ok(Handshake::Identification { zone: 0 })));
+    assert!(matches!(decode(identification), Ok(HandshakeMessage::Identification { zone: 0 })));
     for invalid in [r#"{"msg":"agent","locality":"elsewhere"}"#, r#"{"msg":"demand"}"#, "[]", "{\"msg\":"] {
         assert!(decode(invalid).is_err(), "{invalid}");
     }
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -22,7 +22,7 @@
 /// Time from the accept until a collector has identified itself or a status page is answered. Nothing that
 /// the peer sends extends it, so that health checks do not keep a connection open.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
-const FIRST_BYTE_OF_A_FRAME: u8 = 0;
+const FRAME_FIRST_BYTE: u8 = 0;
 
 /// State that all connections share.
 #[derive(Clone)]
@@ -58,7 +58,7 @@
     let Some(collector) = finished? else { return Ok(()) };
     slot.identify(collector.zone());
     info!(log, "collector connected"; "zone" => collector.zone());
-    let on_frame = || slot.heard();
+    let on_frame = || slot.record_activity();
     collector.receive_reports(&context.names, &context.events, on_frame, closing, log).await?;
     info!(log, "collector disconnected");
     Ok(())
@@ -72,12 +72,12 @@
 /// disconnected.
 async fn handshake(stream: TcpStream, context: &ConnectionContext) -> Result<Option<Collector>, CallError> {
     let not_connected = |error: io::Error| CallError::NotConnected(error.into());
-    let mut first = [0];
-    if stream.peek(&mut first).await.map_err(not_connected)? == 0 {
+    let mut first_byte = [0];
+    if stream.peek(&mut first_byte).await.map_err(not_connected)? == 0 {
         return Ok(None);
     }
     stream.set_nodelay(true).map_err(not_connected)?;
-    if first[0] == FIRST_BYTE_OF_A_FRAME {
+    if first_byte[0] == FRAME_FIRST_BYTE {
         return Collector::identify(stream, &context.names).await;
     }
     status_pages::serve(stream, context.status_pages.clone()).await?;
--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -32,7 +32,7 @@
 
 struct CollectorConnection {
     zone: u32,
-    last_heard: Instant,
+    last_activity: Instant,
     closing: CancellationToken,
 }
 
@@ -67,7 +67,7 @@
     }
 
     /// Returns the number for the next connection.
-    pub fn next_number(&mut self) -> u64 {
+    pub fn allocate_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         number
@@ -82,28 +82,30 @@
     /// has been silent for the longest is asked to end.
     fn identify(&mut self, number: u64, zone: u32) {
         let Some(connection) = self.unidentified.remove(&number) else { return };
-        if self.of_zone(zone).count() >= self.max_per_zone {
-            self.close_most_silent(zone);
+        if self.collectors_in_zone(zone).count() >= self.max_per_zone {
+            self.close_longest_silent(zone);
         }
-        let collector = CollectorConnection { zone, last_heard: Instant::now(), closing: connection.closing };
+        let collector =
+            CollectorConnection { zone, last_activity: Instant::now(), closing: connection.closing };
         self.collectors.insert(number, collector);
     }
 
-    fn of_zone(&self, zone: u32) -> impl Iterator<Item = (&u64, &CollectorConnection)> {
+    fn collectors_in_zone(&self, zone: u32) -> impl Iterator<Item = (&u64, &CollectorConnection)> {
         self.collectors.iter().filter(move |(_, collector)| collector.zone == zone)
     }
 
-    fn close_most_silent(&mut self, zone: u32) {
-        let most_silent = self.of_zone(zone).min_by_key(|(_, collector)| collector.last_heard);
-        let Some(number) = most_silent.map(|(number, _)| *number) else { return };
+    fn close_longest_silent(&mut self, zone: u32) {
+        let longest_silent =
+            self.collectors_in_zone(zone).min_by_key(|(_, collector)| collector.last_activity);
+        let Some(number) = longest_silent.map(|(number, _)| *number) else { return };
         if let Some(collector) = self.collectors.remove(&number) {
             collector.closing.cancel();
         }
     }
 
-    fn heard(&mut self, number: u64) {
+    fn record_activity(&mut self, number: u64) {
         if let Some(collector) = self.collectors.get_mut(&number) {
-            collector.last_heard = Instant::now();
+            collector.last_activity = Instant::now();
         }
     }
 
@@ -131,8 +133,8 @@
     }
 
     /// Records that the collector has sent a frame.
-    pub fn heard(&self) {
-        self.table.borrow_mut().heard(self.number);
+    pub fn record_activity(&self) {
+        self.table.borrow_mut().record_activity(self.number);
     }
 }
 
--- a/control-plane/src/connection_table/tests.rs
+++ b/control-plane/src/connection_table/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn connect(table: &Rc<RefCell<ConnectionTable>>) -> Connection {
-    let number = table.borrow_mut().next_number();
+    let number = table.borrow_mut().allocate_number();
     let task = tokio::spawn(std::future::pending());
     let closing = CancellationToken::new();
     table.borrow_mut().insert(number, task.abort_handle(), closing.clone());
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn the_oldest_unidentified_connection_is_aborted_and_no_collector() {
+async fn the_oldest_unidentified_connection_is_aborted_rather_than_a_collector() {
     let table = table(3, 1);
     let collector = connect(&table);
     collector.slot.identify(0);
@@ -34,14 +34,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_zone_with_too_many_collectors_closes_the_one_that_was_silent_for_longest() {
+async fn a_zone_with_too_many_collectors_closes_the_longest_silent_one() {
     let table = table(8, 2);
     let (first, second, other_zone) = (connect(&table), connect(&table), connect(&table));
     other_zone.slot.identify(1);
     first.slot.identify(0);
     second.slot.identify(0);
     tokio::time::advance(std::time::Duration::from_secs(1)).await;
-    first.slot.heard();
+    first.slot.record_activity();
     let third = connect(&table);
     third.slot.identify(0);
     let closing = [&first, &second, &third, &other_zone].map(|connection| connection.closing.is_cancelled());
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn a_dropped_slot_frees_its_place() {
+async fn dropping_a_slot_frees_its_place() {
     let table = table(1, 1);
     let connection = connect(&table);
     assert!(table.borrow().is_full());
--- a/control-plane/src/connector.rs
+++ b/control-plane/src/connector.rs
@@ -21,7 +21,7 @@
 }
 
 /// An attempt that has ended.
-struct Finished<S> {
+struct FinishedAttempt<S> {
     attempt: Id,
     result: io::Result<S>,
 }
@@ -43,7 +43,7 @@
         attempt: impl Future<Output = io::Result<S>> + Send + 'static,
         is_usable: impl Fn(&S) -> bool,
     ) -> io::Result<S> {
-        let newest = self.begin(attempt);
+        let newest = self.start_attempt(attempt);
         loop {
             let finished = self.next_finished().await?;
             match finished.result {
@@ -60,10 +60,10 @@
 
     /// Starts an attempt. If there are too many, it replaces the newest: the older ones are closer to
     /// success, and a new one is needed in case the network has just recovered.
-    fn begin(&mut self, attempt: impl Future<Output = io::Result<S>> + Send + 'static) -> Id {
+    fn start_attempt(&mut self, attempt: impl Future<Output = io::Result<S>> + Send + 'static) -> Id {
         if self.handles.len() >= MAX_ATTEMPTS {
-            if let Some(youngest) = self.handles.pop_back() {
-                youngest.abort();
+            if let Some(newest) = self.handles.pop_back() {
+                newest.abort();
             }
         }
         let bounded = async { timeout(ATTEMPT_TIMEOUT, attempt).await.unwrap_or_else(|e| Err(e.into())) };
@@ -73,11 +73,11 @@
         newest
     }
 
-    async fn next_finished(&mut self) -> io::Result<Finished<S>> {
+    async fn next_finished(&mut self) -> io::Result<FinishedAttempt<S>> {
         let finished = match self.attempts.join_next_with_id().await {
-            Some(Ok((attempt, result))) => Finished { attempt, result },
+            Some(Ok((attempt, result))) => FinishedAttempt { attempt, result },
             Some(Err(panicked)) => {
-                Finished { attempt: panicked.id(), result: Err(io::Error::other(panicked)) }
+                FinishedAttempt { attempt: panicked.id(), result: Err(io::Error::other(panicked)) }
             }
             None => return Err(io::Error::other("no connection attempt is in progress")),
         };
--- a/control-plane/src/listener.rs
+++ b/control-plane/src/listener.rs
@@ -58,7 +58,7 @@
     pub async fn run(mut self) {
         while let Some(accepted) = self.accept().await {
             match accepted {
-                Ok((stream, peer)) => self.admit(stream, peer).await,
+                Ok((stream, peer)) => self.handle_accepted(stream, peer).await,
                 Err(error) => self.pause_accepting(&error).await,
             }
         }
@@ -89,7 +89,7 @@
         sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    async fn admit(&mut self, stream: TcpStream, peer: SocketAddr) {
+    async fn handle_accepted(&mut self, stream: TcpStream, peer: SocketAddr) {
         if self.connections.borrow().is_full() && self.evict() {
             // Lets the aborted task end, so that its file descriptor is closed before the next accept.
             yield_now().await;
@@ -102,7 +102,7 @@
 
     /// Closes the oldest unidentified connection. Returns false if there is none.
     fn evict(&mut self) -> bool {
-        self.context.events.metrics.rejected_connections.increment();
+        self.context.events.metrics.evicted_connections.increment();
         if let Some(times) = self.evictions.record() {
             warn!(self.context.log, "too many connections, closing the oldest unidentified one";
                 "times" => times);
@@ -115,7 +115,7 @@
         if self.connections.borrow().is_full() {
             return;
         }
-        let number = self.connections.borrow_mut().next_number();
+        let number = self.connections.borrow_mut().allocate_number();
         let slot = ConnectionSlot::new(number, self.connections.clone());
         let closing = self.shutdown.child_token();
         let connection = self.connection_task(stream, peer, slot, closing.clone());
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -2,7 +2,7 @@
 //! frames that consist of a four-byte length and one JSON object.
 
 use crate::call_error::{CallError, Cause};
-use crate::collector_message::{CollectorMessage, Handshake, InvalidContent, InvalidMessage};
+use crate::collector_message::{CollectorMessage, HandshakeMessage, InvalidContent, InvalidMessage};
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
@@ -36,11 +36,11 @@
 /// A complete frame, including the length.
 const ERROR_FRAME: &[u8] = b"\0\0\0\x0f{\"msg\":\"error\"}";
 
-type Frames = Framed<TcpStream, LengthDelimitedCodec>;
+type FrameStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// The connection of a collector that has identified itself.
 pub struct Collector {
-    frames: Frames,
+    frames: FrameStream,
     zone: u32,
 }
 
@@ -56,8 +56,8 @@
         let mut frames = Framed::with_capacity(stream, codec, MAX_UNIDENTIFIED_FRAME_BYTES);
         while let Some(frame) = frames.next().await {
             match decode_handshake(frame, names) {
-                Ok(Handshake::Probe) => answer_probe(&mut frames).await?,
-                Ok(Handshake::Identification { zone }) => {
+                Ok(HandshakeMessage::Probe) => answer_probe(&mut frames).await?,
+                Ok(HandshakeMessage::Identification { zone }) => {
                     frames.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
                     return Ok(Some(Collector { frames, zone }));
                 }
@@ -99,9 +99,9 @@
                 Ok(CollectorMessage::Report(event)) => events.send(event).await,
                 Err(InvalidMessage::Content(error)) => {
                     events.metrics.invalid_inputs.increment();
-                    report_dropped(&mut dropped_report_log, &error, log);
+                    log_dropped_report(&mut dropped_report_log, &error, log);
                 }
-                Err(error @ InvalidMessage::NotJson(_)) => return Err(unusable(error)),
+                Err(error @ InvalidMessage::NotJson(_)) => return Err(unusable_answer(error)),
             }
         }
         Ok(())
@@ -121,7 +121,7 @@
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
             match within(timeout, self.frames.next()).await {
-                Some(frame) => return frame.transpose().map_err(unusable),
+                Some(frame) => return frame.transpose().map_err(unusable_answer),
                 // Readiness may be spurious: a socket can be reported as readable when there is nothing to
                 // read.
                 None if self.frames.read_buffer().is_empty() => {}
@@ -151,7 +151,7 @@
                 None => return Ok(false),
             },
         };
-        readable.map_err(unusable)?;
+        readable.map_err(unusable_answer)?;
         Ok(true)
     }
 }
@@ -163,12 +163,12 @@
 fn decode_handshake(
     frame: std::io::Result<impl Deref<Target = [u8]>>,
     names: &DeploymentNames,
-) -> Result<Handshake, CallError> {
-    let frame = frame.map_err(unusable)?;
-    Handshake::decode(&frame, names).map_err(unusable)
+) -> Result<HandshakeMessage, CallError> {
+    let frame = frame.map_err(unusable_answer)?;
+    HandshakeMessage::decode(&frame, names).map_err(unusable_answer)
 }
 
-async fn answer_probe(frames: &mut Frames) -> Result<(), CallError> {
+async fn answer_probe(frames: &mut FrameStream) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
     match within(ANSWER_TIMEOUT, answer).await {
         Some(sent) => sent.map_err(|error| CallError::NoAnswer(error.into())),
@@ -179,12 +179,12 @@
     }
 }
 
-fn report_dropped(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
+fn log_dropped_report(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
     if let Some(times) = limit.record() {
         warn!(log, "load report dropped"; "why" => %error, "times" => times);
     }
 }
 
-fn unusable(error: impl Into<Cause>) -> CallError {
+fn unusable_answer(error: impl Into<Cause>) -> CallError {
     CallError::UnusableAnswer(error.into())
 }
--- a/control-plane/src/metrics.rs
+++ b/control-plane/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters of rejected input, connections and configurations, shown by `/state` and by the summary in the
-//! log.
+//! Counters of rejected input, failed connections and reloads. `/state` shows all of them, the summary in the
+//! log all but those of reloads.
 
 use std::cell::Cell;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Default)]
 pub struct Metrics {
     /// Invalid load reports and endpoint list entries.
@@ -12,7 +12,7 @@
     pub connection_errors: Counter,
     /// Connections that arrived while the listener was full. Each has the oldest unidentified one closed to
     /// make room.
-    pub rejected_connections: Counter,
+    pub evicted_connections: Counter,
     /// Configurations that were reloaded.
     pub config_reloads: Counter,
     /// Configurations that were rejected at a reload.
--- a/control-plane/src/status.rs
+++ b/control-plane/src/status.rs
@@ -41,8 +41,8 @@
 impl StatusReporter {
     /// Returns a reporter and the receiver of its snapshots.
     pub fn new(metrics: Rc<Metrics>, log: Logger, now: Moment) -> (Self, watch::Receiver<String>) {
-        let (snapshot, shown) = watch::channel(String::from("{}"));
-        (StatusReporter { snapshot, metrics, log, last_snapshot: now, last_summary: now }, shown)
+        let (snapshot, receiver) = watch::channel(String::from("{}"));
+        (StatusReporter { snapshot, metrics, log, last_snapshot: now, last_summary: now }, receiver)
     }
 
     /// Whether a new snapshot is due.
@@ -71,7 +71,7 @@
             "relay_away": status.delivery_failing,
             "dropped": self.metrics.invalid_inputs.get(),
             "ended": self.metrics.connection_errors.get(),
-            "turned_away": self.metrics.rejected_connections.get(),
+            "turned_away": self.metrics.evicted_connections.get(),
             "config_read": self.metrics.config_reloads.get(),
             "config_refused": self.metrics.config_rejections.get(),
         });
@@ -89,6 +89,6 @@
             "opened" => status.controller_starts,
             "dropped" => self.metrics.invalid_inputs.get(),
             "ended" => self.metrics.connection_errors.get(),
-            "turned_away" => self.metrics.rejected_connections.get());
+            "turned_away" => self.metrics.evicted_connections.get());
     }
 }
