--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -13,19 +13,19 @@
 
 /// Upper bound of the listener's connections, however many sockets the configuration allows.
 const MAX_CONNECTIONS: u64 = 512;
-const DEFAULT_SOCKETS: u64 = 2 * MAX_CONNECTIONS;
-const DEFAULT_MEMORY_MB: u64 = 1024;
+const DEFAULT_SOCKET_LIMIT: u64 = 2 * MAX_CONNECTIONS;
+const DEFAULT_MEMORY_LIMIT_MB: u64 = 1024;
 const MAX_LIST_BYTES: u64 = 4 << 20;
 /// An answer of the endpoint list may take this fraction of the memory limit, because it takes ten times its
 /// size once decoded.
 const LIST_MEMORY_DIVISOR: u64 = 32;
-/// A command refers to request classes by the bits of an integer.
+/// The commands of the controller refer to request classes by the bits of an integer.
 const MAX_REQUEST_CLASSES: usize = RequestClassSet::BITS as usize;
 /// Upper bound of the proxy numbers if the settings do not state the number of proxies.
 const DEFAULT_PROXY_COUNT: u32 = 65_536;
 /// Fields that must agree with an environment variable, if it is set. The address of the endpoint list is not
 /// among them: a reload may change it, while the environment of a process stays the same.
-const ENVIRONMENT_VARIABLES: [(&str, &str); 2] = [("name", "GW_NAME"), ("listen", "GW_LISTEN")];
+const ENVIRONMENT_CHECKED_FIELDS: [(&str, &str); 2] = [("name", "GW_NAME"), ("listen", "GW_LISTEN")];
 
 /// The configuration of one control plane.
 pub struct Config {
@@ -72,22 +72,22 @@
     pub fn read(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<ConfigFault>> {
         let fields = JsonFields::of_object(value, "config").map_err(|error| vec![error.into()])?;
         let mut reader = ConfigReader { fields, faults: Vec::new() };
-        match reader.config(env) {
+        match reader.read_config(env) {
             Some(config) if reader.faults.is_empty() => Ok(config),
             _ => Err(reader.faults),
         }
     }
 
-    /// Checks that a running control plane can switch to `newer`.
+    /// Checks that a running control plane can switch to `new_config`.
     ///
     /// # Errors
     /// A fault for each field that only a restart can change.
-    pub fn check_reload(&self, newer: &Config) -> Result<(), Vec<ConfigFault>> {
-        let same_settings = self.names == newer.names && self.controller == newer.controller;
+    pub fn check_reload(&self, new_config: &Config) -> Result<(), Vec<ConfigFault>> {
+        let same_settings = self.names == new_config.names && self.controller == new_config.controller;
         let mut faults = Vec::new();
         for (field, unchanged) in [
-            ("name", self.name == newer.name),
-            ("listen", self.listen == newer.listen),
+            ("name", self.name == new_config.name),
+            ("listen", self.listen == new_config.listen),
             ("settings", same_settings),
         ] {
             if !unchanged {
@@ -119,17 +119,17 @@
 
 impl<'a> ConfigReader<'a> {
     /// Reads all fields, also after a fault. Returns `None` if a value is missing or invalid.
-    fn config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
+    fn read_config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
         self.check_environment(env);
-        let name = self.collect(self.fields.text("name"));
-        let listen = self.address("listen", self.fields.text("listen"));
-        let endpoint_list = self.address("discovery", self.fields.text("discovery"));
-        let relay = self.address("relay.address", self.relay_address());
-        let seed = self.seed();
-        let (names, controller) = self.settings();
-        let known_endpoints = self.known_endpoints(&names);
-        let memory_mb = self.limit("memory_mb", DEFAULT_MEMORY_MB);
-        let sockets = self.limit("sockets", DEFAULT_SOCKETS);
+        let name = self.value_or_record(self.fields.text("name"));
+        let listen = self.parse_address("listen", self.fields.text("listen"));
+        let endpoint_list = self.parse_address("discovery", self.fields.text("discovery"));
+        let relay = self.parse_address("relay.address", self.read_relay_address());
+        let seed = self.read_seed();
+        let (names, controller) = self.read_settings();
+        let known_endpoints = self.read_known_endpoints(&names);
+        let memory_mb = self.read_limit("memory_mb", DEFAULT_MEMORY_LIMIT_MB);
+        let sockets = self.read_limit("sockets", DEFAULT_SOCKET_LIMIT);
         Some(Config {
             name: name?.to_owned(),
             listen: listen?,
@@ -145,7 +145,7 @@
     }
 
     /// Returns the value, or records the fault and returns `None`.
-    fn collect<T>(&mut self, read: Result<T, impl Into<ConfigFault>>) -> Option<T> {
+    fn value_or_record<T>(&mut self, read: Result<T, impl Into<ConfigFault>>) -> Option<T> {
         match read {
             Ok(value) => Some(value),
             Err(fault) => {
@@ -156,7 +156,7 @@
     }
 
     fn check_environment(&mut self, env: impl Fn(&str) -> Option<String>) {
-        for (field, variable) in ENVIRONMENT_VARIABLES {
+        for (field, variable) in ENVIRONMENT_CHECKED_FIELDS {
             let (Ok(value), Some(expected)) = (self.fields.text(field), env(variable)) else { continue };
             if value != expected {
                 let value = value.to_owned();
@@ -165,27 +165,31 @@
         }
     }
 
-    fn address(&mut self, field: &'static str, text: Result<&str, JsonFieldError>) -> Option<SocketAddr> {
-        let text = self.collect(text)?;
+    fn parse_address(
+        &mut self,
+        field: &'static str,
+        text: Result<&str, JsonFieldError>,
+    ) -> Option<SocketAddr> {
+        let text = self.value_or_record(text)?;
         let parsed = text.parse().map_err(|_| ConfigFault::NotAnAddress { field, value: text.to_owned() });
-        self.collect(parsed)
+        self.value_or_record(parsed)
     }
 
-    fn relay_address(&self) -> Result<&'a str, JsonFieldError> {
+    fn read_relay_address(&self) -> Result<&'a str, JsonFieldError> {
         let relay = self.fields.object("relay")?;
         JsonFields::of_object(relay, "config: 'relay'")?.text("address")
     }
 
-    fn seed(&mut self) -> Option<u64> {
-        let text = self.collect(self.fields.text("seed"))?;
+    fn read_seed(&mut self) -> Option<u64> {
+        let text = self.value_or_record(self.fields.text("seed"))?;
         let parsed = u64::from_str_radix(text, 16)
             .map_err(|_| ConfigFault::SeedNotHexadecimal { value: text.to_owned() });
-        self.collect(parsed)
+        self.value_or_record(parsed)
     }
 
     /// Reads the settings. If they are missing, empty ones are returned and the fault is recorded.
-    fn settings(&mut self) -> (DeploymentNames, ControllerConfig) {
-        let settings = self.collect(self.fields.settings("settings"));
+    fn read_settings(&mut self) -> (DeploymentNames, ControllerConfig) {
+        let settings = self.value_or_record(self.fields.settings("settings"));
         let reader = settings.unwrap_or(SettingsReader::new(&Value::Null));
         let names = deployment_names(reader);
         // This control plane gets changes to the endpoint list only by polling, whatever the settings say.
@@ -211,22 +215,22 @@
         }
     }
 
-    fn known_endpoints(&mut self, names: &DeploymentNames) -> Option<Vec<EndpointUpdate>> {
-        let value = self.collect(self.fields.object("known"))?;
+    fn read_known_endpoints(&mut self, names: &DeploymentNames) -> Option<Vec<EndpointUpdate>> {
+        let value = self.value_or_record(self.fields.object("known"))?;
         let list = EndpointList::decode(value, names)
             .map_err(|error| ConfigFault::KnownEndpoints { reason: error.to_string() });
-        let list = self.collect(list)?;
+        let list = self.value_or_record(list)?;
         for entry in list.invalid {
             self.faults.push(ConfigFault::KnownEndpoints { reason: entry.to_string() });
         }
         Some(list.updates)
     }
 
-    fn limit(&mut self, name: &str, default: u64) -> Option<u64> {
+    fn read_limit(&mut self, name: &str, default: u64) -> Option<u64> {
         match self.fields.object("limits") {
             Ok(limits) if limits.get(name).is_some() => {
                 let limit = JsonFields::of_object(limits, "config: 'limits'");
-                self.collect(limit.and_then(|limits| limits.u64(name)))
+                self.value_or_record(limit.and_then(|limits| limits.u64(name)))
             }
             _ => Some(default),
         }
--- a/control-plane/src/config_reload.rs
+++ b/control-plane/src/config_reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the configuration file at each SIGHUP. A reload can change the addresses of the endpoint list and
 //! the relay. A file that is faulty, or that changes a field which requires a restart, is rejected as a
-//! whole.
+//! whole, and the current configuration stays in force.
 
 use crate::config::Config;
 use crate::config_fault::ConfigFault;
@@ -15,13 +15,13 @@
 pub struct ConfigReload {
     /// SIGHUP. Signals in quick succession may be merged into one, which reads the file as it is after the
     /// last.
-    pub hangups: Signal,
+    pub sighup: Signal,
     /// The configuration that the process was started with.
     pub config: Rc<Config>,
     /// Publishes the address of the endpoint list.
-    pub endpoint_list: watch::Sender<SocketAddr>,
+    pub endpoint_list_address: watch::Sender<SocketAddr>,
     /// Publishes the address of the relay.
-    pub relay: watch::Sender<SocketAddr>,
+    pub relay_address: watch::Sender<SocketAddr>,
     /// Counts reloaded and rejected configurations.
     pub metrics: Rc<Metrics>,
     /// Where to log.
@@ -31,27 +31,27 @@
 impl ConfigReload {
     /// Runs until the signal stream ends.
     pub async fn run(mut self) {
-        while self.hangups.recv().await.is_some() {
+        while self.sighup.recv().await.is_some() {
             match self.read() {
-                Ok(newer) => self.apply(&newer),
+                Ok(new_config) => self.apply(&new_config),
                 Err(faults) => self.reject(&faults),
             }
         }
     }
 
     fn read(&self) -> Result<Config, Vec<ConfigFault>> {
-        let newer = Config::from_file(None, |name| std::env::var(name).ok())?;
-        self.config.check_reload(&newer)?;
-        Ok(newer)
+        let new_config = Config::from_file(None, |name| std::env::var(name).ok())?;
+        self.config.check_reload(&new_config)?;
+        Ok(new_config)
     }
 
-    fn apply(&self, newer: &Config) {
+    fn apply(&self, new_config: &Config) {
         self.metrics.config_reloads.increment();
-        let list_moved = publish_address(&self.endpoint_list, newer.endpoint_list);
-        let relay_moved = publish_address(&self.relay, newer.relay);
+        let list_moved = publish_address(&self.endpoint_list_address, new_config.endpoint_list);
+        let relay_moved = publish_address(&self.relay_address, new_config.relay);
         info!(self.log, "config reloaded";
-            "endpoint_list" => %newer.endpoint_list, "endpoint_list_moved" => list_moved,
-            "relay" => %newer.relay, "relay_moved" => relay_moved);
+            "endpoint_list" => %new_config.endpoint_list, "endpoint_list_moved" => list_moved,
+            "relay" => %new_config.relay, "relay_moved" => relay_moved);
     }
 
     fn reject(&self, faults: &[ConfigFault]) {
--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -34,12 +34,12 @@
     /// The endpoint of the entry, if the entry has a readable name of it.
     pub id: Option<EndpointId>,
     /// Why the entry is invalid.
-    pub reason: InvalidEndpoint,
+    pub reason: InvalidEntryReason,
 }
 
 /// Why an entry is invalid.
 #[derive(Debug, thiserror::Error)]
-pub enum InvalidEndpoint {
+pub enum InvalidEntryReason {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
@@ -62,24 +62,24 @@
         for (position, entry) in fields.list("hosts")?.iter().enumerate() {
             match decode_entry(entry, names) {
                 Ok(update) => updates.push(update),
-                Err(reason) => invalid.push(InvalidEntry { position, id: endpoint_id(entry), reason }),
+                Err(reason) => invalid.push(InvalidEntry { position, id: decode_id(entry), reason }),
             }
         }
         Ok(EndpointList { version, whole, updates, invalid })
     }
 }
 
-fn endpoint_id(entry: &Value) -> Option<EndpointId> {
+fn decode_id(entry: &Value) -> Option<EndpointId> {
     entry.get("host")?.as_str().map(EndpointId::from)
 }
 
-fn decode_entry(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, InvalidEndpoint> {
+fn decode_entry(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, InvalidEntryReason> {
     let fields = JsonFields::of_object(entry, ENTRY)?;
     let id = fields.text("host")?.into();
-    let state = endpoint_state(fields.text("health")?)?;
-    let zone = zone(&fields, names);
-    let weight = weight(&fields);
-    let started = started(&fields);
+    let state = decode_state(fields.text("health")?)?;
+    let zone = decode_zone(&fields, names);
+    let weight = decode_weight(&fields);
+    let started = decode_start_time(&fields);
     if state == EndpointState::Ready {
         return Ok(EndpointUpdate { id, zone: zone?, weight: weight?, state, started: started? });
     }
@@ -93,16 +93,16 @@
     })
 }
 
-fn endpoint_state(health: &str) -> Result<EndpointState, InvalidEndpoint> {
+fn decode_state(health: &str) -> Result<EndpointState, InvalidEntryReason> {
     match health {
         "active" => Ok(EndpointState::Ready),
         "leaving" => Ok(EndpointState::Draining),
         "left" => Ok(EndpointState::Removed),
-        other => Err(InvalidEndpoint::UnknownState(other.to_owned())),
+        other => Err(InvalidEntryReason::UnknownState(other.to_owned())),
     }
 }
 
-fn zone(fields: &JsonFields, names: &DeploymentNames) -> Result<u32, JsonFieldError> {
+fn decode_zone(fields: &JsonFields, names: &DeploymentNames) -> Result<u32, JsonFieldError> {
     if !fields.has("site") {
         return Ok(DEFAULT_ZONE);
     }
@@ -110,7 +110,7 @@
     Ok(names.zone(name).unwrap_or(UNKNOWN_ZONE))
 }
 
-fn weight(fields: &JsonFields) -> Result<f64, JsonFieldError> {
+fn decode_weight(fields: &JsonFields) -> Result<f64, JsonFieldError> {
     if !fields.has("share") {
         return Ok(DEFAULT_WEIGHT);
     }
@@ -118,7 +118,7 @@
 }
 
 /// When the endpoint started, or `None` if the list does not say, as for endpoints that started long ago.
-fn started(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
+fn decode_start_time(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
     let started_ms = fields.i64_or("born_ms", 0)?;
     if started_ms <= 0 {
         return Ok(None);
--- a/control-plane/src/endpoint_list/tests.rs
+++ b/control-plane/src/endpoint_list/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_entry_is_decoded_with_its_zones_position_and_its_start_in_microseconds() {
+fn an_entry_is_decoded_to_a_zone_number_and_a_start_in_microseconds() {
     let list = decode_entries(json!([
         {"host": "a", "site": "south", "health": "active", "share": 2.5, "born_ms": 7},
         {"host": "b", "site": "elsewhere", "health": "leaving"},
@@ -29,24 +29,24 @@
 }
 
 #[test]
-fn an_invalid_entry_is_named_by_its_position_and_its_endpoint() {
+fn an_invalid_entry_is_reported_with_its_position_and_endpoint() {
     let list = decode_entries(json!([
         {"host": "a", "health": "active"},
         {"host": "b", "health": "asleep"},
         {"host": 7, "health": "active"},
     ]));
     assert_eq!(list.updates.len(), 1);
-    let [unknown_state, nameless] = &list.invalid[..] else { panic!("two invalid entries") };
+    let [unknown_state, without_id] = &list.invalid[..] else { panic!("two invalid entries") };
     assert_eq!(unknown_state.id.as_deref(), Some("b"));
     assert_eq!(
         unknown_state.to_string(),
         "entry 1: list entry: field 'health' is not 'active', 'leaving' or 'left': 'asleep'"
     );
-    assert_eq!(nameless.id, None);
+    assert_eq!(without_id.id, None);
 }
 
 #[test]
-fn a_draining_endpoint_is_valid_whatever_is_wrong_with_its_other_fields_and_a_ready_one_is_not() {
+fn only_ready_endpoints_need_valid_optional_fields() {
     for field in ["site", "share", "born_ms"] {
         for (health, valid) in [("leaving", 1), ("left", 1), ("active", 0)] {
             let mut entry = json!({"host": "a", "health": health});
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-const PATH: &str = "/v1/servers";
+const LIST_PATH: &str = "/v1/servers";
 /// How long the server may hold a poll that finds no change. A list that stops answering is noticed only
 /// after this time.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The parameters of a watch.
+/// The parameters and channels of a watch.
 #[derive(Clone)]
 pub struct EndpointWatch {
     /// Address of the list. When it changes, the whole list is read from the new address at once.
@@ -32,7 +32,7 @@
     /// Zones, request classes and proxies of the settings.
     pub names: Rc<DeploymentNames>,
     /// Notified when the controller requests the watch.
-    pub requests: Rc<Notify>,
+    pub watch_requests: Rc<Notify>,
     /// Passes changes and failures on to the control loop.
     pub events: EventSender,
     /// Where to log.
@@ -43,7 +43,7 @@
     /// Watches the list and never returns.
     pub async fn run(self) {
         // A watch that is restarted after a panic gets no request from the controller, so it starts without one.
-        self.requests.notify_one();
+        self.watch_requests.notify_one();
         Watcher::new(self).run().await;
     }
 }
@@ -77,7 +77,7 @@
     async fn run(mut self) {
         loop {
             let answer = tokio::select! {
-                () = self.context.requests.notified(), if !self.polling => {
+                () = self.context.watch_requests.notified(), if !self.polling => {
                     self.polling = true;
                     continue;
                 }
@@ -112,13 +112,13 @@
         }
         self.failing = false;
         self.version = Some(list.version);
-        self.report_invalid(&list.invalid);
-        let missed_a_change = misses_a_change(&list);
+        self.record_invalid_entries(&list.invalid);
+        let missed_change = may_miss_change(&list);
         if list.whole || !list.updates.is_empty() {
-            self.context.events.send(event_of(list)).await;
+            self.context.events.send(into_event(list)).await;
         }
-        if missed_a_change {
-            self.read_whole_on_request().await;
+        if missed_change {
+            self.stop_polling_and_discard_version().await;
         }
     }
 
@@ -130,23 +130,23 @@
         // An unusable answer may have contained a change, which no later answer repeats. A server that has
         // lost its state may reject a poll since a version that it does not know.
         if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
-            self.wait_for_request().await;
+            self.stop_polling().await;
         } else {
-            self.read_whole_on_request().await;
+            self.stop_polling_and_discard_version().await;
         }
     }
 
-    async fn read_whole_on_request(&mut self) {
+    async fn stop_polling_and_discard_version(&mut self) {
         self.version = None;
-        self.wait_for_request().await;
+        self.stop_polling().await;
     }
 
-    async fn wait_for_request(&mut self) {
+    async fn stop_polling(&mut self) {
         self.polling = false;
         self.context.events.send(Event::EndpointWatchFailed).await;
     }
 
-    fn report_invalid(&mut self, entries: &[InvalidEntry]) {
+    fn record_invalid_entries(&mut self, entries: &[InvalidEntry]) {
         for entry in entries {
             self.context.events.metrics.invalid_inputs.increment();
             if let Some(times) = self.invalid_entry_log.record() {
@@ -158,7 +158,7 @@
 
 /// Whether information that no later answer repeats was lost with an invalid entry: a change, or the
 /// endpoint's name.
-fn misses_a_change(list: &EndpointList) -> bool {
+fn may_miss_change(list: &EndpointList) -> bool {
     has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
 }
 
@@ -168,7 +168,7 @@
 
 /// Converts an answer to an event. An endpoint with an invalid entry does not count as removed from the list.
 /// If an entry does not even name its endpoint, no endpoint counts as removed.
-fn event_of(list: EndpointList) -> Event {
+fn into_event(list: EndpointList) -> Event {
     if list.whole && !has_unidentified_entry(&list) {
         let invalid = list.invalid.into_iter().filter_map(|entry| entry.id).collect();
         Event::EndpointListReplaced { updates: list.updates, invalid }
@@ -185,10 +185,10 @@
     max_bytes: usize,
 ) -> Result<EndpointList, CallError> {
     let (path, timeout) = match version {
-        None => (PATH.to_owned(), ANSWER_TIMEOUT),
+        None => (LIST_PATH.to_owned(), ANSWER_TIMEOUT),
         Some(version) => {
             let wait_ms = POLL_WAIT.as_millis();
-            (format!("{PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
+            (format!("{LIST_PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
         }
     };
     let (status, body) = peer.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
@@ -198,7 +198,7 @@
     let value = serde_json::from_slice(&body).map_err(|error| CallError::UnusableAnswer(error.into()))?;
     let list =
         EndpointList::decode(&value, names).map_err(|error| CallError::UnusableAnswer(error.into()))?;
-    check_continues(&list, version)?;
+    check_version(&list, version)?;
     Ok(list)
 }
 
@@ -207,14 +207,14 @@
 /// If it is older, either the answer was delayed, or the server has lost its state and counts versions from
 /// the start again. Only the whole list shows which. If the whole list was requested, an answer with changes
 /// only is an error, as it would be mistaken for the whole list.
-fn check_continues(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
+fn check_version(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
         return Ok(());
     }
     match version {
         None => Err(CallError::UnusableAnswer("expected the whole list, got changes only".into())),
-        Some(known) if list.version < known => {
-            let reason = format!("expected changes since version {known}, got version {}", list.version);
+        Some(polled) if list.version < polled => {
+            let reason = format!("expected changes since version {polled}, got version {}", list.version);
             Err(CallError::UnusableAnswer(reason.into()))
         }
         Some(_) => Ok(()),
--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -54,23 +54,23 @@
         // The handlers are installed before the listener accepts connections: without one, SIGHUP would end
         // the process.
         let signals = ShutdownSignals::install()?;
-        let hangups = signal(SignalKind::hangup())?;
-        let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
-        let (relay_address, relay) = watch::channel(config.relay);
-        let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
+        let sighup = signal(SignalKind::hangup())?;
+        let (list_address_sender, list_address) = watch::channel(config.endpoint_list);
+        let (relay_address_sender, relay_address) = watch::channel(config.relay);
+        let (control_loop, handles) = ControlLoop::start(config.clone(), relay_address.clone(), log.clone());
         let ControlLoopHandles { events, status, watch_requests } = handles;
         let socket = TcpListener::bind(config.listen).await?;
         info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
         spawn_endpoint_watch(EndpointWatch {
-            address: endpoint_list,
+            address: list_address,
             max_answer_bytes: config.max_list_bytes,
             names: config.names.clone(),
-            requests: watch_requests,
+            watch_requests,
             events: events.clone(),
             log: log.clone(),
         });
         spawn_proxy_streams(ProxyStreams {
-            address: relay,
+            address: relay_address,
             names: config.names.clone(),
             events: events.clone(),
             log: log.clone(),
@@ -88,10 +88,10 @@
             control_loop: spawn_local(control_loop.run(shutdown.clone())),
         };
         let reload = ConfigReload {
-            hangups,
+            sighup,
             config,
-            endpoint_list: list_address,
-            relay: relay_address,
+            endpoint_list_address: list_address_sender,
+            relay_address: relay_address_sender,
             metrics: events.metrics,
             log: log.clone(),
         };
@@ -103,7 +103,7 @@
         let signal = tokio::select! {
             error = self.tasks.unexpected_end() => return Err(error.into()),
             () = self.reload.run() => return Err(ServeError::SignalsClosed),
-            signal = self.signals.received() => signal,
+            signal = self.signals.recv() => signal,
         };
         info!(self.log, "shutting down"; "signal" => signal);
         self.shutdown.cancel();
--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -47,7 +47,7 @@
     }
 
     /// Waits for a signal and returns its name.
-    pub async fn received(&mut self) -> &'static str {
+    pub async fn recv(&mut self) -> &'static str {
         tokio::select! {
             _ = self.terminate.recv() => "SIGTERM",
             _ = self.interrupt.recv() => "SIGINT",
