--- a/control-plane/src/cli.rs
+++ b/control-plane/src/cli.rs
@@ -5,7 +5,7 @@
 /// The sub-commands.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, descr("otterwinch: a central control plane for a layer of plain proxies"))]
-pub enum Command {
+pub enum Subcommand {
     /// Run the control plane with the config file that GW_CONFIG names, until SIGTERM or SIGINT
     #[bpaf(command)]
     Serve,
--- a/control-plane/src/deployment_names.rs
+++ b/control-plane/src/deployment_names.rs
@@ -28,12 +28,12 @@
 impl DeploymentNames {
     /// Returns the number of the zone with this name.
     pub fn zone(&self, name: &str) -> Result<u32, UnknownName> {
-        position(&self.zones, name).ok_or_else(|| UnknownName::Zone(name.to_owned()))
+        position_of(&self.zones, name).ok_or_else(|| UnknownName::Zone(name.to_owned()))
     }
 
     /// Returns the number of the request class with this name.
     pub fn request_class(&self, name: &str) -> Result<u32, UnknownName> {
-        position(&self.request_classes, name).ok_or_else(|| UnknownName::RequestClass(name.to_owned()))
+        position_of(&self.request_classes, name).ok_or_else(|| UnknownName::RequestClass(name.to_owned()))
     }
 
     /// Returns the number if there is a proxy with it.
@@ -46,6 +46,6 @@
     }
 }
 
-fn position(names: &[String], name: &str) -> Option<u32> {
-    names.iter().position(|known| known == name).map(|k| k as u32)
+fn position_of(names: &[String], name: &str) -> Option<u32> {
+    names.iter().position(|known| known == name).map(|index| index as u32)
 }
--- a/control-plane/src/log.rs
+++ b/control-plane/src/log.rs
@@ -12,7 +12,7 @@
 
 /// Returns a logger to standard error for the control plane with this name, and the guard to pass to
 /// [`flush`].
-pub fn to_stderr(name: &str) -> (Logger, AsyncGuard) {
+pub fn stderr_logger(name: &str) -> (Logger, AsyncGuard) {
     let lines = slog_json::Json::default(std::io::stderr()).ignore_res();
     let (drain, guard) = Async::new(lines)
         .chan_size(QUEUE_CAPACITY)
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -50,26 +50,26 @@
 const EXIT_INVALID_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
-    match cli::command().run() {
-        cli::Command::Version => {
+    match cli::subcommand().run() {
+        cli::Subcommand::Version => {
             println!("otterwinch {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        cli::Command::Check { file } => match Config::from_file(file.as_deref(), environment) {
+        cli::Subcommand::Check { file } => match Config::from_file(file.as_deref(), env_var) {
             Ok(config) => {
                 println!("config of {} is valid", config.name);
                 ExitCode::SUCCESS
             }
             Err(faults) => print_faults(&faults),
         },
-        cli::Command::Serve => match Config::from_file(None, environment) {
+        cli::Subcommand::Serve => match Config::from_file(None, env_var) {
             Ok(config) => run_server(config),
             Err(faults) => print_faults(&faults),
         },
     }
 }
 
-fn environment(variable: &str) -> Option<String> {
+fn env_var(variable: &str) -> Option<String> {
     std::env::var(variable).ok()
 }
 
@@ -81,7 +81,7 @@
 }
 
 fn run_server(config: Config) -> ExitCode {
-    let (log, flush_guard) = log::to_stderr(&config.name);
+    let (log, flush_guard) = log::stderr_logger(&config.name);
     let result = block_on_server(config, log.clone());
     if let Err(failure) = &result {
         error!(log, "exiting with an error"; "why" => #failure);
