--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -1,9 +1,9 @@
-//! The HTTP client of one peer: hyper-util's client with a time limit on each connect, answer and body. It never repeats
-//! a request: whether that is safe is for the caller to know.
+//! An HTTP client for a single peer: hyper-util's client with timeouts for connecting, for the response head
+//! and for the body. It never retries a request, because only the caller knows whether that is safe.
 
 use crate::call_error::CallError;
 use crate::connector::Connector;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -22,13 +22,14 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-/// Shorter than the limit of any call, so that a request that could not be sent is known not to have been. The attempt
-/// goes on for the next call.
+/// Shorter than the timeout of any call, so that a call that could not connect is known not to have been
+/// sent. The connection attempt continues for the next call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Peers close idle connections; one that was idle for less is hardly closed yet.
+/// Peers close idle connections. A connection that has been idle for less than this is unlikely to be closed
+/// yet.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Connects hyper's client to the peer.
+/// Opens connections to the peer for hyper's client.
 #[derive(Clone)]
 struct PeerConnector {
     address: SocketAddr,
@@ -53,31 +54,32 @@
     async fn connect(self) -> io::Result<TokioIo<TcpStream>> {
         let mut connector = self.connector.lock().await;
         let connected = connector.connect(TcpStream::connect(self.address), is_usable);
-        let stream = within(CONNECT_TIMEOUT, connected).await.ok_or_else(connect_timed_out)??;
+        let stream = timeout_with_grace(CONNECT_TIMEOUT, connected).await.ok_or_else(connect_timed_out)??;
         stream.set_nodelay(true)?;
         Ok(TokioIo::new(stream))
     }
 }
 
 fn connect_timed_out() -> io::Error {
-    let text = format!("not connected after {} ms", CONNECT_TIMEOUT.as_millis());
+    let text = format!("no connection established within {} ms", CONNECT_TIMEOUT.as_millis());
     io::Error::new(io::ErrorKind::TimedOut, text)
 }
 
-/// Whether a connection that came up a while ago is still open, and silent as one without a request must be.
+/// Whether a connection that may have been established a while ago is still open and has nothing to read: a
+/// peer must not send anything before the first request.
 fn is_usable(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// One peer, reached over HTTP.
-pub struct Peer {
+/// An HTTP client for one peer.
+pub struct PeerClient {
     client: Client<PeerConnector, Full<Bytes>>,
-    /// Where it is reached.
+    /// The peer's address.
     pub address: SocketAddr,
 }
 
-impl Peer {
-    /// A client of the peer at `address`. It connects with its first request.
+impl PeerClient {
+    /// Creates a client for the peer at `address`. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> Self {
         let connector = PeerConnector { address, connector: Arc::new(Mutex::new(Connector::new())) };
         let client = Client::builder(TokioExecutor::new())
@@ -86,10 +88,10 @@
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
-        Peer { client, address }
+        PeerClient { client, address }
     }
 
-    /// Sends a request and waits up to `limit` for the head of its answer.
+    /// Sends a request and waits up to `limit` for the response head.
     pub async fn send(
         &self,
         method: Method,
@@ -103,17 +105,18 @@
             .header("content-type", "application/json")
             .body(Full::new(body))
             .map_err(|error| CallError::NotConnected(error.into()))?;
-        match within(limit, self.client.request(request)).await {
-            Some(Ok(answer)) => Ok(answer),
+        match timeout_with_grace(limit, self.client.request(request)).await {
+            Some(Ok(response)) => Ok(response),
             Some(Err(error)) if error.is_connect() || was_never_sent(&error) => {
                 Err(CallError::NotConnected(error.into()))
             }
-            Some(Err(error)) => Err(CallError::NoAnswer(error.into())),
-            None => Err(CallError::NoAnswer(format!("silent for {} ms", limit.as_millis()).into())),
+            Some(Err(error)) => Err(CallError::NoResponse(error.into())),
+            None => Err(CallError::NoResponse(format!("no response within {} ms", limit.as_millis()).into())),
         }
     }
 
-    /// Sends a request and reads its whole answer, of up to `max_bytes` bytes and within `limit`.
+    /// Sends a request and reads the complete response. The response body may have at most `max_bytes` bytes,
+    /// and the whole call may take up to `limit`.
     pub async fn call(
         &self,
         method: Method,
@@ -122,22 +125,23 @@
         limit: Duration,
         max_bytes: usize,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let begun = Instant::now();
-        let answer = self.send(method, path, body, limit).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), max_bytes).collect();
-        match within(limit.saturating_sub(begun.elapsed()), body).await {
+        let started = Instant::now();
+        let response = self.send(method, path, body, limit).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), max_bytes).collect();
+        match timeout_with_grace(limit.saturating_sub(started.elapsed()), body).await {
             Some(Ok(body)) => Ok((status, body.to_bytes())),
-            Some(Err(error)) => Err(CallError::UnusableAnswer(error)),
+            Some(Err(error)) => Err(CallError::InvalidData(error)),
             None => {
-                let text = format!("incomplete after {} ms", limit.as_millis());
-                Err(CallError::UnusableAnswer(text.into()))
+                let text = format!("response body incomplete after {} ms", limit.as_millis());
+                Err(CallError::InvalidData(text.into()))
             }
         }
     }
 }
 
-/// Whether the peer had closed a pooled connection: hyper returns the request then before a byte of it is sent.
+/// Whether the peer had closed the pooled connection. hyper then cancels the request before any of it is
+/// sent.
 fn was_never_sent(error: &legacy::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<hyper::Error>());
     cause.is_some_and(hyper::Error::is_canceled)
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -3,7 +3,7 @@
 //! its last state.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::deployment_names::DeploymentNames;
 use crate::endpoint_list::{EndpointList, InvalidEntry};
 use crate::event::{Event, EventSender};
@@ -51,7 +51,7 @@
 /// A watch in progress.
 struct Watcher {
     context: EndpointWatch,
-    peer: Peer,
+    peer: PeerClient,
     /// The version since which changes are polled. If there is none, the whole list is read.
     version: Option<u64>,
     /// Whether to poll. If not, the controller has to request the watch first.
@@ -63,7 +63,7 @@
 
 impl Watcher {
     fn new(mut context: EndpointWatch) -> Self {
-        let peer = Peer::new(*context.address.borrow_and_update());
+        let peer = PeerClient::new(*context.address.borrow_and_update());
         Watcher {
             context,
             peer,
@@ -100,7 +100,7 @@
     }
 
     fn move_to_new_address(&mut self) {
-        self.peer = Peer::new(*self.context.address.borrow_and_update());
+        self.peer = PeerClient::new(*self.context.address.borrow_and_update());
         self.version = None;
         self.polling = true;
     }
@@ -129,7 +129,7 @@
         self.failing = true;
         // An unusable answer may have contained a change, which no later answer repeats. A server that has
         // lost its state may reject a poll since a version that it does not know.
-        if matches!(error, CallError::NotConnected(_) | CallError::NoAnswer(_)) {
+        if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
             self.stop_polling().await;
         } else {
             self.stop_polling_and_discard_version().await;
@@ -179,7 +179,7 @@
 
 /// Reads the whole list, or waits for the changes since a version.
 async fn poll(
-    peer: &Peer,
+    peer: &PeerClient,
     version: Option<u64>,
     names: &DeploymentNames,
     max_bytes: usize,
@@ -195,9 +195,8 @@
     if status != StatusCode::OK {
         return Err(CallError::Rejected(format!("expected status 200, got {status}").into()));
     }
-    let value = serde_json::from_slice(&body).map_err(|error| CallError::UnusableAnswer(error.into()))?;
-    let list =
-        EndpointList::decode(&value, names).map_err(|error| CallError::UnusableAnswer(error.into()))?;
+    let value = serde_json::from_slice(&body).map_err(|error| CallError::InvalidData(error.into()))?;
+    let list = EndpointList::decode(&value, names).map_err(|error| CallError::InvalidData(error.into()))?;
     check_version(&list, version)?;
     Ok(list)
 }
@@ -212,10 +211,10 @@
         return Ok(());
     }
     match version {
-        None => Err(CallError::UnusableAnswer("expected the whole list, got changes only".into())),
+        None => Err(CallError::InvalidData("expected the whole list, got changes only".into())),
         Some(polled) if list.version < polled => {
             let reason = format!("expected changes since version {polled}, got version {}", list.version);
-            Err(CallError::UnusableAnswer(reason.into()))
+            Err(CallError::InvalidData(reason.into()))
         }
         Some(_) => Ok(()),
     }
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -6,7 +6,7 @@
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use futures_util::{SinkExt, StreamExt};
 use hyper::body::Bytes;
 use slog::{warn, Logger};
@@ -120,14 +120,14 @@
                 return Ok(None);
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
-            match within(timeout, self.frames.next()).await {
+            match timeout_with_grace(timeout, self.frames.next()).await {
                 Some(frame) => return frame.transpose().map_err(unusable_answer),
                 // Readiness may be spurious: a socket can be reported as readable when there is nothing to
                 // read.
                 None if self.frames.read_buffer().is_empty() => {}
                 None => {
                     let reason = format!("frame incomplete after {} ms", timeout.as_millis());
-                    return Err(CallError::NoAnswer(reason.into()));
+                    return Err(CallError::NoResponse(reason.into()));
                 }
             }
         }
@@ -143,10 +143,10 @@
         let stream = self.frames.get_ref();
         let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
         let readable = tokio::select! {
-            readable = within(remaining, stream.readable()) => {
+            readable = timeout_with_grace(remaining, stream.readable()) => {
                 readable.ok_or_else(silence_timed_out)?
             }
-            () = closing.cancelled() => match within(CLOSING_GRACE, stream.readable()).await {
+            () = closing.cancelled() => match timeout_with_grace(CLOSING_GRACE, stream.readable()).await {
                 Some(readable) => readable,
                 None => return Ok(false),
             },
@@ -157,7 +157,7 @@
 }
 
 fn silence_timed_out() -> CallError {
-    CallError::NoAnswer(format!("no complete frame for {} s", SILENCE_TIMEOUT.as_secs()).into())
+    CallError::NoResponse(format!("no complete frame for {} s", SILENCE_TIMEOUT.as_secs()).into())
 }
 
 fn decode_handshake(
@@ -170,11 +170,11 @@
 
 async fn answer_probe(frames: &mut FrameStream) -> Result<(), CallError> {
     let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
-    match within(ANSWER_TIMEOUT, answer).await {
-        Some(sent) => sent.map_err(|error| CallError::NoAnswer(error.into())),
+    match timeout_with_grace(ANSWER_TIMEOUT, answer).await {
+        Some(sent) => sent.map_err(|error| CallError::NoResponse(error.into())),
         None => {
             let reason = format!("peer did not read the answer within {} ms", ANSWER_TIMEOUT.as_millis());
-            Err(CallError::NoAnswer(reason.into()))
+            Err(CallError::NoResponse(reason.into()))
         }
     }
 }
@@ -186,5 +186,5 @@
 }
 
 fn unusable_answer(error: impl Into<Cause>) -> CallError {
-    CallError::UnusableAnswer(error.into())
+    CallError::InvalidData(error.into())
 }
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,11 +1,12 @@
-//! Follows the relay's event stream: which proxies are joined, and what they have acknowledged.
+//! Follows the relay's event stream, which reports the joined proxies and their acknowledgements.
 //!
-//! A stream that is silent is kept while another is opened beside it: one that speaks again has missed nothing, and no
-//! proxy need be reassigned. One that ended may have missed any joining or leaving: the next names all joined proxies,
-//! and those that it does not name have left. A relay that has moved is followed as soon as it speaks at its new address.
+//! A silent stream is kept while another is opened in parallel. If the silent stream resumes, it has missed
+//! nothing and no proxy needs to be reassigned. After a stream has ended, any join or leave may have been
+//! missed: the next stream lists all joined proxies, and those that it does not list have left. When the
+//! relay's address changes, the old stream is used until a line has arrived from the new address.
 
 use crate::call_error::CallError;
-use crate::client::Peer;
+use crate::client::PeerClient;
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
@@ -20,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Pauses before an attempt to open a stream, by the number of attempts that failed before it.
+/// Delays before an attempt to open a stream, by the number of failed attempts before it.
 const BACKOFF: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(60),
@@ -28,58 +29,58 @@
     Duration::from_millis(240),
 ];
 
-/// What following the stream needs.
+/// The task that follows the event stream. It is cloned for each restart after a panic.
 #[derive(Clone)]
 pub struct ProxyStreams {
-    /// Where the relay is.
+    /// The relay's address.
     pub address: watch::Receiver<SocketAddr>,
-    /// The names of the settings.
+    /// The zones, request classes and proxies in the settings.
     pub names: Rc<DeploymentNames>,
-    /// Where the events go.
+    /// Sends events to the control loop.
     pub events: EventSender,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
 impl ProxyStreams {
-    /// Follows the stream for ever.
+    /// Follows the stream forever.
     pub async fn run(self) {
         Follower::new(self).run().await;
     }
 }
 
-type Opening = Pin<Box<dyn Future<Output = Result<ProxyStream, CallError>>>>;
+type OpenAttempt = Pin<Box<dyn Future<Output = Result<ProxyStream, CallError>>>>;
 
-/// Follows one stream, and opens another where that has to be.
+/// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
     context: ProxyStreams,
-    /// Kept for all attempts at one address: a slow connection comes up for a later attempt.
-    peer: Rc<Peer>,
+    /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
+    client: Rc<PeerClient>,
     stream: Option<ProxyStream>,
-    opening: Option<Opening>,
+    open_attempt: Option<OpenAttempt>,
     failed_attempts: usize,
     skipped_event_log: LogRateLimit,
 }
 
-/// What a follower waits for.
-enum Progress {
-    /// A line of the stream, or none where it is silent.
-    Line(Result<Option<String>, CallError>),
+/// The events that a follower waits for.
+enum FollowerEvent {
+    /// A line arrived, or the stream is silent (`None`) or lost.
+    LineReceived(Result<Option<String>, CallError>),
     /// An attempt to open a stream ended.
-    Opened(Result<ProxyStream, CallError>),
+    AttemptEnded(Result<ProxyStream, CallError>),
     /// The relay has a new address.
-    Moved,
+    RelayMoved,
 }
 
 impl Follower {
     fn new(mut context: ProxyStreams) -> Self {
-        let peer = Rc::new(Peer::new(*context.address.borrow_and_update()));
-        let opening = open_after(Duration::ZERO, &peer);
+        let client = Rc::new(PeerClient::new(*context.address.borrow_and_update()));
+        let open_attempt = open_after(Duration::ZERO, &client);
         Follower {
             context,
-            peer,
+            client,
             stream: None,
-            opening: Some(opening),
+            open_attempt: Some(open_attempt),
             failed_attempts: 0,
             skipped_event_log: LogRateLimit::default(),
         }
@@ -87,33 +88,33 @@
 
     async fn run(mut self) {
         loop {
-            match self.next().await {
-                Progress::Line(Ok(Some(line))) => {
+            match self.next_event().await {
+                FollowerEvent::LineReceived(Ok(Some(line))) => {
                     if let Err(error) = self.line_received(&line).await {
                         self.stream_lost(&error);
                     }
                 }
-                Progress::Line(Ok(None)) => self.stream_silent(),
-                Progress::Line(Err(error)) => self.stream_lost(&error),
-                Progress::Opened(Ok(stream)) => self.stream_opened(stream),
-                Progress::Opened(Err(error)) => self.attempt_failed(&error),
-                Progress::Moved => self.relay_moved(),
+                FollowerEvent::LineReceived(Ok(None)) => self.stream_silent(),
+                FollowerEvent::LineReceived(Err(error)) => self.stream_lost(&error),
+                FollowerEvent::AttemptEnded(Ok(stream)) => self.stream_opened(stream),
+                FollowerEvent::AttemptEnded(Err(error)) => self.attempt_failed(&error),
+                FollowerEvent::RelayMoved => self.relay_moved(),
             }
         }
     }
 
-    async fn next(&mut self) -> Progress {
+    async fn next_event(&mut self) -> FollowerEvent {
         tokio::select! {
             biased;
-            line = next_line(&mut self.stream) => Progress::Line(line),
-            opened = next_opened(&mut self.opening) => Progress::Opened(opened),
-            Ok(()) = self.context.address.changed() => Progress::Moved,
+            line = next_line(&mut self.stream) => FollowerEvent::LineReceived(line),
+            result = await_open_attempt(&mut self.open_attempt) => FollowerEvent::AttemptEnded(result),
+            Ok(()) = self.context.address.changed() => FollowerEvent::RelayMoved,
         }
     }
 
     async fn line_received(&mut self, line: &str) -> Result<(), CallError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
-        if stream.address == self.peer.address && self.opening.take().is_some() {
+        if stream.address == self.client.address && self.open_attempt.take().is_some() {
             info!(self.context.log, "proxy stream recovered");
         }
         match ProxyEvent::decode(line, &self.context.names) {
@@ -125,30 +126,30 @@
             }
             Err(InvalidLine::InvalidEvent { proxy, reason }) => {
                 stream.track_invalid(proxy);
-                self.event_skipped(&reason);
+                self.log_skipped_event(&reason);
                 Ok(())
             }
-            Err(error @ InvalidLine::NotJson(_)) => Err(CallError::UnusableAnswer(error.into())),
+            Err(error @ InvalidLine::NotJson(_)) => Err(CallError::InvalidData(error.into())),
         }
     }
 
-    fn event_skipped(&mut self, reason: &InvalidEvent) {
+    fn log_skipped_event(&mut self, reason: &InvalidEvent) {
         if let Some(times) = self.skipped_event_log.record() {
             warn!(self.context.log, "proxy stream event skipped"; "why" => %reason, "times" => times);
         }
     }
 
     fn stream_silent(&mut self) {
-        if self.opening.is_none() {
+        if self.open_attempt.is_none() {
             warn!(self.context.log, "proxy stream silent"; "seconds" => SILENCE_TIMEOUT.as_secs_f32());
-            self.opening = Some(open_after(Duration::ZERO, &self.peer));
+            self.open_attempt = Some(open_after(Duration::ZERO, &self.client));
         }
     }
 
     fn stream_opened(&mut self, stream: ProxyStream) {
         info!(self.context.log, "proxy stream connected");
         self.stream = Some(stream);
-        self.opening = None;
+        self.open_attempt = None;
         self.failed_attempts = 0;
     }
 
@@ -157,27 +158,27 @@
             warn!(self.context.log, "proxy stream connect failed"; "why" => #error);
         }
         self.failed_attempts += 1;
-        let pause = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
-        self.opening = Some(open_after(pause, &self.peer));
+        let delay = BACKOFF[self.failed_attempts.min(BACKOFF.len() - 1)];
+        self.open_attempt = Some(open_after(delay, &self.client));
     }
 
     fn relay_moved(&mut self) {
-        self.peer = Rc::new(Peer::new(*self.context.address.borrow_and_update()));
-        self.opening = Some(open_after(Duration::ZERO, &self.peer));
+        self.client = Rc::new(PeerClient::new(*self.context.address.borrow_and_update()));
+        self.open_attempt = Some(open_after(Duration::ZERO, &self.client));
         self.failed_attempts = 0;
     }
 
-    /// Drops the stream and opens another, whatever attempt is under way: a connection that was reset shows that the
-    /// relay is back, and the attempt may hang.
+    /// Drops the stream and opens another, even if an attempt is already in progress: a reset connection
+    /// shows that the relay is reachable again, while the earlier attempt may hang.
     fn stream_lost(&mut self, error: &CallError) {
         warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
-        self.opening = Some(open_after(BACKOFF[0], &self.peer));
+        self.open_attempt = Some(open_after(BACKOFF[0], &self.client));
         self.failed_attempts = 0;
     }
 }
 
-/// The next line of the stream; pending where there is no stream.
+/// Waits for the next line of the stream; stays pending if there is no stream.
 async fn next_line(stream: &mut Option<ProxyStream>) -> Result<Option<String>, CallError> {
     match stream {
         Some(stream) => stream.next_line().await,
@@ -185,18 +186,18 @@
     }
 }
 
-/// The end of the attempt to open a stream; pending where there is no attempt.
-async fn next_opened(opening: &mut Option<Opening>) -> Result<ProxyStream, CallError> {
-    match opening {
-        Some(opening) => opening.await,
+/// Waits for the attempt to open a stream to end; stays pending if there is no attempt.
+async fn await_open_attempt(open_attempt: &mut Option<OpenAttempt>) -> Result<ProxyStream, CallError> {
+    match open_attempt {
+        Some(open_attempt) => open_attempt.await,
         None => pending().await,
     }
 }
 
-fn open_after(pause: Duration, peer: &Rc<Peer>) -> Opening {
-    let peer = peer.clone();
+fn open_after(delay: Duration, client: &Rc<PeerClient>) -> OpenAttempt {
+    let client = client.clone();
     Box::pin(async move {
-        sleep(pause).await;
-        ProxyStream::open(&peer).await
+        sleep(delay).await;
+        ProxyStream::open(&client).await
     })
 }
--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -1,6 +1,6 @@
 //! Shutdown: the signals that request it, and the tasks that have to finish before the process ends.
 
-use crate::timeout::within;
+use crate::timeout::timeout_with_grace;
 use slog::{warn, Logger};
 use std::io;
 use std::time::Duration;
@@ -82,7 +82,7 @@
     /// A task panicked.
     pub async fn finish(self, log: &Logger) -> Result<(), TaskError> {
         let all = async { tokio::join!(self.control_loop, self.listener) };
-        let Some((control_loop, listener)) = within(SHUTDOWN_TIMEOUT, all).await else {
+        let Some((control_loop, listener)) = timeout_with_grace(SHUTDOWN_TIMEOUT, all).await else {
             let timeout = SHUTDOWN_TIMEOUT.as_millis() as u64;
             warn!(log, "shutdown timed out with work pending"; "after_ms" => timeout);
             return Ok(());
