--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -16,7 +16,7 @@
 const DEFAULT_SOCKET_LIMIT: u64 = 2 * MAX_CONNECTIONS;
 const DEFAULT_MEMORY_LIMIT_MB: u64 = 1024;
 const MAX_LIST_BYTES: u64 = 4 << 20;
-/// An answer of the endpoint list may take this fraction of the memory limit, because it takes ten times its
+/// A response of the endpoint list may take this fraction of the memory limit, because it takes ten times its
 /// size once decoded.
 const LIST_MEMORY_DIVISOR: u64 = 32;
 /// The commands of the controller refer to request classes by the bits of an integer.
@@ -48,7 +48,7 @@
     /// How many connections the listener may hold: half of all sockets, which leaves the others for outgoing
     /// connections.
     pub max_connections: usize,
-    /// Size limit of an answer of the endpoint list, in bytes.
+    /// Size limit of a response of the endpoint list, in bytes.
     pub max_list_bytes: usize,
 }
 
--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -13,11 +13,11 @@
 const DEFAULT_WEIGHT: f64 = 1.0;
 const US_PER_MS: i64 = 1000;
 
-/// An answer of the endpoint list.
+/// A response of the endpoint list.
 pub struct EndpointList {
     /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Whether the answer contains all endpoints, rather than only those that changed.
+    /// Whether the response contains all endpoints, rather than only those that changed.
     pub whole: bool,
     /// The changes from the valid entries.
     pub updates: Vec<EndpointUpdate>,
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("entry {position}: {reason}")]
 pub struct InvalidEntry {
-    /// Position of the entry in the answer.
+    /// Position of the entry in the response.
     pub position: usize,
     /// The endpoint of the entry, if the entry has a readable name of it.
     pub id: Option<EndpointId>,
@@ -49,12 +49,12 @@
 }
 
 impl EndpointList {
-    /// Decodes an answer. Invalid entries are skipped and do not affect the others.
+    /// Decodes a response. Invalid entries are skipped and do not affect the others.
     ///
     /// # Errors
-    /// The answer as a whole is malformed.
-    pub fn decode(answer: &Value, names: &DeploymentNames) -> Result<Self, JsonFieldError> {
-        let fields = JsonFields::of_object(answer, "list")?;
+    /// The response as a whole is malformed.
+    pub fn decode(response: &Value, names: &DeploymentNames) -> Result<Self, JsonFieldError> {
+        let fields = JsonFields::of_object(response, "list")?;
         let version = fields.u64("seq")?;
         let whole = fields.flag("whole");
         let mut updates = Vec::new();
--- a/control-plane/src/endpoint_list/tests.rs
+++ b/control-plane/src/endpoint_list/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use serde_json::json;
 
-fn decode(answer: Value) -> Result<EndpointList, JsonFieldError> {
+fn decode(response: Value) -> Result<EndpointList, JsonFieldError> {
     let names = DeploymentNames {
         zones: vec!["north".into(), "south".into()],
         request_classes: vec![],
         proxy_count: 0,
     };
-    EndpointList::decode(&answer, &names)
+    EndpointList::decode(&response, &names)
 }
 
 fn decode_entries(entries: Value) -> EndpointList {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_answer_without_version_or_entries_is_an_error() {
+fn a_response_without_version_or_entries_is_an_error() {
     assert!(decode(json!({"hosts": []})).is_err());
     assert!(decode(json!({"seq": 4})).is_err());
     assert!(decode(json!([])).is_err());
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -20,15 +20,15 @@
 /// How long the server may hold a poll that finds no change. A list that stops answering is noticed only
 /// after this time.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// The parameters and channels of a watch.
 #[derive(Clone)]
 pub struct EndpointWatch {
     /// Address of the list. When it changes, the whole list is read from the new address at once.
     pub address: watch::Receiver<SocketAddr>,
-    /// Size limit of an answer, in bytes.
-    pub max_answer_bytes: usize,
+    /// Size limit of a response, in bytes.
+    pub max_response_bytes: usize,
     /// Zones, request classes and proxies of the settings.
     pub names: Rc<DeploymentNames>,
     /// Notified when the controller requests the watch.
@@ -42,7 +42,8 @@
 impl EndpointWatch {
     /// Watches the list and never returns.
     pub async fn run(self) {
-        // A watch that is restarted after a panic gets no request from the controller, so it starts without one.
+        // A watch that is restarted after a panic gets no request from the controller, so it starts without
+        // one.
         self.watch_requests.notify_one();
         Watcher::new(self).run().await;
     }
@@ -51,7 +52,7 @@
 /// A watch in progress.
 struct Watcher {
     context: EndpointWatch,
-    peer: PeerClient,
+    client: PeerClient,
     /// The version since which changes are polled. If there is none, the whole list is read.
     version: Option<u64>,
     /// Whether to poll. If not, the controller has to request the watch first.
@@ -63,10 +64,10 @@
 
 impl Watcher {
     fn new(mut context: EndpointWatch) -> Self {
-        let peer = PeerClient::new(*context.address.borrow_and_update());
+        let client = PeerClient::new(*context.address.borrow_and_update());
         Watcher {
             context,
-            peer,
+            client,
             version: None,
             polling: false,
             failing: false,
@@ -76,23 +77,23 @@
 
     async fn run(mut self) {
         loop {
-            let answer = tokio::select! {
+            let response = tokio::select! {
                 () = self.context.watch_requests.notified(), if !self.polling => {
                     self.polling = true;
                     continue;
                 }
-                answer = poll(
-                    &self.peer,
+                response = poll(
+                    &self.client,
                     self.version,
                     &self.context.names,
-                    self.context.max_answer_bytes,
-                ), if self.polling => answer,
+                    self.context.max_response_bytes,
+                ), if self.polling => response,
                 Ok(()) = self.context.address.changed() => {
                     self.move_to_new_address();
                     continue;
                 }
             };
-            match answer {
+            match response {
                 Ok(list) => self.list_received(list).await,
                 Err(error) => self.call_failed(&error).await,
             }
@@ -100,7 +101,7 @@
     }
 
     fn move_to_new_address(&mut self) {
-        self.peer = PeerClient::new(*self.context.address.borrow_and_update());
+        self.client = PeerClient::new(*self.context.address.borrow_and_update());
         self.version = None;
         self.polling = true;
     }
@@ -127,7 +128,7 @@
             warn!(self.context.log, "endpoint watch failed"; "why" => #error, "version" => self.version);
         }
         self.failing = true;
-        // An unusable answer may have contained a change, which no later answer repeats. A server that has
+        // An invalid response may have contained a change, which no later response repeats. A server that has
         // lost its state may reject a poll since a version that it does not know.
         if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
             self.stop_polling().await;
@@ -156,7 +157,7 @@
     }
 }
 
-/// Whether information that no later answer repeats was lost with an invalid entry: a change, or the
+/// Whether information that no later response repeats was lost with an invalid entry: a change, or the
 /// endpoint's name.
 fn may_miss_change(list: &EndpointList) -> bool {
     has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
@@ -166,8 +167,8 @@
     list.invalid.iter().any(|entry| entry.id.is_none())
 }
 
-/// Converts an answer to an event. An endpoint with an invalid entry does not count as removed from the list.
-/// If an entry does not even name its endpoint, no endpoint counts as removed.
+/// Converts a response to an event. An endpoint with an invalid entry does not count as removed from the
+/// list. If an entry does not even name its endpoint, no endpoint counts as removed.
 fn into_event(list: EndpointList) -> Event {
     if list.whole && !has_unidentified_entry(&list) {
         let invalid = list.invalid.into_iter().filter_map(|entry| entry.id).collect();
@@ -179,19 +180,19 @@
 
 /// Reads the whole list, or waits for the changes since a version.
 async fn poll(
-    peer: &PeerClient,
+    client: &PeerClient,
     version: Option<u64>,
     names: &DeploymentNames,
     max_bytes: usize,
 ) -> Result<EndpointList, CallError> {
     let (path, timeout) = match version {
-        None => (LIST_PATH.to_owned(), ANSWER_TIMEOUT),
+        None => (LIST_PATH.to_owned(), RESPONSE_TIMEOUT),
         Some(version) => {
             let wait_ms = POLL_WAIT.as_millis();
-            (format!("{LIST_PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
+            (format!("{LIST_PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + RESPONSE_TIMEOUT)
         }
     };
-    let (status, body) = peer.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
+    let (status, body) = client.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
     if status != StatusCode::OK {
         return Err(CallError::Rejected(format!("expected status 200, got {status}").into()));
     }
@@ -201,10 +202,10 @@
     Ok(list)
 }
 
-/// Checks that an answer follows the requested version.
+/// Checks that a response follows the requested version.
 ///
-/// If it is older, either the answer was delayed, or the server has lost its state and counts versions from
-/// the start again. Only the whole list shows which. If the whole list was requested, an answer with changes
+/// If it is older, either the response was delayed, or the server has lost its state and counts versions from
+/// the start again. Only the whole list shows which. If the whole list was requested, a response with changes
 /// only is an error, as it would be mistaken for the whole list.
 fn check_version(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -22,8 +22,8 @@
 const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 1 << 10;
 /// Ample, as a report takes a few hundred bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
-/// Time for a peer to read an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time for a peer to read a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time from the first byte of a frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
 /// Collectors report about once a second. Without a timeout, the connection of one that vanished would stay
@@ -32,7 +32,7 @@
 /// Time for reading what has arrived before a connection is closed.
 pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
-const PROBE_ANSWER: &[u8] = br#"{"msg":"alive"}"#;
+const PROBE_RESPONSE: &[u8] = br#"{"msg":"alive"}"#;
 /// A complete frame, including the length.
 const ERROR_FRAME: &[u8] = b"\0\0\0\x0f{\"msg\":\"error\"}";
 
@@ -49,7 +49,7 @@
     /// peer disconnects.
     ///
     /// # Errors
-    /// The peer sends anything else, to which it gets an error frame, or it does not read an answer.
+    /// The peer sends anything else, to which it gets an error frame, or it does not read a response.
     pub async fn identify(stream: TcpStream, names: &DeploymentNames) -> Result<Option<Self>, CallError> {
         let codec =
             LengthDelimitedCodec::builder().max_frame_length(MAX_UNIDENTIFIED_FRAME_BYTES).new_codec();
@@ -101,7 +101,7 @@
                     events.metrics.invalid_inputs.increment();
                     log_dropped_report(&mut dropped_report_log, &error, log);
                 }
-                Err(error @ InvalidMessage::NotJson(_)) => return Err(unusable_answer(error)),
+                Err(error @ InvalidMessage::NotJson(_)) => return Err(invalid_data(error)),
             }
         }
         Ok(())
@@ -121,7 +121,7 @@
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
             match timeout_with_grace(timeout, self.frames.next()).await {
-                Some(frame) => return frame.transpose().map_err(unusable_answer),
+                Some(frame) => return frame.transpose().map_err(invalid_data),
                 // Readiness may be spurious: a socket can be reported as readable when there is nothing to
                 // read.
                 None if self.frames.read_buffer().is_empty() => {}
@@ -151,7 +151,7 @@
                 None => return Ok(false),
             },
         };
-        readable.map_err(unusable_answer)?;
+        readable.map_err(invalid_data)?;
         Ok(true)
     }
 }
@@ -164,16 +164,16 @@
     frame: std::io::Result<impl Deref<Target = [u8]>>,
     names: &DeploymentNames,
 ) -> Result<HandshakeMessage, CallError> {
-    let frame = frame.map_err(unusable_answer)?;
-    HandshakeMessage::decode(&frame, names).map_err(unusable_answer)
+    let frame = frame.map_err(invalid_data)?;
+    HandshakeMessage::decode(&frame, names).map_err(invalid_data)
 }
 
 async fn answer_probe(frames: &mut FrameStream) -> Result<(), CallError> {
-    let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
-    match timeout_with_grace(ANSWER_TIMEOUT, answer).await {
+    let response = frames.send(Bytes::from_static(PROBE_RESPONSE));
+    match timeout_with_grace(RESPONSE_TIMEOUT, response).await {
         Some(sent) => sent.map_err(|error| CallError::NoResponse(error.into())),
         None => {
-            let reason = format!("peer did not read the answer within {} ms", ANSWER_TIMEOUT.as_millis());
+            let reason = format!("peer did not read the response within {} ms", RESPONSE_TIMEOUT.as_millis());
             Err(CallError::NoResponse(reason.into()))
         }
     }
@@ -185,6 +185,6 @@
     }
 }
 
-fn unusable_answer(error: impl Into<Cause>) -> CallError {
+fn invalid_data(error: impl Into<Cause>) -> CallError {
     CallError::InvalidData(error.into())
 }
--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -63,7 +63,7 @@
         info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
         spawn_endpoint_watch(EndpointWatch {
             address: list_address,
-            max_answer_bytes: config.max_list_bytes,
+            max_response_bytes: config.max_list_bytes,
             names: config.names.clone(),
             watch_requests,
             events: events.clone(),
