--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -69,13 +69,13 @@
 
     /// Records that a proxy joined.
     pub fn proxy_joined(&mut self, number: u32, proxy: JoinedProxy) {
-        self.validator.set_joined(number, true);
+        self.validator.set_proxy_joined(number, true);
         self.fleet.proxy_joined(number, proxy);
     }
 
     /// Records that a proxy left.
     pub fn proxy_left(&mut self, number: u32) {
-        self.validator.set_joined(number, false);
+        self.validator.set_proxy_joined(number, false);
         self.fleet.proxy_left(number);
     }
 
