--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -1,8 +1,8 @@
-//! Receives load reports: a collector connects to our address, identifies itself with its zone, and sends frames of a
-//! four-byte length and one JSON object.
+//! Receives load reports. A collector connects to the listener, identifies itself with its zone, and sends
+//! frames that consist of a four-byte length and one JSON object.
 
 use crate::call_error::{CallError, Cause};
-use crate::collector_message::{CollectorMessage, Handshake, InvalidContent, InvalidMessage};
+use crate::collector_message::{CollectorMessage, HandshakeMessage, InvalidContent, InvalidMessage};
 use crate::deployment_names::DeploymentNames;
 use crate::event::EventSender;
 use crate::log::LogRateLimit;
@@ -17,50 +17,52 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// Enough for an identification and a probe. An unidentified peer gets no larger buffer: hundreds of them that each
-/// announce a long frame would use up the memory.
+/// Enough for an identification or a probe. Unidentified peers get no larger buffer, because hundreds of them
+/// that each announce a long frame would exhaust the memory.
 const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 1 << 10;
-/// A report takes some hundred bytes.
+/// Ample, as a report takes a few hundred bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
-/// For a peer to read an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// From the first byte of a frame to its last.
+/// Time for a peer to read a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time from the first byte of a frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Collectors report each second or so. One that vanished would leave its connection open for ever.
+/// Collectors report about once a second. Without a timeout, the connection of one that vanished would stay
+/// open forever.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// For reading what had arrived when a connection is closed.
+/// Time for reading what has arrived before a connection is closed.
 pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
-const PROBE_ANSWER: &[u8] = br#"{"msg":"alive"}"#;
-/// A frame with its length.
+const PROBE_RESPONSE: &[u8] = br#"{"msg":"alive"}"#;
+/// A complete frame, including the length.
 const ERROR_FRAME: &[u8] = b"\0\0\0\x0f{\"msg\":\"error\"}";
 
-type Frames = Framed<TcpStream, LengthDelimitedCodec>;
+type FrameStream = Framed<TcpStream, LengthDelimitedCodec>;
 
 /// The connection of a collector that has identified itself.
 pub struct Collector {
-    frames: Frames,
+    frames: FrameStream,
     zone: u32,
 }
 
 impl Collector {
-    /// Reads frames until the peer identifies itself as a collector; nothing where it leaves. Probes are answered.
+    /// Reads frames until the peer identifies itself as a collector. Answers probes. Returns `None` if the
+    /// peer disconnects.
     ///
     /// # Errors
-    /// The peer sends anything else, and is sent an error frame, or it does not read an answer.
+    /// The peer sends anything else, to which it gets an error frame, or it does not read a response.
     pub async fn identify(stream: TcpStream, names: &DeploymentNames) -> Result<Option<Self>, CallError> {
         let codec =
             LengthDelimitedCodec::builder().max_frame_length(MAX_UNIDENTIFIED_FRAME_BYTES).new_codec();
         let mut frames = Framed::with_capacity(stream, codec, MAX_UNIDENTIFIED_FRAME_BYTES);
         while let Some(frame) = frames.next().await {
             match decode_handshake(frame, names) {
-                Ok(Handshake::Probe) => answer_probe(&mut frames).await?,
-                Ok(Handshake::Identification { zone }) => {
+                Ok(HandshakeMessage::Probe) => answer_probe(&mut frames).await?,
+                Ok(HandshakeMessage::Identification { zone }) => {
                     frames.codec_mut().set_max_frame_length(MAX_FRAME_BYTES);
                     return Ok(Some(Collector { frames, zone }));
                 }
                 Err(error) => {
-                    // As much as can be written at once: the close does not wait for a peer that does not read.
+                    // Best effort: closing the connection must not wait for a peer that does not read.
                     let _ = frames.get_ref().try_write(ERROR_FRAME);
                     return Err(error);
                 }
@@ -69,16 +71,17 @@
         Ok(None)
     }
 
-    /// The position of its zone in the configuration.
+    /// Position of the collector's zone in the configuration.
     pub fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// Receives reports until the collector leaves, and calls `on_frame` at each frame. An invalid report is dropped
-    /// alone. Once `closing` is cancelled it ends as soon as what has arrived by then is handled.
+    /// Receives reports until the collector disconnects, and calls `on_frame` for each frame. An invalid
+    /// report is dropped without affecting others. Once `closing` is cancelled, this handles what has arrived
+    /// and returns.
     ///
     /// # Errors
-    /// Frames can't be decoded any more, or the collector is silent for too long: it has to connect again.
+    /// Frames can no longer be decoded, or the collector is silent for too long. It has to connect again.
     pub async fn receive_reports(
         mut self,
         names: &DeploymentNames,
@@ -96,16 +99,17 @@
                 Ok(CollectorMessage::Report(event)) => events.send(event).await,
                 Err(InvalidMessage::Content(error)) => {
                     events.metrics.invalid_inputs.increment();
-                    report_dropped(&mut dropped_report_log, &error, log);
+                    log_dropped_report(&mut dropped_report_log, &error, log);
                 }
-                Err(error @ InvalidMessage::NotJson(_)) => return Err(unusable(error)),
+                Err(error @ InvalidMessage::NotJson(_)) => return Err(invalid_data(error)),
             }
         }
         Ok(())
     }
 
-    /// The next frame; nothing where the collector leaves, or has sent nothing more when it is to close. Silence counts
-    /// from the frame before, an incomplete frame from its first byte: else single bytes would keep a connection open.
+    /// Returns the next frame, or `None` if the collector disconnects, or if the connection is to close and
+    /// no more data has arrived. The silence timeout starts at the previous frame and the frame timeout at
+    /// the first byte of a frame, so that a peer can't keep the connection open by sending single bytes.
     async fn next_frame(
         &mut self,
         closing: &CancellationToken,
@@ -117,15 +121,20 @@
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
             match timeout_with_grace(timeout, self.frames.next()).await {
-                Some(frame) => return frame.transpose().map_err(unusable),
-                // A socket may be reported as readable although there is nothing to read.
+                Some(frame) => return frame.transpose().map_err(invalid_data),
+                // Readiness may be spurious: a socket can be reported as readable when there is nothing to
+                // read.
                 None if self.frames.read_buffer().is_empty() => {}
-                None => return Err(CallError::NoResponse("half a frame".into())),
+                None => {
+                    let reason = format!("frame incomplete after {} ms", timeout.as_millis());
+                    return Err(CallError::NoResponse(reason.into()));
+                }
             }
         }
     }
 
-    /// Waits for bytes to read; false where the connection is to close and none have arrived.
+    /// Waits until there are bytes to read. Returns false if the connection is to close and none have
+    /// arrived.
     async fn wait_readable(
         &self,
         previous_frame: Instant,
@@ -135,40 +144,47 @@
         let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
         let readable = tokio::select! {
             readable = timeout_with_grace(remaining, stream.readable()) => {
-                readable.ok_or_else(|| CallError::NoResponse("silent".into()))?
+                readable.ok_or_else(silence_timed_out)?
             }
             () = closing.cancelled() => match timeout_with_grace(CLOSING_GRACE, stream.readable()).await {
                 Some(readable) => readable,
                 None => return Ok(false),
             },
         };
-        readable.map_err(unusable)?;
+        readable.map_err(invalid_data)?;
         Ok(true)
     }
 }
 
+fn silence_timed_out() -> CallError {
+    CallError::NoResponse(format!("no complete frame for {} s", SILENCE_TIMEOUT.as_secs()).into())
+}
+
 fn decode_handshake(
     frame: std::io::Result<impl Deref<Target = [u8]>>,
     names: &DeploymentNames,
-) -> Result<Handshake, CallError> {
-    let frame = frame.map_err(unusable)?;
-    Handshake::decode(&frame, names).map_err(unusable)
+) -> Result<HandshakeMessage, CallError> {
+    let frame = frame.map_err(invalid_data)?;
+    HandshakeMessage::decode(&frame, names).map_err(invalid_data)
 }
 
-async fn answer_probe(frames: &mut Frames) -> Result<(), CallError> {
-    let answer = frames.send(Bytes::from_static(PROBE_ANSWER));
-    match timeout_with_grace(ANSWER_TIMEOUT, answer).await {
+async fn answer_probe(frames: &mut FrameStream) -> Result<(), CallError> {
+    let response = frames.send(Bytes::from_static(PROBE_RESPONSE));
+    match timeout_with_grace(RESPONSE_TIMEOUT, response).await {
         Some(sent) => sent.map_err(|error| CallError::NoResponse(error.into())),
-        None => Err(CallError::NoResponse("the answer is left unread".into())),
+        None => {
+            let reason = format!("peer did not read the response within {} ms", RESPONSE_TIMEOUT.as_millis());
+            Err(CallError::NoResponse(reason.into()))
+        }
     }
 }
 
-fn report_dropped(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
+fn log_dropped_report(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
     if let Some(times) = limit.record() {
         warn!(log, "load report dropped"; "why" => %error, "times" => times);
     }
 }
 
-fn unusable(error: impl Into<Cause>) -> CallError {
+fn invalid_data(error: impl Into<Cause>) -> CallError {
     CallError::InvalidData(error.into())
 }
--- a/control-plane/src/main.rs
+++ b/control-plane/src/main.rs
@@ -1,4 +1,4 @@
-//! The control plane of `otterwinch` on sockets: the program and its sub-commands.
+//! The `otterwinch` program: runs the control plane as a network service, and checks its configuration.
 
 mod call_error;
 mod cli;
@@ -50,26 +50,26 @@
 const EXIT_INVALID_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
-    match cli::command().run() {
-        cli::Command::Version => {
+    match cli::subcommand().run() {
+        cli::Subcommand::Version => {
             println!("otterwinch {}", env!("CARGO_PKG_VERSION"));
             ExitCode::SUCCESS
         }
-        cli::Command::Check { file } => match Config::from_file(file.as_deref(), environment) {
+        cli::Subcommand::Check { file } => match Config::from_file(file.as_deref(), env_var) {
             Ok(config) => {
-                println!("config of {} is in order", config.name);
+                println!("config of {} is valid", config.name);
                 ExitCode::SUCCESS
             }
             Err(faults) => print_faults(&faults),
         },
-        cli::Command::Serve => match Config::from_file(None, environment) {
+        cli::Subcommand::Serve => match Config::from_file(None, env_var) {
             Ok(config) => run_server(config),
             Err(faults) => print_faults(&faults),
         },
     }
 }
 
-fn environment(variable: &str) -> Option<String> {
+fn env_var(variable: &str) -> Option<String> {
     std::env::var(variable).ok()
 }
 
@@ -81,7 +81,7 @@
 }
 
 fn run_server(config: Config) -> ExitCode {
-    let (log, flush_guard) = log::to_stderr(&config.name);
+    let (log, flush_guard) = log::stderr_logger(&config.name);
     let result = block_on_server(config, log.clone());
     if let Err(failure) = &result {
         error!(log, "exiting with an error"; "why" => #failure);
@@ -94,7 +94,7 @@
     }
 }
 
-/// All tasks share one thread, so they share state without locks.
+/// Runs all tasks on one thread, so that they can share state without locks.
 fn block_on_server(config: Config, log: Logger) -> Result<(), ServeError> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve(config, log))
