--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -1,40 +1,42 @@
-//! Assignment: when a proxy that joined is put on its route table.
+//! Assignment of joined proxies to their route tables.
 //!
-//! [`Controller`] assigns at the end of each event, after everything else found room. A proxy waits until its
-//! table holds a usable endpoint and the channel has room; one that was never assigned waits for no longer
-//! than a budget and then gets what there is. A standing assignment is never touched.
+//! [`Controller`] assigns proxies at the end of each event, and only if no weight change or ejection was
+//! deferred for lack of room. A proxy waits until its table holds a usable endpoint and the channel has room.
+//! A proxy that was never assigned waits only up to a timeout and is then assigned its table as it is. An
+//! assignment that is in effect is not changed.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
 use crate::host::{Host, Timer};
 use crate::time::{Moment, Span};
 
-/// The mean interval of the heartbeat while an assignment waits for a usable endpoint.
+/// The mean interval at which assignments that wait for a usable endpoint are retried.
 pub(super) const HEARTBEAT_INTERVAL: Span = Span::from_us(3_000_000);
-/// The shortest heartbeat, as a fraction of its interval.
+/// The shortest jittered heartbeat interval, as a fraction of the mean.
 const HEARTBEAT_JITTER_MIN: f64 = 0.8;
-/// The range over which the heartbeat is spread evenly, as a fraction of its interval.
+/// The width of the uniform jitter of the heartbeat interval, as a fraction of the mean.
 const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
-/// How long a proxy without any table of a controller waits for a usable endpoint.
+/// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
 const FIRST_ASSIGNMENT_BUDGET: Span = Span::from_us(5_000_000);
-/// Joins are collected for so long: what a table keeps in its zone depends on all proxies that join at a
-/// time.
+/// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
+/// handled together: the fraction of traffic that a table keeps in its zone depends on all of them.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
-/// Once this fraction of the known endpoints left, the stale tables of unassigned proxies may soon be empty.
+/// The fraction of known endpoints that must have left before assignments take priority: the stale tables of
+/// unassigned proxies may then soon hold no usable endpoint.
 const THIN_TABLES_FRACTION: f64 = 0.2;
-/// A queue up to this many lines takes an assignment of any size.
+/// A queue of at most this many lines accepts an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
-    /// Whether so many endpoints left that stale tables may soon be empty: then assignments go before changes
-    /// of tables.
+    /// Whether assignments take priority over ordinary weight changes, because so many endpoints left that
+    /// stale tables may soon hold no usable endpoint.
     pub(super) fn assignments_go_first(&self) -> bool {
         let left = self.endpoints.unready_count() as f64;
         left > self.endpoints.len() as f64 * THIN_TABLES_FRACTION && self.proxies.any_unassigned()
     }
 
-    /// Assigns the waiting proxies that may be: those with the poorest tables first, then those with most
-    /// traffic.
+    /// Assigns the waiting proxies that are eligible. Proxies that still use their initial table come first,
+    /// then those with the highest request rate.
     pub(super) fn assign_waiting(&mut self, now: Moment, limits: &ChannelLimits) {
         let max_lines = limits.max_lines(Urgency::Ordinary);
         for number in self.waiting_proxies() {
@@ -65,7 +67,7 @@
         waiting
     }
 
-    /// Puts a proxy on its table.
+    /// Assigns a proxy to its table and records the lines that this costs.
     pub(super) fn assign(&mut self, now: Moment, proxy: u32, limits: &ChannelLimits) {
         let table = self.proxies.mark_assigned(proxy);
         self.host.assign_table(proxy, table);
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -1,9 +1,10 @@
-//! Changes: how the desired weights of a route table differ from the published ones, and which differences
-//! are worth sending.
+//! Differences between the desired and the published weights of a route table, and which of them are worth
+//! sending.
 //!
-//! Publication asks here for the changes of every table. Small differences are not worth the lines that they
-//! cost. A table whose endpoints all vanished from the list while they still answer is carried for a while: a
-//! list that drops them all at once is more often wrong than right.
+//! Publication requests the changes of every table from here. Small differences are not worth the lines that
+//! they cost. If all endpoints of a table disappear from the endpoint list while they still answer, the table
+//! keeps its weights for a limited time: a list that drops all of them at once is more likely to be wrong
+//! than right.
 
 use super::assignment::HEARTBEAT_INTERVAL;
 use super::channel::ChannelLimits;
@@ -15,42 +16,44 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The least ratio between old and new weight of an endpoint that is warming up.
+/// The smallest ratio between old and new weight that is sent for an endpoint that is warming up.
 const MIN_WARMING_RATIO: f64 = 1.25;
-/// The least ratio between old and new weight of a warm endpoint.
+/// The smallest ratio between old and new weight that is sent for a warm endpoint.
 const MIN_WARM_RATIO: f64 = 1.001;
-/// A cold endpoint whose weight is too high by more than this ratio restarted: its change is urgent.
+/// A cold endpoint whose published weight exceeds the desired one by more than this ratio has restarted, so
+/// the change is urgent.
 const URGENT_COLD_RATIO: f64 = 2.0;
-/// The least difference worth sending, as a multiple of the mean weight, for each second that a line to all
-/// proxies of the table takes.
+/// The smallest difference worth sending, as a multiple of the table's mean weight, per second that the
+/// channel needs to send one line to all receivers of the table.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
-/// The longest time for which a table is carried.
+/// The longest time for which a table whose endpoints all disappeared from the list keeps its weights.
 const MAX_CARRY_TIME: Span = HEARTBEAT_INTERVAL;
-/// The fraction of the drain grace for which a table is carried at most.
+/// The fraction of the drain grace for which such a table may keep its weights, where the grace also binds
+/// for removed endpoints.
 const CARRY_GRACE_FRACTION: f64 = 0.6;
 
-/// A weight to set in a table.
+/// A weight to set for one endpoint of a table.
 pub(super) struct WeightChange {
     pub(super) id: EndpointId,
     /// The new weight; 0 removes the endpoint.
     pub(super) weight: f64,
-    /// It can't wait: the endpoint left or restarted, or the table was empty.
+    /// Whether the change is urgent: the endpoint left or restarted, or the table was empty.
     pub(super) is_urgent: bool,
-    /// The difference to the published weight.
+    /// The absolute difference from the published weight.
     difference: f64,
 }
 
-/// The changes of one table.
+/// The pending changes of one table.
 pub(super) struct TableChanges {
     pub(super) table: u32,
-    /// The proxies that the changes reach.
+    /// The proxies to which the changes are sent.
     pub(super) receivers: Vec<u32>,
-    /// Urgent changes first, then the largest differences.
+    /// The changes, urgent ones first, then by decreasing difference.
     pub(super) changes: Vec<WeightChange>,
 }
 
-/// The changes that turn the published weights into the desired ones and are worth sending to some receivers.
+/// The changes from the published to the desired weights that are worth sending to this number of receivers.
 pub(super) fn weight_changes(
     table: &RouteTable,
     desired: BTreeMap<EndpointId, EndpointWeight>,
@@ -88,7 +91,7 @@
     removals
 }
 
-/// Whether a table that should be empty keeps its weights for now.
+/// Whether a table without desired weights keeps its published weights for now. Records when this began.
 pub(super) fn is_carried(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -1,60 +1,62 @@
-//! Budgets of the channel to the proxies: how many lines may be queued, how many messages each proxy may get,
-//! and how large a route table may be so that all of this holds.
+//! Limits of the channel to the proxies: how many lines may be queued, how many messages each proxy may be
+//! sent, and how large a route table may be so that these limits can be kept.
 //!
-//! Every module that sends commands asks here for room first, and records in the [`ChannelBacklog`] what it
-//! sent. Urgent commands may use nearly all of the queue; ordinary ones leave room for a part of the fleet to
-//! leave at once.
+//! Every module that sends commands first checks here how many lines may be sent, and records in the
+//! [`ChannelBacklog`] what it sent. Urgent commands may use nearly the whole queue. Ordinary commands leave
+//! enough of it free to announce that a part of the fleet leaves at the same time.
 
 use super::endpoints::EndpointRegistry;
 use crate::channel_backlog::ChannelBacklog;
 use crate::config::ControllerConfig;
 use crate::time::{Moment, Span};
 
-/// The fraction of the queue that may be used at all.
+/// The fraction of the queue that commands of any urgency may use.
 const MAX_QUEUE_FRACTION: f64 = 0.9;
-/// The fraction of the usable queue that ordinary commands may always use.
+/// The fraction of the usable queue that is always available to ordinary commands.
 const MIN_ORDINARY_QUEUE_FRACTION: f64 = 0.08;
-/// The fraction of a proxy's messages that ordinary commands may use.
+/// The fraction of a proxy's message limit that ordinary commands may use.
 const ORDINARY_PUSH_FRACTION: f64 = 0.5;
-/// Messages that urgent commands may send to a proxy without a pause.
+/// The number of messages that urgent commands may send to a proxy back to back.
 const URGENT_BURST: usize = 3;
-/// Ordinary commands keep the channel busy for so many transits, until acknowledgements have come back.
+/// The length of the queue that ordinary commands may fill, in maximum transit times of the channel: long
+/// enough to keep the channel busy until acknowledgements have returned.
 const ORDINARY_TRANSITS: f64 = 3.0;
-/// The fraction of the channel's stated rate that is relied on without acknowledgements.
+/// The fraction of the configured channel rate at which lines are assumed to leave the channel while no
+/// acknowledgements arrive.
 const RELIED_ON_RATE_FRACTION: f64 = 0.04;
-/// The fraction of the queue from which on acknowledgements are requested.
+/// The fraction of the queue above which acknowledgements are requested.
 const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
-/// The fraction of the fleet that may leave at once, within the drain grace.
+/// The fraction of the fleet that may leave at the same time and must be announced within the drain grace.
 const SIMULTANEOUS_LEAVES_FRACTION: f64 = 0.2;
-/// The fraction of the lines of a drain grace that leaving endpoints may take.
+/// The fraction of the lines sent within a drain grace that may be used to announce leaving endpoints.
 const LEAVES_GRACE_FRACTION: f64 = 0.78;
-/// The least fraction of the queue that one of several batches of urgent commands fills: each batch costs the
-/// overhead of its messages again.
+/// The smallest fraction of the queue that an incomplete batch of urgent commands must fill, since each batch
+/// adds message overhead.
 const MIN_BATCH_QUEUE_FRACTION: f64 = 0.4;
-/// A queue below this many lines is empty.
+/// A queue of fewer lines counts as empty.
 const EMPTY_QUEUE_LINES: f64 = 1.0;
 
-/// How long a command may wait.
+/// How soon a command must be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Urgency {
-    /// Until the queue is short.
+    /// As soon as the queue is short.
     Urgent,
-    /// Until there is room beside what may become urgent.
+    /// Once the queue has room beyond what is reserved for urgent commands.
     Ordinary,
 }
 
-/// The channel's budgets at one moment; they depend on the configuration and the size of the fleet.
+/// The limits of the channel, computed from the configuration and the current size of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ChannelLimits {
-    /// Endpoints that a route table may hold.
+    /// The maximum number of endpoints in a route table.
     pub(super) max_table_size: usize,
-    /// What a message costs besides its lines, in lines.
+    /// The overhead of a message, in lines.
     pub(super) message_overhead: f64,
-    /// Lines that may be queued for ordinary commands.
+    /// The queue length up to which ordinary commands may be sent, in lines.
     max_ordinary_lines: f64,
-    /// Lines that may be queued for urgent commands.
+    /// The queue length up to which urgent commands may be sent, in lines.
     max_urgent_lines: f64,
-    /// Lines of the shortest useful message: one weight and all admission levels.
+    /// The size of the smallest useful message, in lines: its overhead, one weight and all admission levels.
     min_message_lines: f64,
     max_queued_lines: f64,
     rate: f64,
@@ -63,7 +65,7 @@
 }
 
 impl ChannelLimits {
-    /// The budgets for the endpoints known now.
+    /// Computes the limits for the endpoints that are currently known.
     pub(super) fn new(config: &ControllerConfig, endpoints: &EndpointRegistry) -> Self {
         let max_table_size = max_table_size(config, endpoints);
         let is_unlimited = config.max_queued_lines * MAX_QUEUE_FRACTION <= 0.0 || config.channel_rate <= 0.0;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Lines that may be queued.
+    /// The queue length up to which commands of this urgency may be sent, in lines.
     pub(super) fn max_lines(&self, urgency: Urgency) -> f64 {
         match urgency {
             Urgency::Urgent => self.max_urgent_lines,
@@ -90,23 +92,24 @@
         }
     }
 
-    /// How long the channel takes to carry some lines.
+    /// The time that the channel needs to send some lines.
     pub(super) fn time_for(&self, lines: f64) -> Span {
         Span::secs(self.secs_for(lines))
     }
 
-    /// How many seconds the channel takes to carry some lines.
+    /// The time that the channel needs to send some lines, in seconds.
     pub(super) fn secs_for(&self, lines: f64) -> f64 {
         lines / self.rate.max(1.0)
     }
 
-    /// Whether so many queued lines are few enough to need no acknowledgement.
+    /// Whether a queue of this length is short enough that no acknowledgements are needed.
     pub(super) fn is_nearly_idle(&self, queued_lines: f64) -> bool {
         queued_lines <= self.max_queued_lines * ACKNOWLEDGED_QUEUE_FRACTION
     }
 
-    /// How many of `total` urgent items fit into the room, where `cost` grows with their number; none where
-    /// the batch would be incomplete and small.
+    /// How many of `total` urgent items fit into `room` lines, found by binary search; `cost` must not
+    /// decrease with the number of items. Returns 0 if not all items fit and those that do would make a small
+    /// batch.
     pub(super) fn largest_batch(&self, total: usize, room: f64, cost: impl Fn(usize) -> f64) -> usize {
         let mut fits = 0;
         let mut too_many = total + 1;
@@ -125,13 +128,14 @@
     }
 }
 
-/// The lines that leaving endpoints may take within the drain grace.
+/// The number of lines that may be used to announce leaving endpoints within the drain grace.
 fn lines_for_leaves(config: &ControllerConfig) -> f64 {
     config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * LEAVES_GRACE_FRACTION
 }
 
-/// How many endpoints a table may hold so that, with all proxies joined here, a part of the fleet can leave
-/// while as many lines are still queued, and so that no endpoint gets more connections than it accepts.
+/// The maximum number of endpoints in a table. Even if all proxies are joined to this controller, the channel
+/// must be able to announce that a part of the fleet leaves while as many lines are already queued, and no
+/// endpoint may get more connections than it accepts.
 fn max_table_size(config: &ControllerConfig, endpoints: &EndpointRegistry) -> usize {
     let proxies = f64::from(config.proxy_count.max(1));
     let mut by_lines = f64::INFINITY;
@@ -153,24 +157,26 @@
     (lines_for_leaves(config) / LEAVES_GRACE_FRACTION - reserved).min(in_transit).max(least)
 }
 
-/// The channel: what is queued in it, and whether more may be sent.
+/// Tracks what is queued in the channel and decides whether more may be sent.
 pub(super) struct Channel {
     pub(super) backlog: ChannelBacklog,
 }
 
 impl Channel {
-    /// An idle channel.
+    /// Creates a channel with an empty queue.
     pub(super) fn new(config: &ControllerConfig) -> Self {
         Channel { backlog: ChannelBacklog::new(config.channel_rate * RELIED_ON_RATE_FRACTION) }
     }
 
-    /// Whether the queue is short enough for urgent commands: behind a long queue they would arrive no
-    /// sooner, and what else becomes urgent meanwhile would cost another message to each proxy.
+    /// Whether the queue is short enough for urgent commands. Sending them behind a long queue does not make
+    /// them arrive sooner, and changes that become urgent in the meantime would need another message to each
+    /// proxy.
     pub(super) fn is_queue_short(&self, now: Moment, limits: &ChannelLimits) -> bool {
         self.backlog.queued_lines(now) <= limits.max_ordinary_lines
     }
 
-    /// The lines that may be sent now, to all of these proxies together.
+    /// The number of lines that may be sent now, in total for all of these proxies. Returns 0 if one of them
+    /// may not be sent a message.
     pub(super) fn room(
         &mut self,
         now: Moment,
@@ -183,14 +189,14 @@
             return 0.0;
         }
         let queued = self.backlog.queued_lines(now);
-        // Whatever the limits, an idle channel takes a short message to all.
+        // An empty queue accepts a short message to every proxy, whatever the limits.
         let least =
             if queued < EMPTY_QUEUE_LINES { proxies.len() as f64 * limits.min_message_lines } else { 0.0 };
         (limits.max_lines(urgency) - queued).max(least)
     }
 
-    /// Whether a proxy may get a message now. Urgent messages go at once a few times, then at a pace that the
-    /// limit bears for ever.
+    /// Whether a proxy may be sent a message now. A few urgent messages may follow each other immediately;
+    /// further ones are spaced so that they can continue indefinitely within the limit.
     fn may_push(&mut self, now: Moment, urgency: Urgency, proxy: u32, limits: &ChannelLimits) -> bool {
         if limits.max_pushes == 0 {
             return true;
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Whether so much is queued that the proxies should acknowledge it.
+    /// Whether the queue is so long that the proxies should acknowledge what they receive.
     pub(super) fn needs_acknowledgement(&self, now: Moment, limits: &ChannelLimits) -> bool {
         !limits.is_nearly_idle(self.backlog.queued_lines(now))
     }
--- a/src/controller/channel/tests.rs
+++ b/src/controller/channel/tests.rs
@@ -5,7 +5,7 @@
 use crate::testing::{at, config, draining, ready_since, running, TestController};
 use crate::time::{Moment, Span};
 
-/// The room for commands to proxy 0.
+/// The number of lines that may be sent to proxy 0.
 fn room(controller: &mut TestController, now: Moment, urgency: Urgency) -> f64 {
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
     controller.channel.room(now, urgency, &[0], &limits)
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -1,9 +1,9 @@
-//! Delivery: what happens when commands are lost, and how acknowledgements are kept coming.
+//! Handling of lost commands and lost acknowledgements.
 //!
-//! Commands that came to nothing, or of which nobody knows, are sent again as they were, and nothing else is
-//! sent before they are accepted: what piled up behind them would arrive in one burst. Where all
-//! acknowledgements are lost, with their proxies or with the event stream, one proxy is assigned anew so that
-//! it acknowledges.
+//! Commands that were lost, or may have been, are resent unchanged. No other commands are sent until they are
+//! accepted, since commands queued up behind them would arrive in one burst. If all outstanding
+//! acknowledgements are lost, because their proxies left or the event stream broke, one proxy is assigned to
+//! its table again so that it sends a new acknowledgement.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
@@ -12,26 +12,28 @@
 
 /// The delay before lost commands are sent again.
 const RESEND_DELAY: Span = Span::from_us(50_000);
-/// Acknowledgements are lost after the time that the queue takes and so many transits.
+/// Outstanding acknowledgements count as lost after the time that the channel needs to send its queue plus
+/// this many maximum transit times.
 const ACKNOWLEDGEMENT_TRANSITS: f64 = 2.0;
 
-/// Whether the latest commands were accepted.
+/// The delivery state of the latest commands.
 #[derive(Default)]
 pub(super) struct DeliveryState {
-    /// The moment of the latest commands.
+    /// When commands were last issued, or lost ones were last recorded as queued twice.
     pub(super) last_commands: Moment,
-    /// The latest commands were lost and not accepted since.
+    /// Whether the latest commands were lost and have not been accepted since.
     pub(super) is_resend_pending: bool,
 }
 
 impl<H: Host> Controller<H> {
-    /// Schedules the resending of lost commands. `may_have_arrived` says that their fate is not known.
+    /// Schedules a resend of lost commands. `may_have_arrived` means that it is unknown whether they were
+    /// lost.
     pub(super) fn schedule_resend(&mut self, now: Moment, may_have_arrived: bool) {
         self.delivery.is_resend_pending = true;
         let mut resend_delay = RESEND_DELAY;
         if may_have_arrived {
-            // If they did arrive, their lines are queued twice. An acknowledgement of the resent ones clears
-            // both.
+            // If the commands did arrive, their lines are queued twice. An acknowledgement of the resent
+            // commands covers both.
             let (lines, number) = self.channel.backlog.record_resend(now, self.delivery.last_commands);
             if let Some(number) = number {
                 self.host.request_acknowledgement(number);
@@ -42,7 +44,7 @@
         self.host.schedule_timer(resend_delay, Timer::Resend);
     }
 
-    /// Assigns one proxy anew where all outstanding acknowledgements must be lost.
+    /// Assigns a randomly chosen proxy again if all outstanding acknowledgements must have been lost.
     pub(super) fn recover_acknowledgements(&mut self, now: Moment, limits: &ChannelLimits) {
         let queued = self.channel.backlog.queued_lines(now);
         let expected_within = limits.time_for(queued) + self.config.max_transit * ACKNOWLEDGEMENT_TRANSITS;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Asks the proxies to acknowledge this moment's commands where much is queued.
+    /// Requests an acknowledgement of the commands issued now if the queue is long.
     pub(super) fn request_acknowledgement(&mut self, now: Moment, limits: &ChannelLimits) {
         if !self.channel.needs_acknowledgement(now, limits) {
             return;
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -1,10 +1,10 @@
-//! Ejection of draining and removed endpoints from proxies that hold stale tables.
+//! Ejection of draining and removed endpoints from proxies with stale tables.
 //!
-//! A proxy that is not assigned yet may hold tables that are not ours: the few endpoints that it drew at its
-//! start, or a table of an earlier stream. No change of our tables reaches it, only an ejection.
-//! [`Controller`] ejects at the end of each event every endpoint that left and is in no table of ours, those
-//! that left first first. While many proxies are unassigned, ejections are collected for a part of the drain
-//! grace, since assignment makes them unnecessary.
+//! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
+//! that it selected when it started, or a table from an earlier stream. Weight changes don't reach it, only
+//! ejections do. At the end of each event, [`Controller`] ejects every endpoint that left and is in none of
+//! its tables, in the order in which they left. While the channel is busy, or the ejections would make it so,
+//! they are collected for a part of the drain grace, since assigning the proxies makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -13,20 +13,20 @@
 use crate::time::Moment;
 use std::collections::BTreeSet;
 
-/// The fraction of the drain grace, less a transit, for which ejections are collected.
+/// The fraction of the drain grace, less the maximum transit time, for which ejections are collected.
 const COLLECTION_GRACE_FRACTION: f64 = 0.25;
-/// The lines of ejections to one proxy, as a multiple of their mean: which endpoints a stale table holds is
-/// random.
+/// The estimated lines of ejections to one proxy, as a multiple of their mean. The margin is needed because
+/// the endpoints in a stale table are random.
 const STALE_LINES_MARGIN: f64 = 1.5;
 
-/// Which ejections are outstanding.
+/// The state of ejections that have not been sent.
 #[derive(Default)]
 pub(super) struct EjectionState {
-    /// Since when endpoints wait to be ejected.
+    /// When the oldest pending ejection started to wait.
     pending_since: Option<Moment>,
 }
 
-/// What ejections cost at one proxy with a stale table, in lines.
+/// The cost of ejections at one proxy with a stale table, in lines.
 struct StaleProxyCost {
     proxy: u32,
     lines: f64,
@@ -34,8 +34,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Starts the clock of the drain grace for ejections that can't be sent since commands are waiting to be
-    /// resent.
+    /// Records since when ejections are pending while they can't be sent because lost commands are waiting
+    /// to be resent, so that the waiting time counts towards the collection time.
     pub(super) fn note_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Ejects what left from the proxies with stale tables. Returns whether something found no room.
+    /// Ejects endpoints that left from the proxies with stale tables. Returns whether ejections were deferred
+    /// because the channel is full.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
@@ -54,7 +55,8 @@
         let total_cost = self.ejection_cost(leaving.len(), limits);
         let since = self.ejection.pending_since.unwrap_or(now);
         let collection_time = (self.config.drain_grace - self.config.max_transit) * COLLECTION_GRACE_FRACTION;
-        // On a busy channel the few endpoints of each moment would cost every unassigned proxy a message.
+        // On a busy channel, ejecting the few endpoints of each event separately would cost a message to
+        // every unassigned proxy each time.
         let is_idle = limits.is_nearly_idle(total_cost + self.channel.backlog.queued_lines(now));
         if !is_idle && total_cost > 0.0 && now - since < collection_time {
             self.ejection.pending_since = Some(since);
@@ -76,7 +78,8 @@
         found_no_room
     }
 
-    /// The endpoints that left, are in no table and not ejected everywhere; those that left first first.
+    /// The endpoints that left, are in no table and are not ejected from all proxies, in the order in which
+    /// they left.
     fn endpoints_to_eject(&self) -> Vec<EndpointId> {
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
@@ -90,8 +93,8 @@
         leaving.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// What some ejections or restorations cost at each unassigned proxy. An initial table holds few
-    /// endpoints, one of an earlier stream as many as ours.
+    /// The estimated cost of a number of ejections or restorations at each unassigned proxy. An initial table
+    /// holds few endpoints; a table from an earlier stream may hold as many as a current one.
     fn stale_proxy_costs(
         &self,
         ejections: usize,
@@ -115,7 +118,7 @@
         self.stale_proxy_costs(ejections, limits).map(|cost| cost.lines + cost.overhead).sum()
     }
 
-    /// Records in the backlog what some ejections or restorations cost.
+    /// Records the estimated cost of a number of ejections or restorations in the backlog.
     pub(super) fn record_ejections(&mut self, now: Moment, ejections: usize, limits: &ChannelLimits) {
         for cost in self.stale_proxy_costs(ejections, limits).collect::<Vec<_>>() {
             self.channel.backlog.record(now, cost.proxy, cost.lines, cost.overhead);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,29 +1,29 @@
-//! All decisions of a controller.
+//! The control logic: handles events and issues commands.
 //!
-//! The host calls one method of [`Controller`] for each event, with the present moment; the controller acts
-//! at once through the [`Host`] that it was given at its start. It does no I/O, reads no clock and draws
-//! random numbers from its seed alone, so the same events always give the same commands. The commands of one
-//! moment travel together.
+//! The embedding program calls one method of [`Controller`] per event and passes the current time. The
+//! controller issues the resulting commands during that call, through the [`Host`] it was created with. It
+//! performs no I/O, reads no clock and takes all randomness from a seeded generator, so the same sequence of
+//! events always produces the same commands. Commands issued at the same time are sent together.
 //!
-//! Each module owns one concern, its state and its tuned values:
+//! Each module is responsible for one concern and owns its state and constants:
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | `endpoints` | what is known about each endpoint, and when it is forgotten |
-//! | `proxies` | what is known about each proxy |
-//! | `outliers` | which endpoints lose a part of their weight since they fare badly |
-//! | `fleet_load` | whether the fleet struggles |
+//! | `endpoints` | the state of each known endpoint, and when an endpoint is forgotten |
+//! | `proxies` | the state of each known proxy |
+//! | `outliers` | which endpoints have their weight reduced because of errors or high latency |
+//! | `fleet_load` | whether the fleet is struggling |
 //! | `admission` | how much of each request class is admitted |
 //! | `slow_start` | the weights of endpoints that are warming up |
 //! | `routing` | which endpoints a route table should hold |
 //! | `changes` | which differences from the published tables are worth sending |
 //! | `publication` | when changes are sent, and in which order |
-//! | `ejection` | when proxies with stale tables learn that an endpoint left |
-//! | `assignment` | when a proxy is put on its table |
-//! | `channel` | how much may be queued in the channel |
-//! | `delivery` | what happens when commands or acknowledgements are lost |
-//! | `sharding` | which endpoint serves a shard |
-//! | `timers` | which timers are on their way |
+//! | `ejection` | when endpoints that left are ejected from proxies with stale tables |
+//! | `assignment` | when a proxy is assigned to its route table |
+//! | `channel` | how many lines may be queued in the channel |
+//! | `delivery` | how lost commands and lost acknowledgements are handled |
+//! | `sharding` | which endpoint serves each shard |
+//! | `timers` | which timers are pending |
 
 mod admission;
 mod assignment;
@@ -63,12 +63,12 @@
 use slow_start::FleetCondition;
 use timers::PendingTimers;
 
-/// The interval at which load, outliers and admission are evaluated.
+/// The interval between evaluations of load, outliers and admission.
 const EVALUATION_INTERVAL: Span = Span::from_us(1_000_000);
-/// The delay before another look at what had to wait.
+/// The delay before deferred commands are considered again.
 const RECHECK_DELAY: Span = Span::from_us(50_000);
 
-/// The controller: takes the events of a fleet and its proxies, and issues commands through its host.
+/// Handles the events of a fleet of endpoints and its proxies, and issues commands through a [`Host`].
 pub struct Controller<H: Host> {
     host: H,
     config: ControllerConfig,
@@ -87,8 +87,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Starts a controller that knows no endpoint and no proxy, and asks for the endpoint list where it must
-    /// be polled.
+    /// Creates a controller without endpoints or proxies and schedules its first evaluation. Requests the
+    /// endpoint list if the deployment requires polling.
     pub fn start(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
         if config.polls_endpoint_list {
             host.watch_endpoints();
@@ -114,50 +114,51 @@
         }
     }
 
-    /// The host, for what its owner does with it between events.
+    /// Returns the host, so that the embedding program can use it between events.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// The endpoint list arrived as a whole: what it doesn't name was removed.
+    /// Handles a complete endpoint list: known endpoints that are missing from it count as removed.
     pub fn endpoint_list_replaced(&mut self, now: Moment, complete_list: &[EndpointUpdate]) {
         self.endpoints.remove_unlisted(now, complete_list);
         self.endpoints_updated(now, complete_list);
     }
 
-    /// Some entries of the endpoint list were added or changed.
+    /// Handles added or changed entries of the endpoint list.
     pub fn endpoints_updated(&mut self, now: Moment, updates: &[EndpointUpdate]) {
         self.endpoints.apply_updates(now, updates);
         self.issue_commands(now);
     }
 
-    /// The endpoint list could not be read, or its watch ended: what is known stays, and the list is watched
-    /// again.
+    /// Handles a failed read or an ended watch of the endpoint list: keeps the known endpoints and schedules
+    /// another attempt to watch the list.
     pub fn endpoint_watch_failed(&mut self, now: Moment) {
         let delay = self.endpoints.watch_retry_delay(now, &mut self.rng);
         self.host.schedule_timer(delay, Timer::WatchRetry);
     }
 
-    /// A proxy joined. `rate` is its usual load in requests a second, and `has_initial_table` says that it
-    /// holds the endpoints that it drew at its start.
+    /// Handles a proxy that joined. `rate` is its usual load in requests per second. `has_initial_table`
+    /// means that it still uses the endpoints it selected at random when it started.
     pub fn proxy_joined(&mut self, now: Moment, proxy: u32, zone: u32, rate: f64, has_initial_table: bool) {
         let limits = ChannelLimits::new(&self.config, &self.endpoints);
         let placement = routing::table_for(proxy, zone, &self.config, &self.endpoints, &limits);
         self.proxies.join(now, proxy, zone, rate, has_initial_table, placement.number);
         self.tables.ensure(&placement);
-        // Until it is assigned it holds tables that are not ours, with endpoints that may have left.
+        // Until it is assigned, the proxy uses a table that this controller did not publish and that may
+        // contain endpoints that have left.
         self.endpoints.reset_ejected_everywhere();
         self.recheck_soon();
     }
 
-    /// A proxy left, or its stream broke.
+    /// Handles a proxy that left or whose stream broke.
     pub fn proxy_left(&mut self, now: Moment, proxy: u32) {
         self.proxies.leave(proxy);
         self.channel.backlog.proxy_left(now, proxy);
     }
 
-    /// A load report covers attempts at an endpoint: how many there were and failed without an answer, the
-    /// latency of those answered, and the interval that the report covers.
+    /// Handles the part of a load report that covers one endpoint: the number of attempts, the number that
+    /// failed without an answer, the latency of the answered ones and the interval of the report.
     pub fn endpoint_outcomes(
         &mut self,
         now: Moment,
@@ -174,17 +175,18 @@
         outliers::record_outcomes(endpoint, now, &outcomes, &self.config);
     }
 
-    /// A load report covers requests of a class, as clients asked for them.
+    /// Handles the part of a load report that covers one request class: the number of requests that clients
+    /// made.
     pub fn demand(&mut self, class: u32, requests: f64) {
         self.fleet_load.record_demand(class as usize, requests);
     }
 
-    /// A proxy acknowledged the commands with this number.
+    /// Handles a proxy's acknowledgement of the commands with this number.
     pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
         self.channel.backlog.acknowledged(now, number, proxy);
     }
 
-    /// A timer fired that was scheduled with the host.
+    /// Handles a timer that was scheduled through [`Host::schedule_timer`] and fired.
     pub fn timer_fired(&mut self, now: Moment, timer: Timer) {
         self.timers.fired(timer);
         match timer {
@@ -198,46 +200,48 @@
         }
     }
 
-    /// The latest commands were lost, or, with `may_have_arrived`, nobody knows whether they were.
+    /// Handles the loss of the latest commands. `may_have_arrived` means that it is unknown whether they were
+    /// lost.
     pub fn commands_lost(&mut self, now: Moment, may_have_arrived: bool) {
         self.schedule_resend(now, may_have_arrived);
     }
 
-    /// The latest commands were accepted.
+    /// Handles the confirmation that the latest commands were accepted.
     pub fn commands_accepted(&mut self, now: Moment) {
         if std::mem::take(&mut self.delivery.is_resend_pending) {
             self.issue_commands(now);
         }
     }
 
-    /// A table assignment was rejected: it is made again as if the proxy joined now.
+    /// Handles a rejected table assignment: the proxy is assigned again as if it had just joined.
     pub fn assignment_rejected(&mut self, now: Moment, proxy: u32) {
         self.proxies.unassign(now, proxy);
         self.recheck_soon();
     }
 
-    /// An endpoint weight was rejected: it doesn't stand and comes with the next changes.
+    /// Handles a rejected endpoint weight: it counts as unpublished and is sent again with the next changes.
     pub fn weight_rejected(&mut self, table: u32, id: &EndpointId) {
         self.tables.remove_weight(table, id);
         self.recheck_soon();
     }
 
-    /// A shard is published from here from now on.
+    /// Makes this controller responsible for publishing a shard.
     pub fn shard_assigned(&mut self, shard: u32) {
         self.shards.assign(shard);
     }
 
-    /// A shard that is published from here has this weight already.
+    /// Restores an already published weight of a shard that this controller publishes.
     pub fn shard_weight_restored(&mut self, shard: u32, id: &EndpointId, weight: f64) {
         self.shards.restore_weight(shard, id, weight);
     }
 
-    /// A shard is no longer published from here.
+    /// Stops publishing a shard from this controller.
     pub fn shard_revoked(&mut self, shard: u32) {
         self.shards.revoke(shard);
     }
 
-    /// Draws conclusions from the load reports since the last evaluation.
+    /// Updates outliers and admission from the load reports, and forgets old data. Runs once per
+    /// [`EVALUATION_INTERVAL`].
     fn evaluate(&mut self, now: Moment) {
         self.fleet_load.extend_window(EVALUATION_INTERVAL);
         self.detect_outliers(now);
@@ -257,8 +261,9 @@
         self.admission.shed_load(now, &mut self.fleet_load, joined_rate, &self.config);
     }
 
-    /// Lifts the ejection of endpoints that were removed long ago, so that their ids may return as new ones.
-    /// Without this, each proxy that joins would get the ejections of all endpoints that ever were.
+    /// Forgets endpoints that were removed long ago and lifts their ejections, so that their ids can be used
+    /// by new endpoints. Otherwise each joining proxy would be sent the ejections of all endpoints that ever
+    /// existed.
     fn forget_removed_endpoints(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             return;
@@ -271,7 +276,7 @@
         }
     }
 
-    /// The ready endpoints with what they can carry now, by id.
+    /// The ready endpoints with their current capacity, ordered by id.
     fn candidates(&self, now: Moment) -> Vec<Candidate> {
         routing::candidates(now, &self.config, &self.endpoints)
     }
@@ -280,7 +285,7 @@
         FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load)
     }
 
-    /// Issues all commands of a moment.
+    /// Issues all commands that are due and that the channel can take.
     fn issue_commands(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             self.note_pending_ejections(now);
@@ -305,7 +310,7 @@
         self.request_acknowledgement(now, &limits);
     }
 
-    /// Schedules another look, unless one is on its way.
+    /// Schedules a recheck unless one is already pending.
     fn recheck_soon(&mut self) {
         if self.timers.start(Timer::Recheck) {
             self.host.schedule_timer(RECHECK_DELAY, Timer::Recheck);
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -1,36 +1,38 @@
-//! The proxies: those that are joined, the route table that each is on, and the usual load of all that were
-//! ever seen.
+//! The proxy registry: the joined proxies, the route table of each, and the usual request rates of all
+//! proxies that have ever joined.
 //!
-//! [`Controller`](super::Controller) enters joins and leaves here, assignment puts the proxies on their
-//! tables, and routing reads the usual rates of the zones.
+//! [`Controller`](super::Controller) records here which proxies join and leave, `assignment` assigns them to
+//! their tables, and `publication` reads the request rates of the zones for routing.
 
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
 /// A joined proxy.
 pub(super) struct Proxy {
-    /// Its usual request rate, in requests a second.
+    /// Its usual request rate, in requests per second.
     pub(super) rate: f64,
-    /// When it joined, or when its assignment was rejected last.
+    /// When it joined, or when its assignment was last rejected.
     pub(super) joined: Moment,
-    /// It was never assigned a table, by any controller: it holds the few endpoints that it drew at its
-    /// start.
+    /// Whether it was never assigned a table by any controller and still uses the few endpoints that it
+    /// selected when it started.
     pub(super) has_initial_table: bool,
-    /// The table that it is on, or will be.
+    /// The table that it is or will be assigned to.
     pub(super) table: u32,
-    /// It was put on its table in this stream. Until then it may hold stale tables of an earlier stream.
+    /// Whether it was assigned to its table in the current stream. Until then it may use a stale table from
+    /// an earlier stream.
     pub(super) is_assigned: bool,
-    /// Changes of its table reach it, as far as is known: it is on it, or was and may be still.
+    /// Whether changes of its table are assumed to reach it: it is assigned to the table, or was and may
+    /// still be.
     pub(super) receives_updates: bool,
 }
 
-/// The zone and the usual request rate of a proxy that was seen at some time.
+/// The zone and the usual request rate of a proxy that has joined at least once.
 struct SeenProxy {
     zone: u32,
     rate: f64,
 }
 
-/// All joined proxies, and what is known about those that left.
+/// The joined proxies, and the zones and rates of all that have ever joined.
 #[derive(Default)]
 pub(super) struct ProxyRegistry {
     pub(super) joined: BTreeMap<u32, Proxy>,
@@ -38,7 +40,8 @@
 }
 
 impl ProxyRegistry {
-    /// A proxy joined; `has_initial_table` is what it said itself.
+    /// Registers a proxy that joined. `has_initial_table` is as reported by the proxy; it is ignored if the
+    /// proxy has joined before.
     pub(super) fn join(
         &mut self,
         now: Moment,
@@ -49,8 +52,8 @@
         table: u32,
     ) {
         let was_seen = self.seen.insert(proxy, SeenProxy { zone, rate }).is_some();
-        // A proxy that joins again without having left may never have lost its table. Until it is assigned
-        // again, changes of that table reach it as before.
+        // A proxy that joins again without having left may still have its table. Until it is assigned again,
+        // changes of that table still reach it.
         let receives_updates =
             self.joined.get(&proxy).is_some_and(|former| former.receives_updates && former.table == table);
         let proxy_state = Proxy {
@@ -64,12 +67,12 @@
         self.joined.insert(proxy, proxy_state);
     }
 
-    /// A proxy left.
+    /// Removes a proxy that left from the joined ones.
     pub(super) fn leave(&mut self, proxy: u32) {
         self.joined.remove(&proxy);
     }
 
-    /// A proxy was put on its table; returns the table.
+    /// Marks a proxy as assigned to its table and returns the table's number.
     pub(super) fn mark_assigned(&mut self, proxy: u32) -> u32 {
         let state = self.joined.get_mut(&proxy).expect("only joined proxies are assigned");
         state.is_assigned = true;
@@ -77,7 +80,7 @@
         state.table
     }
 
-    /// The assignment of a proxy was rejected: it waits as one that joins now.
+    /// Marks a proxy whose assignment was rejected as unassigned, as if it had just joined.
     pub(super) fn unassign(&mut self, now: Moment, proxy: u32) {
         if let Some(state) = self.joined.get_mut(&proxy) {
             state.is_assigned = false;
@@ -85,22 +88,22 @@
         }
     }
 
-    /// The proxies with some property, in the order of their numbers.
+    /// The numbers of the joined proxies that satisfy a predicate, in ascending order.
     pub(super) fn matching(&self, property: impl Fn(&Proxy) -> bool) -> Vec<u32> {
         self.joined.iter().filter(|(_, proxy)| property(proxy)).map(|(number, _)| *number).collect()
     }
 
-    /// Whether a joined proxy is on no table yet.
+    /// Whether any joined proxy is not assigned to its table yet.
     pub(super) fn any_unassigned(&self) -> bool {
         self.joined.values().any(|proxy| !proxy.is_assigned)
     }
 
-    /// The usual request rate of all joined proxies, in requests a second.
+    /// The total usual request rate of all joined proxies, in requests per second.
     pub(super) fn joined_rate(&self) -> f64 {
         self.joined.values().map(|proxy| proxy.rate).sum::<f64>()
     }
 
-    /// The usual request rate of each zone, of all proxies that were ever seen.
+    /// The total usual request rate of each zone, over all proxies that have ever joined.
     pub(super) fn rates_by_zone(&self) -> BTreeMap<u32, f64> {
         let mut rates = BTreeMap::new();
         for proxy in self.seen.values() {
--- a/src/controller/proxies/tests.rs
+++ b/src/controller/proxies/tests.rs
@@ -1,8 +1,8 @@
 use crate::host::{EndpointUpdate, Timer};
 use crate::testing::{at, config, ready, running};
 
-/// As when the event stream was reopened: no proxy left, and the relay goes on sending them their table's
-/// changes.
+/// When the event stream is reopened, all proxies join again without having left, and the relay goes on
+/// sending them the changes of their tables. The lines of these changes must still be recorded.
 #[test]
 fn lines_to_proxies_that_are_announced_again_are_still_counted() {
     let mut controller = running(config(), &["a", "b"], 4);
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,9 +1,10 @@
-//! Publication: when the changes of the route tables are sent, and in which order.
+//! Publication of route table changes: when they are sent, and in which order.
 //!
-//! [`Controller`] publishes at the end of each event. Urgent changes go as soon as the queue is short, in
-//! batches that fit, the endpoints that left first in the first batch; they take along what else has changed
-//! and fits. Ordinary changes are batched, the longer the more of the channel they take. Nothing is marked as
-//! published that was not sent to the host.
+//! [`Controller`] publishes at the end of each event. Urgent changes are sent as soon as the queue is short,
+//! in batches that fit into it; endpoints that left first are in the first batch. A message with urgent
+//! changes also takes the ordinary changes of its table that fit, once no urgent change is left for a later
+//! batch. Ordinary changes are batched, for longer the more channel time the previous ones took. Only changes
+//! that were sent through the host are marked as published.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -15,18 +16,19 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least interval between ordinary changes of one table.
+/// The shortest time after the last commands for a table before ordinary changes alone are sent.
 const MIN_PUBLICATION_INTERVAL: Span = Span::from_us(1_000_000);
-/// Ordinary changes are batched for so many times as long as the last ones took in the channel.
+/// How long ordinary changes are batched, as a multiple of the channel time that the previous ones took.
 const BATCHING_FACTOR: f64 = 2.0;
 
-/// Until when ordinary changes are batched.
+/// The batching state of ordinary changes.
 pub(super) struct PublicationState {
+    /// Ordinary changes are held back until this time.
     pub(super) batched_until: Moment,
 }
 
 impl PublicationState {
-    /// Ordinary changes may go at once.
+    /// Creates a state in which ordinary changes may be sent immediately.
     pub(super) fn new(now: Moment) -> Self {
         PublicationState { batched_until: now }
     }
@@ -36,7 +38,7 @@
         now >= self.batched_until
     }
 
-    /// Commands were sent that keep the channel busy for some time.
+    /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
     fn sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
             self.batched_until = now + Span::secs(busy_secs * BATCHING_FACTOR);
@@ -44,16 +46,16 @@
     }
 }
 
-/// The endpoints with urgent changes, and how many of them go now.
+/// The endpoints with urgent changes, and how many of them are sent now.
 struct UrgentBatch {
-    /// The position of each endpoint: those that left first come first.
+    /// The position of each endpoint in the order in which the endpoints left.
     positions: BTreeMap<EndpointId, usize>,
-    /// Endpoints up to this position go now.
+    /// The number of endpoints whose urgent changes are sent now, counted from position 0.
     size: usize,
 }
 
 impl UrgentBatch {
-    /// All endpoints with urgent changes, none of which goes yet.
+    /// Collects all endpoints with urgent changes; none is included in the batch yet.
     fn new(pending: &[TableChanges], endpoints: &EndpointRegistry) -> Self {
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
@@ -66,7 +68,7 @@
         UrgentBatch { positions: positions.collect(), size: 0 }
     }
 
-    /// Whether every urgent change goes now.
+    /// Whether all urgent changes are sent now.
     fn is_complete(&self) -> bool {
         self.size == self.positions.len()
     }
@@ -79,7 +81,7 @@
         change.is_urgent && self.positions[&change.id] < size
     }
 
-    /// The lines of a batch of some size, to all receivers.
+    /// The cost of a batch of this size in lines, over all receivers.
     fn cost(&self, size: usize, pending: &[TableChanges], message_overhead: f64) -> f64 {
         let table_cost = |table: &TableChanges| {
             let lines = table.changes.iter().filter(|change| self.would_include(change, size)).count() as f64;
@@ -89,7 +91,7 @@
         pending.iter().map(table_cost).sum::<f64>()
     }
 
-    /// Keeps the urgent changes that go now, and the first `max_ordinary` ordinary ones.
+    /// Retains the urgent changes that are sent now and the first `max_ordinary` ordinary ones.
     fn retain_sendable(&self, changes: &mut Vec<WeightChange>, max_ordinary: usize) {
         let mut ordinary = 0;
         changes.retain(|change| {
@@ -103,7 +105,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Publishes what has changed and fits. Returns whether something found no room.
+    /// Publishes the changes that are due and fit into the channel. Returns whether changes were deferred
+    /// because they did not fit.
     pub(super) fn publish_changes(
         &mut self,
         now: Moment,
@@ -123,7 +126,8 @@
         let lines_before = self.channel.backlog.recorded_lines + urgent_lines;
         let mut found_no_room = !batch.is_complete();
         let ordinary_due = ordinary_due && batch.is_complete();
-        // The table that has waited longest goes first, or one that always changes would take all the room.
+        // The table whose last commands are the oldest goes first. Otherwise a table that changes constantly
+        // would use up the channel.
         pending.sort_by_key(|table| self.tables.by_number[&table.table].last_sent);
         for table in pending {
             found_no_room |= self.publish_table(now, limits, table, &batch, ordinary_due);
@@ -133,7 +137,8 @@
         found_no_room
     }
 
-    /// Computes the changes of all tables, and sends those of tables without receivers, which cost nothing.
+    /// Computes the changes of all tables. Returns those of tables with receivers; the others cost no lines
+    /// and are sent immediately.
     fn collect_changes(
         &mut self,
         now: Moment,
@@ -188,8 +193,9 @@
         changes::weight_changes(table, desired, receivers, limits)
     }
 
-    /// Sends the urgent changes of a table that go now, and ordinary ones as far as they are due and fit.
-    /// Returns whether ordinary changes found no room.
+    /// Sends the urgent changes of a table that are in the batch, and the ordinary changes that fit. Without
+    /// urgent changes in the batch, ordinary ones are sent only if they are due and worth a message. Returns
+    /// whether ordinary changes were deferred because they did not fit.
     fn publish_table(
         &mut self,
         now: Moment,
@@ -218,8 +224,8 @@
         found_no_room
     }
 
-    /// The lines for ordinary changes to each receiver of a table, besides its urgent changes and all
-    /// admission levels.
+    /// The number of lines per receiver that are available for ordinary changes of a table, after its urgent
+    /// changes and all admission levels.
     fn room_for_ordinary(
         &mut self,
         now: Moment,
@@ -228,12 +234,13 @@
         urgent_lines: usize,
     ) -> f64 {
         let total = self.channel.room(now, Urgency::Ordinary, receivers, limits);
-        // Ordinary changes alone pay for the message.
+        // The message overhead counts against ordinary changes only if they are sent alone.
         let committed = if urgent_lines == 0 { limits.message_overhead } else { urgent_lines as f64 };
         total / receivers.len() as f64 - committed - self.admission.levels.len() as f64
     }
 
-    /// Sends changes of a table and marks them as published; with them the admission levels that changed.
+    /// Sends changes of a table and marks them as published. `with_admission` includes the admission levels
+    /// that changed.
     pub(super) fn send_changes(
         &mut self,
         now: Moment,
@@ -246,7 +253,7 @@
         let mut commands: u32 = 0;
         let mut restored = 0;
         for WeightChange { id, weight, .. } in changes {
-            // An endpoint that returns is restored with its first weight and not before: it may be cold.
+            // A returning endpoint may be cold, so its ejection is not lifted before its new weight is sent.
             let endpoint = self.endpoints.get_mut(&id);
             if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.ejected && endpoint.is_ready()) {
                 endpoint.mark_restored();
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,9 +1,9 @@
-//! Shards of keys: which endpoint serves each, and how a shard with a single writer changes hands.
+//! Assignment of key shards to endpoints, and the handover of shards with a single writer.
 //!
-//! [`Controller`] publishes the shards at the end of each event where the deployment has any; there are no
-//! route tables of zones then. A shard stays where it is while an endpoint of its table is usable. With a
-//! single writer, writes to a shard stop before it moves, until those in flight or sent under a lease have
-//! ended.
+//! If the deployment has shards, [`Controller`] publishes them at the end of each event instead of the route
+//! tables of zones. A shard stays at its endpoint while an endpoint of its table is usable. With a single
+//! writer, writes to a shard are stopped before it moves, until writes that are in flight or were sent under
+//! a lease have ended.
 
 use super::admission::RETRY_POLICY;
 use super::slow_start::{slow_start_weights, EndpointWeight};
@@ -12,48 +12,49 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// Writes are stopped for so many times as long as one may be in flight or sent under a lease.
+/// How long writes are stopped for a handover, as a multiple of the longest time for which a write may be in
+/// flight or be sent under a lease.
 const HANDOVER_MARGIN: f64 = 1.5;
 
-/// A shard as it was published.
+/// The published state of a shard.
 #[derive(Default)]
 pub(super) struct Shard {
     weights: BTreeMap<EndpointId, f64>,
-    /// Since when its writes are stopped for a handover.
+    /// When its writes were stopped for a handover; `None` if none is in progress.
     handover_since: Option<Moment>,
 }
 
-/// The shards that this controller publishes, by number.
+/// The shards that this controller publishes, by shard number.
 #[derive(Default)]
 pub(super) struct ShardMap {
     by_number: BTreeMap<u32, Shard>,
 }
 
 impl ShardMap {
-    /// A shard is to be published from here, and nothing is known of it.
+    /// Adds a shard that this controller is to publish, without any weights.
     pub(super) fn assign(&mut self, shard: u32) {
         self.by_number.insert(shard, Shard::default());
     }
 
-    /// A shard has this weight already.
+    /// Records an already published weight of a shard.
     pub(super) fn restore_weight(&mut self, shard: u32, id: &EndpointId, weight: f64) {
         self.by_number.entry(shard).or_default().weights.insert(id.clone(), weight);
     }
 
-    /// A shard is published from elsewhere.
+    /// Removes a shard that this controller no longer publishes.
     pub(super) fn revoke(&mut self, shard: u32) {
         self.by_number.remove(&shard);
     }
 }
 
-/// The endpoints that may be given a shard, drawn by weight.
+/// The endpoints that a shard may be assigned to, for selection by weight.
 struct UsableEndpoints {
     weights: BTreeMap<EndpointId, EndpointWeight>,
     total: f64,
 }
 
 impl UsableEndpoints {
-    /// The endpoint at a part of the summed weight, 0 to 1.
+    /// The endpoint at a fraction, from 0 to 1, of the cumulative weight.
     fn at(&self, part: f64) -> Option<&EndpointId> {
         let mut remaining = self.total * part;
         for (id, endpoint) in &self.weights {
@@ -67,7 +68,7 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Ejects and restores endpoints, and moves the shards whose endpoints left.
+    /// Ejects and restores endpoints, and moves the shards that no longer have a usable endpoint.
     pub(super) fn publish_shards(&mut self, now: Moment) {
         self.update_ejections();
         let usable = self.usable_endpoints(now);
@@ -127,7 +128,7 @@
         shard.weights.insert(id.clone(), 1.0);
     }
 
-    /// How long writes are stopped before a shard with a single writer moves.
+    /// The time for which writes are stopped before a shard with a single writer moves.
     fn handover_time(&self) -> Span {
         let in_flight = self.config.max_transit + self.config.lease + self.config.settle_time;
         in_flight * HANDOVER_MARGIN
--- a/src/controller/test_support.rs
+++ b/src/controller/test_support.rs
@@ -1,10 +1,10 @@
-//! Test support that reaches into the controller's state.
+//! Test helpers that access the private state of the controller.
 
 use crate::config::ControllerConfig;
 use crate::testing::{config, running, TestController};
 
-/// A controller of thirty assigned proxies and endpoints "10" to below `end`, more than the channel carries
-/// at once.
+/// Returns a running controller with 30 assigned proxies and the endpoints "10" up to but excluding `end`.
+/// With a large `end`, the channel can't take the changes of all endpoints at once.
 pub(super) fn running_crowded(message_overhead_lines: f64, end: u32) -> TestController {
     let ids: Vec<String> = (10..end).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -1,19 +1,19 @@
-//! The timers that are scheduled and have not fired, so that none is scheduled twice.
+//! Tracks scheduled timers that have not fired yet, so that none is scheduled twice.
 
 use crate::host::Timer;
 use std::collections::BTreeSet;
 
-/// Timers on their way.
+/// The timers that are scheduled and have not fired yet.
 #[derive(Default)]
 pub(super) struct PendingTimers(BTreeSet<Timer>);
 
 impl PendingTimers {
-    /// Marks a timer as scheduled; false where it is on its way already.
+    /// Marks a timer as scheduled. Returns false if it is already pending.
     pub(super) fn start(&mut self, timer: Timer) -> bool {
         self.0.insert(timer)
     }
 
-    /// A timer fired.
+    /// Marks a timer as fired.
     pub(super) fn fired(&mut self, timer: Timer) {
         self.0.remove(&timer);
     }
