--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -17,22 +17,22 @@
 /// The width of the uniform jitter of the heartbeat interval, as a fraction of the mean.
 const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
 /// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
-const FIRST_ASSIGNMENT_BUDGET: Span = Span::from_us(5_000_000);
+const FIRST_ASSIGNMENT_TIMEOUT: Span = Span::from_us(5_000_000);
 /// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
 /// handled together: the fraction of traffic that a table keeps in its zone depends on all of them.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
 /// The fraction of known endpoints that must have left before assignments take priority: the stale tables of
 /// unassigned proxies may then soon hold no usable endpoint.
-const THIN_TABLES_FRACTION: f64 = 0.2;
+const ASSIGNMENT_PRIORITY_FRACTION: f64 = 0.2;
 /// A queue of at most this many lines accepts an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
     /// Whether assignments take priority over ordinary weight changes, because so many endpoints left that
     /// stale tables may soon hold no usable endpoint.
-    pub(super) fn assignments_go_first(&self) -> bool {
+    pub(super) fn assignments_take_priority(&self) -> bool {
         let left = self.endpoints.unready_count() as f64;
-        left > self.endpoints.len() as f64 * THIN_TABLES_FRACTION && self.proxies.any_unassigned()
+        left > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
     }
 
     /// Assigns the waiting proxies that are eligible. Proxies that still use their initial table come first,
@@ -43,14 +43,14 @@
             let proxy = &self.proxies.joined[&number];
             let table = proxy.table;
             let waited = now - proxy.joined;
-            let budget_is_spent = proxy.has_initial_table && waited >= FIRST_ASSIGNMENT_BUDGET;
+            let has_timed_out = proxy.has_initial_table && waited >= FIRST_ASSIGNMENT_TIMEOUT;
             let queued = self.channel.backlog.queued_lines(now);
             let message = limits.message_overhead + self.tables.by_number[&table].assignment_lines();
             if waited < JOIN_COLLECTION_TIME || queued > IDLE_QUEUE_LINES && queued + message > max_lines {
-                self.recheck_soon();
-            } else if budget_is_spent || self.tables.is_usable(table, &self.endpoints) {
+                self.schedule_recheck();
+            } else if has_timed_out || self.tables.is_usable(table, &self.endpoints) {
                 self.assign(now, number, limits);
-            } else if self.timers.start(Timer::Heartbeat) {
+            } else if self.timers.mark_scheduled(Timer::Heartbeat) {
                 let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
                 self.host.schedule_timer(HEARTBEAT_INTERVAL * jitter, Timer::Heartbeat);
             }
--- a/src/controller/assignment/tests.rs
+++ b/src/controller/assignment/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_first_assignment_is_made_once_the_budget_is_spent() {
+fn a_first_assignment_is_made_after_the_timeout() {
     let mut controller = running(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 9, 10.0, true);
     controller.timer_fired(at(6.5), Timer::Heartbeat);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn proxies_with_thin_tables_are_assigned_before_changes_go() {
+fn assignments_take_priority_over_changes_once_many_endpoints_left() {
     let mut controller = running(config(), &["a", "b", "c"], 1);
     controller.endpoints.get_mut("a").unwrap().state = EndpointState::Removed;
     controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -22,16 +22,16 @@
 const MIN_WARM_RATIO: f64 = 1.001;
 /// A cold endpoint whose published weight exceeds the desired one by more than this ratio has restarted, so
 /// the change is urgent.
-const URGENT_COLD_RATIO: f64 = 2.0;
+const RESTART_RATIO: f64 = 2.0;
 /// The smallest difference worth sending, as a multiple of the table's mean weight, per second that the
 /// channel needs to send one line to all receivers of the table.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
 /// The longest time for which a table whose endpoints all disappeared from the list keeps its weights.
-const MAX_CARRY_TIME: Span = HEARTBEAT_INTERVAL;
+const MAX_RETENTION_TIME: Span = HEARTBEAT_INTERVAL;
 /// The fraction of the drain grace for which such a table may keep its weights, where the grace also binds
 /// for removed endpoints.
-const CARRY_GRACE_FRACTION: f64 = 0.6;
+const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
 /// A weight to set for one endpoint of a table.
 pub(super) struct WeightChange {
@@ -60,7 +60,7 @@
     receivers: usize,
     limits: &ChannelLimits,
 ) -> Vec<WeightChange> {
-    let secs_per_line = limits.secs_for(receivers as f64);
+    let secs_per_line = limits.transmission_secs(receivers as f64);
     let sum = desired.values().map(|desired| desired.weight).sum::<f64>();
     let mean = sum / desired.len().max(1) as f64;
     let min_difference = mean * secs_per_line * MIN_DIFFERENCE_PER_SEC;
@@ -71,7 +71,7 @@
         let difference = (published - weight).abs();
         let differs = ratio > MIN_WARMING_RATIO || is_warm && ratio > MIN_WARM_RATIO;
         if differs && (difference > min_difference || published == 0.0) {
-            let restarted = !is_warm && published > URGENT_COLD_RATIO * weight;
+            let restarted = !is_warm && published > RESTART_RATIO * weight;
             let is_urgent = table.weights.is_empty() || restarted;
             changes.push(WeightChange { id, weight, is_urgent, difference });
         }
@@ -92,18 +92,19 @@
 }
 
 /// Whether a table without desired weights keeps its published weights for now. Records when this began.
-pub(super) fn is_carried(
+pub(super) fn retains_weights(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
     config: &ControllerConfig,
     now: Moment,
 ) -> bool {
-    let within_grace = config.drain_grace * CARRY_GRACE_FRACTION - config.max_transit;
-    let max_time = if config.removal_not_binding { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
+    let within_grace = config.drain_grace * RETENTION_GRACE_FRACTION - config.max_transit;
+    let max_time =
+        if config.removal_not_binding { MAX_RETENTION_TIME } else { MAX_RETENTION_TIME.min(within_grace) };
     let still_answers = |id: &EndpointId| {
         endpoints.get(id).is_some_and(|endpoint| {
             endpoint.state == EndpointState::Removed
-                && endpoint.last_answered.is_some_and(|at| now - at < MAX_CARRY_TIME)
+                && endpoint.last_answered.is_some_and(|at| now - at < MAX_RETENTION_TIME)
         })
     };
     if table.carried_since.is_none() && table.weights.keys().any(still_answers) {
--- a/src/controller/changes/tests.rs
+++ b/src/controller/changes/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_table_whose_endpoints_vanished_but_still_answer_is_carried() {
+fn a_table_whose_endpoints_vanished_but_still_answer_keeps_its_weights() {
     let mut controller = running(config(), &["a"], 1);
     controller.endpoints.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoint_list_replaced(at(2.0), &[]);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_carried_table_ends_within_the_drain_grace() {
+fn retained_weights_are_removed_within_the_drain_grace() {
     let mut controller = running(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.last_answered = Some(at(1.5));
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -20,16 +20,16 @@
 const URGENT_BURST: usize = 3;
 /// The length of the queue that ordinary commands may fill, in maximum transit times of the channel: long
 /// enough to keep the channel busy until acknowledgements have returned.
-const ORDINARY_TRANSITS: f64 = 3.0;
+const ORDINARY_QUEUE_TRANSITS: f64 = 3.0;
 /// The fraction of the configured channel rate at which lines are assumed to leave the channel while no
 /// acknowledgements arrive.
-const RELIED_ON_RATE_FRACTION: f64 = 0.04;
+const UNACKNOWLEDGED_RATE_FRACTION: f64 = 0.04;
 /// The fraction of the queue above which acknowledgements are requested.
 const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
 /// The fraction of the fleet that may leave at the same time and must be announced within the drain grace.
-const SIMULTANEOUS_LEAVES_FRACTION: f64 = 0.2;
+const SIMULTANEOUS_DEPARTURES_FRACTION: f64 = 0.2;
 /// The fraction of the lines sent within a drain grace that may be used to announce leaving endpoints.
-const LEAVES_GRACE_FRACTION: f64 = 0.78;
+const DEPARTURES_GRACE_FRACTION: f64 = 0.78;
 /// The smallest fraction of the queue that an incomplete batch of urgent commands must fill, since each batch
 /// adds message overhead.
 const MIN_BATCH_QUEUE_FRACTION: f64 = 0.4;
@@ -93,12 +93,12 @@
     }
 
     /// The time that the channel needs to send some lines.
-    pub(super) fn time_for(&self, lines: f64) -> Span {
-        Span::secs(self.secs_for(lines))
+    pub(super) fn transmission_time(&self, lines: f64) -> Span {
+        Span::secs(self.transmission_secs(lines))
     }
 
     /// The time that the channel needs to send some lines, in seconds.
-    pub(super) fn secs_for(&self, lines: f64) -> f64 {
+    pub(super) fn transmission_secs(&self, lines: f64) -> f64 {
         lines / self.rate.max(1.0)
     }
 
@@ -107,15 +107,15 @@
         queued_lines <= self.max_queued_lines * ACKNOWLEDGED_QUEUE_FRACTION
     }
 
-    /// How many of `total` urgent items fit into `room` lines, found by binary search; `cost` must not
+    /// How many of `total` urgent items fit into `available` lines, found by binary search; `cost` must not
     /// decrease with the number of items. Returns 0 if not all items fit and those that do would make a small
     /// batch.
-    pub(super) fn largest_batch(&self, total: usize, room: f64, cost: impl Fn(usize) -> f64) -> usize {
+    pub(super) fn largest_batch(&self, total: usize, available: f64, cost: impl Fn(usize) -> f64) -> usize {
         let mut fits = 0;
         let mut too_many = total + 1;
         while too_many - fits > 1 {
             let middle = (fits + too_many) / 2;
-            if cost(middle) <= room {
+            if cost(middle) <= available {
                 fits = middle;
             } else {
                 too_many = middle;
@@ -129,8 +129,8 @@
 }
 
 /// The number of lines that may be used to announce leaving endpoints within the drain grace.
-fn lines_for_leaves(config: &ControllerConfig) -> f64 {
-    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * LEAVES_GRACE_FRACTION
+fn departure_lines(config: &ControllerConfig) -> f64 {
+    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * DEPARTURES_GRACE_FRACTION
 }
 
 /// The maximum number of endpoints in a table. Even if all proxies are joined to this controller, the channel
@@ -140,8 +140,8 @@
     let proxies = f64::from(config.proxy_count.max(1));
     let mut by_lines = f64::INFINITY;
     if config.channel_rate * config.max_queued_lines > 0.0 {
-        let lines_per_proxy = lines_for_leaves(config) / 2.0 / proxies - config.message_overhead_lines;
-        by_lines = lines_per_proxy / SIMULTANEOUS_LEAVES_FRACTION;
+        let lines_per_proxy = departure_lines(config) / 2.0 / proxies - config.message_overhead_lines;
+        by_lines = lines_per_proxy / SIMULTANEOUS_DEPARTURES_FRACTION;
     }
     let connections = f64::from(config.min_endpoint_connections) * endpoints.ready().count() as f64 / proxies;
     let by_connections = if connections > 0.0 { connections } else { f64::INFINITY };
@@ -150,11 +150,11 @@
 }
 
 fn max_ordinary_lines(config: &ControllerConfig, largest_table: usize) -> f64 {
-    let leaves_per_table = largest_table as f64 * SIMULTANEOUS_LEAVES_FRACTION;
-    let reserved = f64::from(config.proxy_count) * (config.message_overhead_lines + leaves_per_table);
-    let in_transit = (config.max_transit * ORDINARY_TRANSITS).as_secs() * config.channel_rate;
-    let least = config.max_queued_lines * MAX_QUEUE_FRACTION * MIN_ORDINARY_QUEUE_FRACTION;
-    (lines_for_leaves(config) / LEAVES_GRACE_FRACTION - reserved).min(in_transit).max(least)
+    let departures_per_table = largest_table as f64 * SIMULTANEOUS_DEPARTURES_FRACTION;
+    let reserved = f64::from(config.proxy_count) * (config.message_overhead_lines + departures_per_table);
+    let in_transit = (config.max_transit * ORDINARY_QUEUE_TRANSITS).as_secs() * config.channel_rate;
+    let minimum = config.max_queued_lines * MAX_QUEUE_FRACTION * MIN_ORDINARY_QUEUE_FRACTION;
+    (departure_lines(config) / DEPARTURES_GRACE_FRACTION - reserved).min(in_transit).max(minimum)
 }
 
 /// Tracks what is queued in the channel and decides whether more may be sent.
@@ -165,7 +165,7 @@
 impl Channel {
     /// Creates a channel with an empty queue.
     pub(super) fn new(config: &ControllerConfig) -> Self {
-        Channel { backlog: ChannelBacklog::new(config.channel_rate * RELIED_ON_RATE_FRACTION) }
+        Channel { backlog: ChannelBacklog::new(config.channel_rate * UNACKNOWLEDGED_RATE_FRACTION) }
     }
 
     /// Whether the queue is short enough for urgent commands. Sending them behind a long queue does not make
@@ -177,7 +177,7 @@
 
     /// The number of lines that may be sent now, in total for all of these proxies. Returns 0 if one of them
     /// may not be sent a message.
-    pub(super) fn room(
+    pub(super) fn available_lines(
         &mut self,
         now: Moment,
         urgency: Urgency,
@@ -190,9 +190,9 @@
         }
         let queued = self.backlog.queued_lines(now);
         // An empty queue accepts a short message to every proxy, whatever the limits.
-        let least =
+        let minimum =
             if queued < EMPTY_QUEUE_LINES { proxies.len() as f64 * limits.min_message_lines } else { 0.0 };
-        (limits.max_lines(urgency) - queued).max(least)
+        (limits.max_lines(urgency) - queued).max(minimum)
     }
 
     /// Whether a proxy may be sent a message now. A few urgent messages may follow each other immediately;
@@ -208,10 +208,10 @@
         match urgency {
             Urgency::Ordinary => (count as f64) < limits.max_pushes as f64 * ORDINARY_PUSH_FRACTION,
             Urgency::Urgent => {
-                let paced_pushes = limits.max_pushes.saturating_sub(URGENT_BURST).max(1);
-                let pace = limits.push_window * (1.0 / paced_pushes as f64);
-                let is_paced = latest.is_some_and(|latest| now - latest >= pace);
-                count < limits.max_pushes && (count < URGENT_BURST || is_paced)
+                let spaced_pushes = limits.max_pushes.saturating_sub(URGENT_BURST).max(1);
+                let min_interval = limits.push_window * (1.0 / spaced_pushes as f64);
+                let interval_has_elapsed = latest.is_some_and(|latest| now - latest >= min_interval);
+                count < limits.max_pushes && (count < URGENT_BURST || interval_has_elapsed)
             }
         }
     }
--- a/src/controller/channel/tests.rs
+++ b/src/controller/channel/tests.rs
@@ -6,9 +6,9 @@
 use crate::time::{Moment, Span};
 
 /// The number of lines that may be sent to proxy 0.
-fn room(controller: &mut TestController, now: Moment, urgency: Urgency) -> f64 {
+fn available_lines(controller: &mut TestController, now: Moment, urgency: Urgency) -> f64 {
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
-    controller.channel.room(now, urgency, &[0], &limits)
+    controller.channel.available_lines(now, urgency, &[0], &limits)
 }
 
 #[test]
@@ -17,8 +17,8 @@
     for secs in 1..=6 {
         controller.channel.backlog.record(at(f64::from(secs)), 0, 1.0, 0.0);
     }
-    assert_eq!(room(&mut controller, at(7.0), Urgency::Ordinary), 0.0);
-    assert!(room(&mut controller, at(8.5), Urgency::Urgent) > 0.0);
+    assert_eq!(available_lines(&mut controller, at(7.0), Urgency::Ordinary), 0.0);
+    assert!(available_lines(&mut controller, at(8.5), Urgency::Urgent) > 0.0);
 }
 
 #[test]
@@ -36,8 +36,8 @@
     let mut controller = running(config(), &["a"], 1);
     controller.channel.backlog = ChannelBacklog::default();
     controller.channel.backlog.record(at(2.0), 0, 895.0, 0.0);
-    assert!(room(&mut controller, at(2.0), Urgency::Ordinary) < 1.0);
-    assert!(room(&mut controller, at(2.0), Urgency::Urgent) > 4.0);
+    assert!(available_lines(&mut controller, at(2.0), Urgency::Ordinary) < 1.0);
+    assert!(available_lines(&mut controller, at(2.0), Urgency::Urgent) > 4.0);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_configuration_without_limits_stops_nothing() {
+fn a_configuration_without_limits_defers_nothing() {
     let unlimited = ControllerConfig {
         max_queued_lines: 0.0,
         channel_rate: 0.0,
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -14,7 +14,7 @@
 const RESEND_DELAY: Span = Span::from_us(50_000);
 /// Outstanding acknowledgements count as lost after the time that the channel needs to send its queue plus
 /// this many maximum transit times.
-const ACKNOWLEDGEMENT_TRANSITS: f64 = 2.0;
+const ACKNOWLEDGEMENT_TIMEOUT_TRANSITS: f64 = 2.0;
 
 /// The delivery state of the latest commands.
 #[derive(Default)]
@@ -47,9 +47,10 @@
     /// Assigns a randomly chosen proxy again if all outstanding acknowledgements must have been lost.
     pub(super) fn recover_acknowledgements(&mut self, now: Moment, limits: &ChannelLimits) {
         let queued = self.channel.backlog.queued_lines(now);
-        let expected_within = limits.time_for(queued) + self.config.max_transit * ACKNOWLEDGEMENT_TRANSITS;
-        let silence = now - self.channel.backlog.last_activity;
-        if queued <= limits.max_lines(Urgency::Ordinary) || silence <= expected_within {
+        let timeout =
+            limits.transmission_time(queued) + self.config.max_transit * ACKNOWLEDGEMENT_TIMEOUT_TRANSITS;
+        let inactive_for = now - self.channel.backlog.last_activity;
+        if queued <= limits.max_lines(Urgency::Ordinary) || inactive_for <= timeout {
             return;
         }
         let usable = self.proxies.matching(|proxy| self.tables.is_usable(proxy.table, &self.endpoints));
--- a/src/controller/delivery/tests.rs
+++ b/src/controller/delivery/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn where_all_acknowledgements_are_lost_one_proxy_is_assigned_anew() {
+fn if_all_acknowledgements_are_lost_one_proxy_is_assigned_again() {
     let config = ControllerConfig { max_transit: Span::secs(0.1), ..config() };
     let mut controller = running(config, &["a", "b"], 2);
     controller.channel.backlog.record(at(2.0), 0, 400.0, 0.0);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_was_held_back_behind_lost_commands_goes_once_they_are_accepted() {
+fn deferred_commands_are_sent_once_the_lost_ones_are_accepted() {
     let mut controller = running(config(), &["a", "b"], 1);
     controller.commands_lost(at(2.0), false);
     controller.endpoints_updated(at(2.0), &[draining("a")]);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn commands_that_may_have_arrived_count_twice() {
+fn commands_that_may_have_arrived_are_queued_twice() {
     let mut controller = running(config(), &["a", "b"], 1);
     let queued = controller.channel.backlog.queued_lines(at(0.2));
     controller.commands_lost(at(0.2), true);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn lost_commands_that_reach_no_proxy_wait_for_no_lines() {
+fn lost_commands_without_receivers_are_resent_without_extra_delay() {
     let mut controller = running(config(), &["a", "b"], 1);
     let recorded = controller.channel.backlog.recorded_lines;
     controller.issue_commands(at(1.0));
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -36,7 +36,7 @@
 impl<H: Host> Controller<H> {
     /// Records since when ejections are pending while they can't be sent because lost commands are waiting
     /// to be resent, so that the waiting time counts towards the collection time.
-    pub(super) fn note_pending_ejections(&mut self, now: Moment) {
+    pub(super) fn track_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
             self.ejection.pending_since.get_or_insert(now);
@@ -60,22 +60,22 @@
         let is_idle = limits.is_nearly_idle(total_cost + self.channel.backlog.queued_lines(now));
         if !is_idle && total_cost > 0.0 && now - since < collection_time {
             self.ejection.pending_since = Some(since);
-            self.recheck_soon();
+            self.schedule_recheck();
             return false;
         }
         let unassigned = self.proxies.matching(|proxy| !proxy.is_assigned);
-        let room = self.channel.room(now, Urgency::Urgent, &unassigned, limits);
+        let available = self.channel.available_lines(now, Urgency::Urgent, &unassigned, limits);
         let cost = |count| self.ejection_cost(count, limits);
-        let count = if is_queue_short { limits.largest_batch(leaving.len(), room, cost) } else { 0 };
+        let count = if is_queue_short { limits.largest_batch(leaving.len(), available, cost) } else { 0 };
         for id in &leaving[..count] {
             let endpoint = self.endpoints.get_mut(id).expect("leaving endpoints are registered");
             endpoint.mark_ejected();
             self.host.eject_endpoint(id);
         }
         self.record_ejections(now, count, limits);
-        let found_no_room = count < leaving.len();
-        self.ejection.pending_since = found_no_room.then_some(since);
-        found_no_room
+        let has_deferred = count < leaving.len();
+        self.ejection.pending_since = has_deferred.then_some(since);
+        has_deferred
     }
 
     /// The endpoints that left, are in no table and are not ejected from all proxies, in the order in which
--- a/src/controller/ejection/tests.rs
+++ b/src/controller/ejection/tests.rs
@@ -1,5 +1,5 @@
 use crate::channel_backlog::ChannelBacklog;
-use crate::controller::test_support::running_crowded;
+use crate::controller::test_support::running_large_fleet;
 use crate::host::{EndpointState, Timer};
 use crate::testing::{at, config, draining, eject, ready, restore, running};
 
@@ -15,8 +15,8 @@
 }
 
 #[test]
-fn the_clock_of_an_ejection_runs_while_lost_commands_hold_it_back() {
-    let mut controller = running_crowded(3.0, 20);
+fn the_collection_time_of_ejections_includes_waiting_for_lost_commands() {
+    let mut controller = running_large_fleet(3.0, 20);
     controller.channel.backlog = ChannelBacklog::default();
     controller.commands_lost(at(2.0), false);
     for proxy in controller.proxies.joined.values_mut() {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -148,7 +148,7 @@
         // Until it is assigned, the proxy uses a table that this controller did not publish and that may
         // contain endpoints that have left.
         self.endpoints.reset_ejected_everywhere();
-        self.recheck_soon();
+        self.schedule_recheck();
     }
 
     /// Handles a proxy that left or whose stream broke.
@@ -188,7 +188,7 @@
 
     /// Handles a timer that was scheduled through [`Host::schedule_timer`] and fired.
     pub fn timer_fired(&mut self, now: Moment, timer: Timer) {
-        self.timers.fired(timer);
+        self.timers.mark_fired(timer);
         match timer {
             Timer::WatchRetry => self.host.watch_endpoints(),
             Timer::Resend => self.host.resend_commands(),
@@ -216,13 +216,13 @@
     /// Handles a rejected table assignment: the proxy is assigned again as if it had just joined.
     pub fn assignment_rejected(&mut self, now: Moment, proxy: u32) {
         self.proxies.unassign(now, proxy);
-        self.recheck_soon();
+        self.schedule_recheck();
     }
 
     /// Handles a rejected endpoint weight: it counts as unpublished and is sent again with the next changes.
     pub fn weight_rejected(&mut self, table: u32, id: &EndpointId) {
         self.tables.remove_weight(table, id);
-        self.recheck_soon();
+        self.schedule_recheck();
     }
 
     /// Makes this controller responsible for publishing a shard.
@@ -288,7 +288,7 @@
     /// Issues all commands that are due and that the channel can take.
     fn issue_commands(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
-            self.note_pending_ejections(now);
+            self.track_pending_ejections(now);
             return;
         }
         if self.config.shards > 0 {
@@ -298,11 +298,11 @@
         self.delivery.last_commands = now;
         let limits = ChannelLimits::new(&self.config, &self.endpoints);
         let is_queue_short = self.channel.is_queue_short(now, &limits);
-        let ordinary_due = self.publication.is_due(now) && !self.assignments_go_first();
-        let changes_wait = self.publish_changes(now, &limits, ordinary_due, is_queue_short);
-        let ejections_wait = self.eject_from_stale_tables(now, &limits, is_queue_short);
-        if changes_wait || ejections_wait {
-            self.recheck_soon();
+        let ordinary_due = self.publication.is_due(now) && !self.assignments_take_priority();
+        let changes_deferred = self.publish_changes(now, &limits, ordinary_due, is_queue_short);
+        let ejections_deferred = self.eject_from_stale_tables(now, &limits, is_queue_short);
+        if changes_deferred || ejections_deferred {
+            self.schedule_recheck();
         } else {
             self.assign_waiting(now, &limits);
         }
@@ -311,8 +311,8 @@
     }
 
     /// Schedules a recheck unless one is already pending.
-    fn recheck_soon(&mut self) {
-        if self.timers.start(Timer::Recheck) {
+    fn schedule_recheck(&mut self) {
+        if self.timers.mark_scheduled(Timer::Recheck) {
             self.host.schedule_timer(RECHECK_DELAY, Timer::Recheck);
         }
     }
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -89,8 +89,8 @@
     }
 
     /// The numbers of the joined proxies that satisfy a predicate, in ascending order.
-    pub(super) fn matching(&self, property: impl Fn(&Proxy) -> bool) -> Vec<u32> {
-        self.joined.iter().filter(|(_, proxy)| property(proxy)).map(|(number, _)| *number).collect()
+    pub(super) fn matching(&self, predicate: impl Fn(&Proxy) -> bool) -> Vec<u32> {
+        self.joined.iter().filter(|(_, proxy)| predicate(proxy)).map(|(number, _)| *number).collect()
     }
 
     /// Whether any joined proxy is not assigned to its table yet.
--- a/src/controller/proxies/tests.rs
+++ b/src/controller/proxies/tests.rs
@@ -4,7 +4,7 @@
 /// When the event stream is reopened, all proxies join again without having left, and the relay goes on
 /// sending them the changes of their tables. The lines of these changes must still be recorded.
 #[test]
-fn lines_to_proxies_that_are_announced_again_are_still_counted() {
+fn lines_to_proxies_that_join_again_are_still_counted() {
     let mut controller = running(config(), &["a", "b"], 4);
     for proxy in 0..4 {
         controller.proxy_joined(at(1.0), proxy, 0, 10.0, false);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_was_queued_for_a_proxy_that_left_is_queued_no_longer() {
+fn lines_for_a_proxy_that_left_are_no_longer_queued() {
     let mut controller = running(config(), &["a"], 2);
     controller.channel.backlog.record(at(2.0), 1, 400.0, 0.0);
     let queued = controller.channel.backlog.queued_lines(at(2.0));
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -39,7 +39,7 @@
     }
 
     /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
-    fn sent(&mut self, now: Moment, busy_secs: f64) {
+    fn record_sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
             self.batched_until = now + Span::secs(busy_secs * BATCHING_FACTOR);
         }
@@ -117,24 +117,25 @@
         let receivers = self.proxies.matching(|proxy| proxy.receives_updates);
         let mut pending = self.collect_changes(now, limits, &receivers);
         let mut batch = UrgentBatch::new(&pending, &self.endpoints);
-        let room = self.channel.room(now, Urgency::Urgent, &receivers, limits);
+        let available = self.channel.available_lines(now, Urgency::Urgent, &receivers, limits);
         let cost = |size| batch.cost(size, &pending, limits.message_overhead);
-        let size = if is_queue_short { limits.largest_batch(batch.positions.len(), room, cost) } else { 0 };
+        let size =
+            if is_queue_short { limits.largest_batch(batch.positions.len(), available, cost) } else { 0 };
         let urgent_lines = if size > 0 { cost(size) } else { 0.0 };
         batch.size = size;
 
         let lines_before = self.channel.backlog.recorded_lines + urgent_lines;
-        let mut found_no_room = !batch.is_complete();
+        let mut has_deferred = !batch.is_complete();
         let ordinary_due = ordinary_due && batch.is_complete();
         // The table whose last commands are the oldest goes first. Otherwise a table that changes constantly
         // would use up the channel.
         pending.sort_by_key(|table| self.tables.by_number[&table.table].last_sent);
         for table in pending {
-            found_no_room |= self.publish_table(now, limits, table, &batch, ordinary_due);
+            has_deferred |= self.publish_table(now, limits, table, &batch, ordinary_due);
         }
         let ordinary_lines = self.channel.backlog.recorded_lines - lines_before;
-        self.publication.sent(now, limits.secs_for(ordinary_lines));
-        found_no_room
+        self.publication.record_sent(now, limits.transmission_secs(ordinary_lines));
+        has_deferred
     }
 
     /// Computes the changes of all tables. Returns those of tables with receivers; the others cost no lines
@@ -185,8 +186,8 @@
     ) -> Vec<WeightChange> {
         let Some(table) = self.tables.by_number.get_mut(&number) else { return Vec::new() };
         let desired = table.desired_weights(number, snapshot);
-        if desired.is_empty() && changes::is_carried(table, &self.endpoints, &self.config, now) {
-            self.recheck_soon();
+        if desired.is_empty() && changes::retains_weights(table, &self.endpoints, &self.config, now) {
+            self.schedule_recheck();
             return Vec::new();
         }
         table.carried_since = None;
@@ -205,35 +206,35 @@
         ordinary_due: bool,
     ) -> bool {
         let urgent = table.changes.iter().filter(|change| batch.includes(change)).count();
-        let rest = table.changes.len() - urgent;
+        let ordinary = table.changes.len() - urgent;
         let last_sent = self.tables.by_number[&table.table].last_sent;
         if urgent == 0 && (!ordinary_due || now - last_sent < MIN_PUBLICATION_INTERVAL) {
-            self.recheck_soon();
+            self.schedule_recheck();
             return false;
         }
-        let room = self.room_for_ordinary(now, limits, &table.receivers, urgent);
-        let fitting = room as usize;
-        let found_no_room = fitting < rest;
-        let is_worth_a_message = room >= 0.0 && (!found_no_room || room >= limits.message_overhead);
-        if urgent == 0 && !is_worth_a_message {
-            return found_no_room;
+        let available = self.available_ordinary_lines(now, limits, &table.receivers, urgent);
+        let fitting_lines = available as usize;
+        let has_deferred = fitting_lines < ordinary;
+        let is_worth_sending = available >= 0.0 && (!has_deferred || available >= limits.message_overhead);
+        if urgent == 0 && !is_worth_sending {
+            return has_deferred;
         }
-        let max_ordinary = if batch.is_complete() { fitting } else { 0 };
+        let max_ordinary = if batch.is_complete() { fitting_lines } else { 0 };
         batch.retain_sendable(&mut table.changes, max_ordinary);
         self.send_changes(now, limits, table, batch.is_complete());
-        found_no_room
+        has_deferred
     }
 
     /// The number of lines per receiver that are available for ordinary changes of a table, after its urgent
     /// changes and all admission levels.
-    fn room_for_ordinary(
+    fn available_ordinary_lines(
         &mut self,
         now: Moment,
         limits: &ChannelLimits,
         receivers: &[u32],
         urgent_lines: usize,
     ) -> f64 {
-        let total = self.channel.room(now, Urgency::Ordinary, receivers, limits);
+        let total = self.channel.available_lines(now, Urgency::Ordinary, receivers, limits);
         // The message overhead counts against ordinary changes only if they are sent alone.
         let committed = if urgent_lines == 0 { limits.message_overhead } else { urgent_lines as f64 };
         total / receivers.len() as f64 - committed - self.admission.levels.len() as f64
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::ControllerConfig;
 use crate::controller::channel::ChannelLimits;
 use crate::controller::routing::RouteTable;
-use crate::controller::test_support::running_crowded;
+use crate::controller::test_support::running_large_fleet;
 use crate::host::{EndpointState, RetryPolicy};
 use crate::testing::{
     at, config, draining, eject, ready, ready_since, restore, running, set_weight, Command,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_leaves_at_once_while_ordinary_changes_are_batched() {
+fn a_draining_endpoint_is_removed_at_once_while_ordinary_changes_are_batched() {
     let mut controller = running(config(), &["a", "b"], 1);
     controller.publication.batched_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[draining("a")]);
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn of_many_endpoints_that_left_the_first_goes_first() {
-    let mut controller = running_crowded(3.0, 60);
+fn the_endpoint_that_left_first_is_removed_first() {
+    let mut controller = running_large_fleet(3.0, 60);
     for (k, (_, endpoint)) in controller.endpoints.iter_mut().enumerate() {
         endpoint.state = EndpointState::Draining;
         endpoint.left = at(9.0 - k as f64 / 100.0);
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn more_than_a_queue_holds_goes_in_batches_and_never_waits_for_ever() {
-    let mut controller = running_crowded(10.0, 90);
+fn urgent_changes_that_exceed_the_queue_are_sent_in_batches() {
+    let mut controller = running_large_fleet(10.0, 90);
     for (_, endpoint) in controller.endpoints.iter_mut().skip(1) {
         endpoint.state = EndpointState::Draining;
     }
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn while_urgent_changes_wait_for_room_nothing_else_goes() {
-    let mut controller = running_crowded(3.0, 70);
+fn nothing_else_is_sent_while_urgent_changes_are_deferred() {
+    let mut controller = running_large_fleet(3.0, 70);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.state = EndpointState::Draining;
     }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn no_retry_is_ever_ordered() {
+fn admission_commands_never_allow_retries() {
     let mut controller = running(config(), &["a"], 0);
     controller.tables.by_number.insert(0, RouteTable::new(None));
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -55,8 +55,8 @@
 
 impl UsableEndpoints {
     /// The endpoint at a fraction, from 0 to 1, of the cumulative weight.
-    fn at(&self, part: f64) -> Option<&EndpointId> {
-        let mut remaining = self.total * part;
+    fn endpoint_at(&self, fraction: f64) -> Option<&EndpointId> {
+        let mut remaining = self.total * fraction;
         for (id, endpoint) in &self.weights {
             remaining -= endpoint.weight;
             if remaining < 0.0 {
@@ -106,7 +106,7 @@
         if shard.handover_since.is_none() && is_usable {
             return;
         }
-        let Some(id) = usable.at(self.rng.next_f64()) else { return };
+        let Some(id) = usable.endpoint_at(self.rng.next_f64()) else { return };
         if self.config.single_writer && !shard.weights.is_empty() {
             let since = *shard.handover_since.get_or_insert(now);
             if since == now {
--- a/src/controller/test_support.rs
+++ b/src/controller/test_support.rs
@@ -5,7 +5,7 @@
 
 /// Returns a running controller with 30 assigned proxies and the endpoints "10" up to but excluding `end`.
 /// With a large `end`, the channel can't take the changes of all endpoints at once.
-pub(super) fn running_crowded(message_overhead_lines: f64, end: u32) -> TestController {
+pub(super) fn running_large_fleet(message_overhead_lines: f64, end: u32) -> TestController {
     let ids: Vec<String> = (10..end).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
     let config = ControllerConfig { max_pushes: 0, message_overhead_lines, ..config() };
--- a/src/controller/timers.rs
+++ b/src/controller/timers.rs
@@ -9,12 +9,12 @@
 
 impl PendingTimers {
     /// Marks a timer as scheduled. Returns false if it is already pending.
-    pub(super) fn start(&mut self, timer: Timer) -> bool {
+    pub(super) fn mark_scheduled(&mut self, timer: Timer) -> bool {
         self.0.insert(timer)
     }
 
     /// Marks a timer as fired.
-    pub(super) fn fired(&mut self, timer: Timer) {
+    pub(super) fn mark_fired(&mut self, timer: Timer) {
         self.0.remove(&timer);
     }
 }
