--- a/control-plane/src/event_dispatch.rs
+++ b/control-plane/src/event_dispatch.rs
@@ -28,15 +28,15 @@
         Event::ProxySnapshot { joined } => missing_proxies_left(controller, now, &joined),
         Event::Acknowledged { proxy, number } => {
             if controller.host().fleet().proxies().contains_key(&proxy) {
-                controller.acknowledged(now, number, proxy);
+                controller.commands_acknowledged(now, number, proxy);
             }
         }
         Event::EndpointOutcomes { endpoint, attempts, failures, mean_latency, interval } => {
             if controller.host().fleet().knows_endpoint(&endpoint) {
-                controller.endpoint_outcomes(now, &endpoint, attempts, failures, mean_latency, interval);
+                controller.outcomes_reported(now, &endpoint, attempts, failures, mean_latency, interval);
             }
         }
-        Event::Demand { class, requests } => controller.demand(class, requests),
+        Event::Demand { class, requests } => controller.demand_reported(class, requests),
     }
 }
 
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -128,7 +128,7 @@
                 },
                 Some(acknowledgement) = acknowledgements.recv() => {
                     let Acknowledgement { number, proxy, .. } = acknowledgement;
-                    self.controller.acknowledged(self.clock.now(), number, proxy);
+                    self.controller.commands_acknowledged(self.clock.now(), number, proxy);
                 }
                 () = sleep_until(self.next_report) => self.take_report(),
                 () = sleep_until(next_arrival), if !self.pending_reports.is_empty() => {
@@ -203,7 +203,7 @@
         for outcomes in &report.outcomes {
             let sums = &outcomes.sums;
             let mean_latency_us = sums.answered_us / sums.answered().max(1);
-            self.controller.endpoint_outcomes(
+            self.controller.outcomes_reported(
                 now,
                 &self.endpoint_ids[outcomes.endpoint as usize],
                 sums.attempts as f64,
@@ -213,7 +213,7 @@
             );
         }
         for demand in &report.demand {
-            self.controller.demand(demand.request_class as u32, demand.requests as f64);
+            self.controller.demand_reported(demand.request_class as u32, demand.requests as f64);
         }
     }
 }
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -104,11 +104,11 @@
             let answered = outcomes.attempts - outcomes.failed;
             let mean_latency = Span::from_us((outcomes.latency_us / u64::from(answered.max(1))) as i64);
             let (attempts, failed) = (f64::from(outcomes.attempts), f64::from(outcomes.failed));
-            controller.endpoint_outcomes(moment(self.now), id, attempts, failed, mean_latency, interval);
+            controller.outcomes_reported(moment(self.now), id, attempts, failed, mean_latency, interval);
         }
         for (class, requests) in (0..).zip(&report.demand) {
             if *requests > 0 {
-                controller.demand(class, f64::from(*requests));
+                controller.demand_reported(class, f64::from(*requests));
             }
         }
         self.schedule_controller_output(number);
@@ -194,7 +194,7 @@
     /// An acknowledgement reaches its instance, unless the proxy's stream has ended meanwhile.
     pub(crate) fn deliver_acknowledgement(&mut self, instance: u32, number: u32, proxy: u32, stream: u32) {
         if self.proxies[proxy as usize].stream == stream {
-            self.notify(instance, |controller, now| controller.acknowledged(now, number, proxy));
+            self.notify(instance, |controller, now| controller.commands_acknowledged(now, number, proxy));
         }
     }
 }
--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -119,9 +119,9 @@
             controller.proxy_left(now, proxy);
         }
         Event::EndpointOutcomes { endpoint, attempts, failures, latency, period } => {
-            controller.endpoint_outcomes(now, endpoint, attempts, failures, latency, period);
+            controller.outcomes_reported(now, endpoint, attempts, failures, latency, period);
         }
-        Event::Demand { request_class, requests } => controller.demand(request_class, requests),
+        Event::Demand { request_class, requests } => controller.demand_reported(request_class, requests),
         Event::TimerFired(timer) => controller.timer_fired(now, timer),
         Event::ShardAssigned { shard } => {
             controller.host().validator.set_owned(shard, true);
@@ -135,7 +135,7 @@
             controller.host().validator.add_endpoints([&endpoint].into_iter());
             controller.shard_weight_restored(shard, &endpoint, weight);
         }
-        Event::Acknowledged { number, proxy } => controller.acknowledged(now, number, proxy),
+        Event::Acknowledged { number, proxy } => controller.commands_acknowledged(now, number, proxy),
     }
 }
 
--- a/src/controller/delivery/tests.rs
+++ b/src/controller/delivery/tests.rs
@@ -11,7 +11,7 @@
     }
     controller.timer_fired(at(1.2), Timer::Recheck);
     let queued = controller.channel.backlog.queued_lines(at(1.3));
-    controller.acknowledged(at(1.3), 1, 7);
+    controller.commands_acknowledged(at(1.3), 1, 7);
     assert_eq!(controller.host.acknowledgement_numbers(), [1]);
     assert!(controller.channel.backlog.queued_lines(at(1.3)) < queued);
 }
@@ -72,7 +72,7 @@
     for n in 0..50 {
         controller.commands_lost(at(1.0 + f64::from(n)), true);
     }
-    controller.acknowledged(at(51.0), 50, 0);
+    controller.commands_acknowledged(at(51.0), 50, 0);
     assert_eq!(controller.host.acknowledgement_numbers().len(), 50);
     assert_eq!(controller.channel.backlog.queued_lines(at(51.0)), 0.0);
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -159,7 +159,7 @@
 
     /// Handles the part of a load report that covers one endpoint: the number of attempts, the number that
     /// failed without an answer, the latency of the answered ones and the interval of the report.
-    pub fn endpoint_outcomes(
+    pub fn outcomes_reported(
         &mut self,
         now: Moment,
         id: &str,
@@ -177,12 +177,12 @@
 
     /// Handles the part of a load report that covers one request class: the number of requests that clients
     /// made.
-    pub fn demand(&mut self, class: u32, requests: f64) {
+    pub fn demand_reported(&mut self, class: u32, requests: f64) {
         self.fleet_load.record_demand(class as usize, requests);
     }
 
     /// Handles a proxy's acknowledgement of the commands with this number.
-    pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
+    pub fn commands_acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
         self.channel.backlog.acknowledged(now, number, proxy);
     }
 
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -27,9 +27,9 @@
 fn after_detection(attempts: f64, failed: f64, latency_secs: f64) -> TestController {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for id in ["b", "c"] {
-        controller.endpoint_outcomes(at(1.0), id, attempts, 0.0, Span::ZERO, Span::ZERO);
+        controller.outcomes_reported(at(1.0), id, attempts, 0.0, Span::ZERO, Span::ZERO);
     }
-    controller.endpoint_outcomes(at(1.0), "a", 2.0, failed, Span::secs(latency_secs), Span::ZERO);
+    controller.outcomes_reported(at(1.0), "a", 2.0, failed, Span::secs(latency_secs), Span::ZERO);
     controller.detect_outliers(at(1.0));
     controller
 }
@@ -38,7 +38,7 @@
 fn two_failed_attempts_suffice_and_keep_an_endpoint_ejected_while_it_fares_badly() {
     let mut controller = after_detection(9.0, 2.0, 0.0);
     assert_eq!((ejection_level(&controller, "a"), controller.fleet_load.median_score), (3, 0.0));
-    controller.endpoint_outcomes(at(9.0), "a", 2.0, 1.0, Span::ZERO, Span::ZERO);
+    controller.outcomes_reported(at(9.0), "a", 2.0, 1.0, Span::ZERO, Span::ZERO);
     controller.detect_outliers(at(9.0));
     let level = ejection_level(&controller, "a");
     assert_eq!(level, 3, "its ejection time is over and it still fares badly");
@@ -97,13 +97,13 @@
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
     endpoint.outlier.level_since = at(5.0);
-    controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
+    controller.outcomes_reported(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
     assert_eq!(controller.endpoints.get("a").unwrap().outlier.outcomes.total(), 0.0);
 }
 
 #[test]
 fn reports_about_endpoints_that_were_never_listed_are_ignored() {
     let mut controller = running(config(), &["a"], 1);
-    controller.endpoint_outcomes(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
+    controller.outcomes_reported(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
     assert_eq!(controller.fleet_load.attempts, 0.0);
 }
