--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -91,7 +91,8 @@
     removals
 }
 
-/// Whether a table without desired weights keeps its published weights for now. Records when this began.
+/// Whether a table without desired weights keeps its published weights for now, because one of its endpoints
+/// was removed from the list although it answered recently. Records when this began.
 pub(super) fn retains_weights(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
