--- a/adapter-support/src/settings.rs
+++ b/adapter-support/src/settings.rs
@@ -1,40 +1,41 @@
-//! Reads the settings that an instance is given at its start into the configuration of the controller. This is the one
-//! place where the names of the settings' fields are mapped to the field's terms.
+//! Reads the settings that an instance is given at startup into the configuration of the controller. This is
+//! the only place that maps the field names of the settings to the fields of `ControllerConfig`.
 
 use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use serde_json::Value;
 
-/// Classes beyond this position have no bit in a `RequestClassSet`.
+/// The number of bits in a `RequestClassSet`; further classes are ignored.
 const MAX_REQUEST_CLASSES: usize = 64;
 
-/// A place in the settings; one that does not exist reads as 0, false, empty text or an empty list.
+/// A value in the settings. A missing value or one of the wrong type reads as 0, false, an empty string or an
+/// empty array.
 #[derive(Clone, Copy)]
 pub struct SettingsReader<'a>(Option<&'a Value>);
 
 impl<'a> SettingsReader<'a> {
-    /// Reads a JSON value.
+    /// A reader of this JSON value.
     pub fn new(value: &'a Value) -> Self {
         SettingsReader(Some(value))
     }
 
-    /// The field of that name.
+    /// The field with this name.
     pub fn field(self, name: &str) -> SettingsReader<'a> {
         SettingsReader(self.0.and_then(|value| value.get(name)))
     }
 
-    /// The elements of a list.
+    /// The elements of an array.
     pub fn elements(self) -> impl Iterator<Item = SettingsReader<'a>> {
         self.0.and_then(Value::as_array).into_iter().flatten().map(|value| SettingsReader(Some(value)))
     }
 
-    /// A whole number of 0 or more; others are clamped to the bounds of the type.
-    pub fn count(self) -> u32 {
+    /// The integer part of a number, clamped to the range of the type.
+    pub fn u32(self) -> u32 {
         self.number().clamp(0.0, f64::from(u32::MAX)) as u32
     }
 
-    /// A text.
-    pub fn text(self) -> &'a str {
+    /// A string.
+    pub fn string(self) -> &'a str {
         self.0.and_then(Value::as_str).unwrap_or("")
     }
 
@@ -46,49 +47,49 @@
         Span::from_us(self.number() as i64)
     }
 
-    fn flag(self) -> bool {
+    fn bool(self) -> bool {
         self.0.and_then(Value::as_bool).unwrap_or(false)
     }
 }
 
-/// The configuration of the controller that the settings of a deployment describe.
+/// The configuration of the controller for a deployment with these settings.
 pub fn controller_config(settings: &SettingsReader) -> ControllerConfig {
     let family = settings.field("familyInfo");
     let guarantees = settings.field("guarantees");
     ControllerConfig {
         request_classes: request_classes(settings),
-        polls_endpoint_list: settings.field("discovery").text() == "ask",
+        polls_endpoint_list: settings.field("discovery").string() == "ask",
         cross_zone_costs: settings.field("charges").field("crossZone").number() > 0.0,
-        admission: match family.field("throttleBy").text() {
+        admission: match family.field("throttleBy").string() {
             "fraction" => AdmissionMode::Fraction,
             "per_second" => AdmissionMode::RatePerSecond,
             _ => AdmissionMode::Unsupported,
         },
-        proxy_ejects_after_failures: family.field("outlierAfter").count(),
-        shards: family.field("slices").count(),
-        single_writer: family.field("singleWriter").flag(),
-        lease: family.field("keepsWritingUs").microseconds(),
-        settle_time: family.field("settleUs").microseconds(),
+        proxy_ejection_threshold: family.field("outlierAfter").u32(),
+        shards: family.field("slices").u32(),
+        single_writer: family.field("singleWriter").bool(),
+        write_lease: family.field("keepsWritingUs").microseconds(),
+        write_settle_time: family.field("settleUs").microseconds(),
         report_interval: family.field("reportEveryUs").microseconds(),
-        proxy_count: family.field("proxyCount").count(),
-        min_endpoint_connections: family.field("minConnCap").count(),
-        initial_table_size: family.field("initialSet").count(),
+        proxy_count: family.field("proxyCount").u32(),
+        min_endpoint_connections: family.field("minConnCap").u32(),
+        initial_table_size: family.field("initialSet").u32(),
         channel_rate: family.field("channelRate").number(),
         message_overhead_lines: family.field("fixedCost").number(),
         max_queued_lines: family.field("mostWaiting").number(),
-        max_pushes: family.field("pushesAllowed").count(),
+        max_pushes: family.field("pushesAllowed").u32(),
         push_window: family.field("reloadSpanUs").microseconds(),
         max_transit: family.field("transitMaxUs").microseconds(),
         drain_grace: guarantees.field("drainGraceUs").microseconds(),
         slow_start_window: guarantees.field("coldUs").microseconds(),
-        removal_not_binding: guarantees.field("removalNotBinding").flag(),
+        drain_grace_excludes_removed: guarantees.field("removalNotBinding").bool(),
     }
 }
 
 fn request_classes(settings: &SettingsReader) -> Vec<RequestClass> {
     let family = settings.field("familyInfo");
     let flag_of_class =
-        |list: &str, k: usize| family.field(list).elements().nth(k).is_some_and(SettingsReader::flag);
+        |list: &str, k: usize| family.field(list).elements().nth(k).is_some_and(SettingsReader::bool);
     let classes = settings.field("classes").elements().take(MAX_REQUEST_CLASSES);
     let request_class = |(k, class): (usize, SettingsReader)| RequestClass {
         latency_objective: class.field("promiseUs").microseconds(),
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -100,8 +100,11 @@
     now: Moment,
 ) -> bool {
     let within_grace = config.drain_grace * RETENTION_GRACE_FRACTION - config.max_transit;
-    let max_time =
-        if config.removal_not_binding { MAX_RETENTION_TIME } else { MAX_RETENTION_TIME.min(within_grace) };
+    let max_time = if config.drain_grace_excludes_removed {
+        MAX_RETENTION_TIME
+    } else {
+        MAX_RETENTION_TIME.min(within_grace)
+    };
     let still_answers = |id: &EndpointId| {
         endpoints.get(id).is_some_and(|endpoint| {
             endpoint.state == EndpointState::Removed
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -94,7 +94,7 @@
 
     /// The time that the channel needs to send some lines.
     pub(super) fn transmission_time(&self, lines: f64) -> Span {
-        Span::secs(self.transmission_secs(lines))
+        Span::from_secs(self.transmission_secs(lines))
     }
 
     /// The time that the channel needs to send some lines, in seconds.
@@ -201,7 +201,7 @@
         if limits.max_pushes == 0 {
             return true;
         }
-        let (count, latest) = self.backlog.messages(now, proxy, limits.push_window);
+        let (count, latest) = self.backlog.recent_messages(now, proxy, limits.push_window);
         if count == 0 || latest == Some(now) {
             return true;
         }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -41,7 +41,7 @@
     /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
     fn record_sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
-            self.batched_until = now + Span::secs(busy_secs * BATCHING_FACTOR);
+            self.batched_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
         }
     }
 }
