--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -1,9 +1,10 @@
-//! Changes: how the desired weights of a route table differ from the published ones, and which differences
-//! are worth sending.
+//! Differences between the desired and the published weights of a route table, and which of them are worth
+//! sending.
 //!
-//! Publication asks here for the changes of every table. Small differences are not worth the lines that they
-//! cost. A table whose endpoints all vanished from the list while they still answer is carried for a while: a
-//! list that drops them all at once is more often wrong than right.
+//! Publication requests the changes of every table from here. Small differences are not worth the lines that
+//! they cost. If all endpoints of a table disappear from the endpoint list while they still answer, the table
+//! keeps its weights for a limited time: a list that drops all of them at once is more likely to be wrong
+//! than right.
 
 use super::assignment::HEARTBEAT_INTERVAL;
 use super::channel::ChannelLimits;
@@ -15,49 +16,51 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The least ratio between old and new weight of an endpoint that is warming up.
+/// The smallest ratio between old and new weight that is sent for an endpoint that is warming up.
 const MIN_WARMING_RATIO: f64 = 1.25;
-/// The least ratio between old and new weight of a warm endpoint.
+/// The smallest ratio between old and new weight that is sent for a warm endpoint.
 const MIN_WARM_RATIO: f64 = 1.001;
-/// A cold endpoint whose weight is too high by more than this ratio restarted: its change is urgent.
-const URGENT_COLD_RATIO: f64 = 2.0;
-/// The least difference worth sending, as a multiple of the mean weight, for each second that a line to all
-/// proxies of the table takes.
+/// A cold endpoint whose published weight exceeds the desired one by more than this ratio has restarted, so
+/// the change is urgent.
+const RESTART_RATIO: f64 = 2.0;
+/// The smallest difference worth sending, as a multiple of the table's mean weight, per second that the
+/// channel needs to send one line to all receivers of the table.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
-/// The longest time for which a table is carried.
-const MAX_CARRY_TIME: Span = HEARTBEAT_INTERVAL;
-/// The fraction of the drain grace for which a table is carried at most.
-const CARRY_GRACE_FRACTION: f64 = 0.6;
+/// The longest time for which a table whose endpoints all disappeared from the list keeps its weights.
+const MAX_RETENTION_TIME: Span = HEARTBEAT_INTERVAL;
+/// The fraction of the drain grace for which such a table may keep its weights, where the grace also binds
+/// for removed endpoints.
+const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
-/// A weight to set in a table.
+/// A weight to set for one endpoint of a table.
 pub(super) struct WeightChange {
     pub(super) id: EndpointId,
     /// The new weight; 0 removes the endpoint.
     pub(super) weight: f64,
-    /// It can't wait: the endpoint left or restarted, or the table was empty.
+    /// Whether the change is urgent: the endpoint left or restarted, or the table was empty.
     pub(super) is_urgent: bool,
-    /// The difference to the published weight.
+    /// The absolute difference from the published weight.
     difference: f64,
 }
 
-/// The changes of one table.
+/// The pending changes of one table.
 pub(super) struct TableChanges {
     pub(super) table: u32,
-    /// The proxies that the changes reach.
+    /// The proxies to which the changes are sent.
     pub(super) receivers: Vec<u32>,
-    /// Urgent changes first, then the largest differences.
+    /// The changes, urgent ones first, then by decreasing difference.
     pub(super) changes: Vec<WeightChange>,
 }
 
-/// The changes that turn the published weights into the desired ones and are worth sending to some receivers.
+/// The changes from the published to the desired weights that are worth sending to this number of receivers.
 pub(super) fn weight_changes(
     table: &RouteTable,
     desired: BTreeMap<EndpointId, EndpointWeight>,
     receivers: usize,
     limits: &ChannelLimits,
 ) -> Vec<WeightChange> {
-    let secs_per_line = limits.secs_for(receivers as f64);
+    let secs_per_line = limits.transmission_secs(receivers as f64);
     let sum = desired.values().map(|desired| desired.weight).sum::<f64>();
     let mean = sum / desired.len().max(1) as f64;
     let min_difference = mean * secs_per_line * MIN_DIFFERENCE_PER_SEC;
@@ -68,7 +71,7 @@
         let difference = (published - weight).abs();
         let differs = ratio > MIN_WARMING_RATIO || is_warm && ratio > MIN_WARM_RATIO;
         if differs && (difference > min_difference || published == 0.0) {
-            let restarted = !is_warm && published > URGENT_COLD_RATIO * weight;
+            let restarted = !is_warm && published > RESTART_RATIO * weight;
             let is_urgent = table.weights.is_empty() || restarted;
             changes.push(WeightChange { id, weight, is_urgent, difference });
         }
@@ -88,20 +91,24 @@
     removals
 }
 
-/// Whether a table that should be empty keeps its weights for now.
-pub(super) fn is_carried(
+/// Whether a table without desired weights keeps its published weights for now, because one of its endpoints
+/// was removed from the list although it answered recently. Records when this began.
+pub(super) fn retains_weights(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
     config: &ControllerConfig,
     now: Moment,
 ) -> bool {
-    let within_grace = config.drain_grace * CARRY_GRACE_FRACTION - config.max_transit;
-    let max_time =
-        if config.drain_grace_excludes_removed { MAX_CARRY_TIME } else { MAX_CARRY_TIME.min(within_grace) };
+    let within_grace = config.drain_grace * RETENTION_GRACE_FRACTION - config.max_transit;
+    let max_time = if config.drain_grace_excludes_removed {
+        MAX_RETENTION_TIME
+    } else {
+        MAX_RETENTION_TIME.min(within_grace)
+    };
     let still_answers = |id: &EndpointId| {
         endpoints.get(id).is_some_and(|endpoint| {
             endpoint.state == EndpointState::Removed
-                && endpoint.last_answered.is_some_and(|at| now - at < MAX_CARRY_TIME)
+                && endpoint.last_answered.is_some_and(|at| now - at < MAX_RETENTION_TIME)
         })
     };
     if table.carried_since.is_none() && table.weights.keys().any(still_answers) {
