--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -1,47 +1,50 @@
 //! Admission control: how much of each request class the proxies admit, and their retry policy.
 //!
-//! [`Controller`](super::Controller) runs [`Admission::shed_load`] once an evaluation; publication sends the
-//! levels. While the fleet is overloaded no more is admitted than it answered of late, the classes of the
-//! highest priority weight first. The limit grows again step by step once the fleet is well. No level falls
-//! below a floor, so that load reports go on covering every class.
+//! [`Controller`](super::Controller) runs [`Admission::shed_load`] once per evaluation; publication sends the
+//! resulting levels. While the fleet is overloaded, the admitted rate is limited to slightly less than the
+//! rate it recently answered, and classes are admitted in descending order of priority weight. Once the fleet
+//! is no longer degraded, the limit grows step by step until it is removed. No level falls below a minimum,
+//! so that load reports keep covering every class.
 
 use super::fleet_load::{FleetLoad, REPORT_DELAY};
 use crate::config::{AdmissionMode, ControllerConfig};
 use crate::host::RetryPolicy;
 use crate::time::Moment;
 
-/// Proxies never retry on our commands: a retry could run a write twice, and would add load to a zone that
-/// has just become full.
+/// The controller always tells proxies not to retry: a retry could execute a write twice, and it would add
+/// load to a zone that has just reached its capacity.
 pub(super) const RETRY_POLICY: RetryPolicy = RetryPolicy::Never;
 
-/// The fraction of what was served that an overloaded fleet is given.
+/// The budget of an overloaded fleet, as a fraction of the rate that it answered.
 const BUDGET_FRACTION_OF_SERVED: f64 = 0.9;
-/// The growth of the budget at each evaluation of a fleet that is well.
+/// The factor by which the budget grows at each evaluation at which the fleet is not degraded.
 const BUDGET_GROWTH: f64 = 1.08;
-/// The budget is lifted once it exceeds the demand so much.
+/// The budget is removed once it reaches this multiple of the demand.
 const BUDGET_LIFTED_AT: f64 = 1.2;
-/// While the joined rate exceeds its mean over the window so much, proxies are still joining.
+/// Proxies are considered to be still joining while the joined rate exceeds this multiple of its mean over
+/// the window.
 const JOINING_GROWTH: f64 = 1.25;
+/// The lowest admission level of any class.
 const MIN_LEVEL: f64 = 0.1;
-/// Changes of a level up to this size are not made.
+/// A level is not changed by this much or less, except back to 1.
 const LEVEL_STEP: f64 = 0.05;
-/// The initial level where levels are rates: admits everything.
+/// The initial level if levels are rates; high enough to admit everything.
 const UNLIMITED_PER_SECOND: f64 = 1e6;
 
-/// The admission levels and the budget that they are computed from.
+/// The admission levels and the budget from which they are computed.
 pub(super) struct Admission {
     /// The level of each request class, in the unit of the configured [`AdmissionMode`].
     pub(super) levels: Vec<f64>,
-    /// Requests a second that are admitted in all; `None`: no limit.
+    /// The total requests per second to admit; `None` means no limit.
     pub(super) budget: Option<f64>,
-    /// The usual request rate of the proxies for which the budget was measured.
+    /// The mean joined rate over the window in which the budget was measured.
     budget_joined_rate: f64,
-    /// When the budget was measured last, or proxies were still joining.
+    /// When the budget was last measured or proxies were last seen joining, whichever is later.
     last_measured: Moment,
 }
 
 impl Admission {
-    /// Admits everything.
+    /// Creates the initial state, which admits everything.
     pub(super) fn new(config: &ControllerConfig) -> Self {
         let all = if config.admission == AdmissionMode::RatePerSecond { UNLIMITED_PER_SECOND } else { 1.0 };
         Admission {
@@ -52,7 +55,8 @@
         }
     }
 
-    /// Adapts budget and levels to the load. `joined_rate` is the usual request rate of the joined proxies.
+    /// Adapts the budget and the levels to the load. `joined_rate` is the summed usual request rate of the
+    /// joined proxies.
     pub(super) fn shed_load(
         &mut self,
         now: Moment,
@@ -75,7 +79,8 @@
         config: &ControllerConfig,
     ) {
         let window = load.window_secs();
-        // Reports cover the proxies that were joined then: while more join, they are no measure for all.
+        // Reports cover only the proxies that were joined at the time. While more are joining, the reports do
+        // not represent the load of all of them.
         if joined_rate * window > load.joined_rates * JOINING_GROWTH {
             self.last_measured = now;
         }
@@ -94,8 +99,9 @@
         if config.admission != AdmissionMode::Fraction {
             return;
         }
-        // The budget was measured for the proxies joined then. It grows with those that come back, or a zone
-        // that was cut off would be rejected for as long as the budget takes to grow.
+        // The budget was measured for the proxies that were joined at the time. It scales up as more of them
+        // join; otherwise the requests of a zone that reconnects would be rejected until the budget has
+        // grown.
         let growth = (joined_rate / self.budget_joined_rate.max(1e-9)).max(1.0);
         let mut remaining = self.budget.map_or(f64::INFINITY, |budget| budget * growth);
         let window = load.window_secs();
--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -18,7 +18,8 @@
     assert!(controller.admission.levels[0] <= MIN_LEVEL && controller.admission.levels[1] == 1.0);
 }
 
-/// A controller three seconds after its start, with a few attempts of the first proxies that joined it.
+/// A controller shortly after its start, evaluated with the given attempts of the proxies that joined first.
+/// All attempts were answered; only the median outlier score indicates overload.
 fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
     let mut controller = running(config(), &["a", "b"], 4);
     let window = Span::secs(2.0);
@@ -44,10 +45,10 @@
 
 #[test]
 fn while_proxies_are_joining_what_was_answered_is_no_measure_for_them() {
-    // 40 requests a second are joined now.
+    // The joined proxies now have a usual load of 40 requests per second, four times the mean.
     let mut controller = just_started(20.0, 10.0);
     assert_eq!(controller.admission.budget, None);
-    // They have been joined for as long as their reports take.
+    // The joined rate stays the same. The budget is measured once reports from all proxies can have arrived.
     controller.fleet_load.joined_rates = 80.0;
     controller.shed_load(at(11.9));
     assert_eq!(controller.admission.budget, None);
@@ -74,7 +75,7 @@
 #[test]
 fn the_budget_grows_with_the_proxies_that_come_back() {
     let mut controller = running(config(), &["a"], 1);
-    // 20 requests were answered to one proxy of 10 requests a second; the budget is nine tenths of that.
+    // One proxy is joined and 20 requests per second were answered: the budget is 18, nine tenths of that.
     controller.fleet_load = FleetLoad {
         demand: vec![0.0, 20.0],
         window: Span::secs(1.0),
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -1,54 +1,54 @@
-//! The measured load of the whole fleet, fading over the last seconds, and whether the fleet struggles.
+//! The measured load of the whole fleet over a decaying window, and whether the fleet is degraded.
 //!
-//! [`Controller`](super::Controller) records demand and outcomes here as load reports arrive. Admission
-//! control and slow start read it. The verdict has hysteresis: a fleet that struggles does so until it is
-//! clearly well.
+//! [`Controller`](super::Controller) records demand and outcomes here as load reports arrive; admission
+//! control and slow start read them. The assessment has hysteresis: a degraded fleet stays so until its
+//! figures are clearly better than those at which it became degraded.
 
 use crate::time::Span;
 
-/// Reports arrive so long after the attempts that they cover.
+/// The delay between attempts and the arrival of the load report that covers them.
 pub(super) const REPORT_DELAY: Span = Span::from_us(2_000_000);
-/// Attempts below which nothing is concluded.
+/// The minimum number of attempts from which conclusions are drawn.
 pub(super) const MIN_ATTEMPTS: f64 = 6.0;
 
-/// Two thresholds for one figure: a state is entered at one and left at the other.
+/// A pair of thresholds for one figure: one for entering a state and one for leaving it.
 pub(super) struct Hysteresis {
     pub(super) enter: f64,
     leave: f64,
 }
 
-/// The median outlier score above which the fleet struggles.
+/// The median outlier score: above `enter` the fleet is overloaded, above `leave` it stays degraded.
 pub(super) const MEDIAN_SCORE: Hysteresis = Hysteresis { enter: 0.2, leave: 0.15 };
-/// The fraction of the attempts that is answered, below which the fleet struggles.
+/// The answered fraction of attempts: below `enter` the fleet becomes degraded, below `leave` it stays so.
 const ANSWERED_FRACTION: Hysteresis = Hysteresis { enter: 0.85, leave: 0.92 };
-/// The fraction of the attempts that is answered, below which the fleet is overloaded.
+/// The answered fraction of attempts below which the fleet is overloaded.
 const OVERLOADED_ANSWERED_FRACTION: f64 = 0.7;
 /// The shortest window over which rates are computed.
 const MIN_WINDOW_SECS: f64 = 0.1;
 
-/// Demand, outcomes and joined proxies over a fading window.
+/// Demand, outcomes and joined request rate over a decaying window.
 #[derive(Default)]
 pub(super) struct FleetLoad {
-    /// Requests that clients asked for, by request class.
+    /// Requests made by clients, by request class.
     pub(super) demand: Vec<f64>,
-    /// Attempts at endpoints; they fade faster than the window.
+    /// Attempts at endpoints; the count decays faster than the window.
     pub(super) attempts: f64,
-    /// Attempts that were answered; they fade as `attempts` do.
+    /// Attempts that were answered; decays as `attempts` does.
     pub(super) answered: f64,
-    /// Attempts that were answered within the window.
+    /// Attempts that were answered within the window; decays as the window does.
     pub(super) served: f64,
-    /// The usual request rates of the joined proxies, summed over the evaluations.
+    /// The joined request rate, summed over the evaluations of the window.
     pub(super) joined_rates: f64,
-    /// The length of the window.
+    /// The length of the decaying window.
     pub(super) window: Span,
-    /// The median outlier score of the last evaluation.
+    /// The median outlier score at the last evaluation.
     pub(super) median_score: f64,
-    /// Whether the fleet struggles.
+    /// Whether the fleet is degraded: overloaded, or not yet recovered.
     pub(super) struggling: bool,
 }
 
 impl FleetLoad {
-    /// No load, for a number of request classes.
+    /// Creates a record without load for a number of request classes.
     pub(super) fn new(request_classes: usize) -> Self {
         FleetLoad { demand: vec![0.0; request_classes], ..FleetLoad::default() }
     }
@@ -58,7 +58,7 @@
         self.window = self.window + by;
     }
 
-    /// Records requests of a class; a class that is not configured is ignored.
+    /// Records requests of a class; classes that are not configured are ignored.
     pub(super) fn record_demand(&mut self, class: usize, requests: f64) {
         if let Some(demand) = self.demand.get_mut(class) {
             *demand += requests;
@@ -72,12 +72,12 @@
         self.served += answered;
     }
 
-    /// The length of the window in seconds.
+    /// The length of the window in seconds, at least [`MIN_WINDOW_SECS`].
     pub(super) fn window_secs(&self) -> f64 {
         self.window.as_secs().max(MIN_WINDOW_SECS)
     }
 
-    /// Decides whether the fleet struggles, and returns whether it is overloaded.
+    /// Updates whether the fleet is degraded, and returns whether it is overloaded.
     pub(super) fn assess(&mut self) -> bool {
         let enough = self.attempts >= MIN_ATTEMPTS;
         let answered_fraction = if enough { self.answered / self.attempts } else { 1.0 };
@@ -90,7 +90,7 @@
         overloaded
     }
 
-    /// Lets everything measured fade; called once an evaluation.
+    /// Decays all measurements; called once per evaluation.
     pub(super) fn decay(&mut self) {
         for demand in &mut self.demand {
             *demand /= 2.0;
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: the weights of endpoints that are warming up.
 //!
-//! Routing and sharding ask here for the weight of every candidate. An endpoint starts at a small part of its
-//! weight and grows to all of it within the configured window, counted from its start and not from its
-//! appearance in the list. A fleet that shrank or rejects requests gives its cold endpoints less than that.
+//! Routing and sharding get the weight of every candidate from here. An endpoint starts at a small fraction
+//! of its weight and reaches all of it within the configured window, which counts from its start and not from
+//! its appearance in the endpoint list. In a fleet that has shrunk or rejects requests, the weights of cold
+//! endpoints are reduced further.
 
 use super::candidate::Candidate;
 use super::endpoints::EndpointRegistry;
@@ -12,36 +13,38 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The fraction of its weight that an endpoint has at its start. Less than it could carry then: in a burst of
-/// load a cold endpoint needs the spare capacity itself.
+/// The fraction of its weight that an endpoint has at its start. This is less than it can carry then, because
+/// a cold endpoint needs spare capacity of its own in a burst of load.
 const INITIAL_FACTOR: f64 = 0.1;
-/// The curve of the ramp; 1 would be a straight line.
+/// The exponent of the ramp; 1 would be linear.
 const RAMP_EXPONENT: f64 = 1.3;
-/// The most load on the warm endpoints of a table, as a multiple of their capacity, so that cold ones get
-/// less.
+/// The maximum load that the reduction of cold weights may put on the warm endpoints of a table, as a
+/// multiple of their capacity.
 const MAX_WARM_LOAD: f64 = 2.0;
-/// Endpoints below this factor get no requests from a struggling fleet whose proxies eject endpoints
-/// themselves.
+/// Endpoints below this slow-start factor are left out of the tables while the fleet is degraded and its
+/// proxies eject endpoints themselves.
 const MIN_FACTOR_WHILE_STRUGGLING: f64 = 0.35;
-/// The least factor by which the weights of cold endpoints are reduced.
+/// The minimum factor that cold weights are multiplied by because of the fleet's condition.
 const MIN_COLD_REDUCTION: f64 = 0.05;
 
-/// The weight that a table should give an endpoint.
+/// The weight that an endpoint should have in a table.
 pub(super) struct EndpointWeight {
     pub(super) weight: f64,
     pub(super) is_warm: bool,
 }
 
-/// What of the fleet's state affects its cold endpoints.
+/// The part of the fleet's state that affects the weights of cold endpoints.
 pub(super) struct FleetCondition {
-    /// The fraction of its recent peak load that the fleet can answer by its size and its answers, 0 to 1.
+    /// The estimated fraction (0 to 1) of the recent peak load that the fleet can answer, from its ready
+    /// weight and its answered attempts.
     answerable_fraction: f64,
-    /// Proxies leave failing endpoints for those that they have not tried yet, however small their weight.
+    /// Whether the coldest endpoints are left out of the tables. Proxies that eject failing endpoints move on
+    /// to endpoints that they have not tried yet, however small the weight of those is.
     keep_coldest_out: bool,
 }
 
 impl FleetCondition {
-    /// The fleet's condition now.
+    /// Derives the condition from the present load and endpoints.
     pub(super) fn new(config: &ControllerConfig, endpoints: &EndpointRegistry, load: &FleetLoad) -> Self {
         let answered_fraction = load.answered.max(1.0) / load.attempts.max(1.0);
         let answerable_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
@@ -52,7 +55,7 @@
     }
 }
 
-/// The fraction of its weight that an endpoint may have at its age; 1 where its start is long past.
+/// The fraction of its weight that an endpoint may have at its age; 1 if `started` is `None`.
 pub(super) fn slow_start_factor(window: Span, started: Option<Moment>, now: Moment) -> f64 {
     let Some(started) = started else { return 1.0 };
     let age = now - started;
@@ -63,7 +66,7 @@
     INITIAL_FACTOR + (1.0 - INITIAL_FACTOR) * progress.powf(RAMP_EXPONENT)
 }
 
-/// The weights of some candidates that share a table, with those of cold ones reduced.
+/// The weights of the candidates of one table, with those of cold endpoints reduced.
 pub(super) fn slow_start_weights(
     candidates: Vec<Candidate>,
     fleet: &FleetCondition,
@@ -71,7 +74,7 @@
     let capacity =
         |warm: bool| candidates.iter().filter(|c| c.is_warm() == warm).map(Candidate::capacity).sum::<f64>();
     let (cold, warm) = (capacity(false), capacity(true));
-    // Cold weights are reduced only as far as the warm endpoints can take over.
+    // Cold weights are reduced only as far as the warm endpoints can take over the load.
     let least = ((cold + warm) / MAX_WARM_LOAD - warm) / cold.max(1e-9);
     let reduction = fleet.answerable_fraction.max(least).min(1.0);
     let keep_coldest_out = fleet.keep_coldest_out && warm > 0.0;
