--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -1,9 +1,9 @@
-//! The endpoint registry: every endpoint that the list named and that is not forgotten yet.
+//! The endpoint registry: every endpoint that the endpoint list has named and that is not yet forgotten.
 //!
-//! [`Controller`](super::Controller) applies list updates here; every other module reads the endpoints from
-//! here. The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and
-//! that nothing is forgotten that a route table still holds. It also paces the attempts to watch the list
-//! again.
+//! [`Controller`](super::Controller) applies list updates to the registry; every other module reads endpoints
+//! from it. The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and
+//! that no endpoint is forgotten while a route table holds it. It also paces the retries of a failed list
+//! watch.
 
 use crate::histogram::Histogram;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -11,57 +11,57 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least weight of a listed endpoint.
+/// The minimum weight of a listed endpoint, also used if the list gives a weight that is not finite.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// How long a removed endpoint is remembered: longer than a proxy is ever cut off with its tables, and longer
-/// than any drain grace.
+/// How long a removed endpoint is remembered: longer than any proxy stays disconnected while still using its
+/// tables, and longer than any drain grace.
 const REMOVED_RETENTION: Span = Span::from_us(60_000_000);
 
-/// The fraction of the peak of ready weight that is kept at each evaluation.
+/// The factor by which the peak of the ready weight decays at each evaluation.
 const PEAK_DECAY: f64 = 0.99;
 
 /// The mean delay before the list is watched again after repeated failures.
 const WATCH_RETRY_DELAY: Span = Span::from_us(700_000);
 
-/// Bands into which the outcomes of an endpoint's attempts are sorted; the last one is for failed attempts.
+/// The number of bands into which the outcomes of attempts are sorted; the last band is for failed attempts.
 pub(super) const OUTCOME_BANDS: usize = 5;
 
-/// An endpoint, with what the list, the load reports and our own commands say about it.
+/// An endpoint: its list entry, what load reports say about it, and whether this controller ejected it.
 #[derive(Default)]
 pub(super) struct Endpoint {
     pub(super) zone: u32,
     pub(super) weight: f64,
     pub(super) state: EndpointState,
-    /// Its latest start; `None` where that is long past.
+    /// When it last started; `None` if that was long ago.
     pub(super) started: Option<Moment>,
-    /// When a load report last covered an answer.
+    /// When a load report last covered an attempt that it answered.
     pub(super) last_answered: Option<Moment>,
-    /// When it was ready last.
+    /// When it was last known to be ready; its first appearance if it never was.
     pub(super) left: Moment,
-    /// It left and was ejected from the proxies that were joined then.
+    /// Whether it stopped being ready and was ejected from the proxies that were joined at the time.
     pub(super) ejected: bool,
-    /// Its ejection reached all proxies that hold stale tables, also those that joined since.
+    /// Whether the ejection reached all proxies with stale tables, including those that joined later.
     pub(super) ejected_everywhere: bool,
-    /// How it fares; written by outlier detection.
+    /// The state that outlier detection keeps for it.
     pub(super) outlier: OutlierState,
 }
 
-/// How the attempts at an endpoint ended, and how much of its weight that costs it.
+/// How attempts at an endpoint ended, and by how much its weight is reduced because of that.
 #[derive(Default)]
 pub(super) struct OutlierState {
-    /// Recent attempts, by latency band.
+    /// Recent attempts by outcome band; the counts decay.
     pub(super) outcomes: Histogram<OUTCOME_BANDS>,
-    /// How much of its weight is taken away; 0: nothing.
+    /// The level of weight reduction; 0 means full weight.
     pub(super) ejection_level: usize,
-    /// How often its weight was lowered since its last full recovery.
+    /// How often the weight was reduced since the last full recovery, up to a maximum.
     pub(super) ejection_count: u32,
-    /// When the ejection level changed last.
+    /// When the ejection level last changed.
     pub(super) level_since: Moment,
 }
 
 impl OutlierState {
-    /// Changes the ejection level; outcomes under the former level no longer count.
+    /// Changes the ejection level and discards the outcomes observed at the previous level.
     pub(super) fn set_level(&mut self, level: usize, now: Moment) {
         self.ejection_level = level;
         self.level_since = now;
@@ -70,12 +70,12 @@
 }
 
 impl Endpoint {
-    /// Whether the list names it as usable.
+    /// Whether the endpoint list names it as ready.
     pub(super) fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Applies a state of the list.
+    /// Applies a state from the endpoint list.
     pub(super) fn set_state(&mut self, now: Moment, state: EndpointState) {
         if self.is_ready() {
             self.left = now;
@@ -83,18 +83,18 @@
         self.state = state;
     }
 
-    /// Whether proxies that hold stale tables may still use it although it left.
+    /// Whether proxies with stale tables may still use it although it is no longer ready.
     pub(super) fn needs_ejection(&self) -> bool {
         !self.is_ready() && !self.ejected_everywhere
     }
 
-    /// It was ejected from all joined proxies.
+    /// Records that it was ejected from all joined proxies.
     pub(super) fn mark_ejected(&mut self) {
         self.ejected = true;
         self.ejected_everywhere = true;
     }
 
-    /// Its ejection was lifted.
+    /// Records that its ejection was lifted.
     pub(super) fn mark_restored(&mut self) {
         self.ejected = false;
         self.ejected_everywhere = false;
@@ -116,14 +116,14 @@
 #[derive(Default)]
 pub(super) struct EndpointRegistry {
     by_id: BTreeMap<EndpointId, Endpoint>,
-    /// The most weight that was ready of late.
+    /// The recent peak of the ready weight; it decays.
     peak_ready_weight: f64,
-    /// When the list could not be watched last.
+    /// When watching the endpoint list last failed.
     last_watch_failure: Option<Moment>,
 }
 
 impl EndpointRegistry {
-    /// Applies entries of the list that were added or changed.
+    /// Applies list entries that were added or changed.
     pub(super) fn apply_updates(&mut self, now: Moment, updates: &[EndpointUpdate]) {
         for update in updates {
             let endpoint = self
@@ -135,7 +135,7 @@
         self.peak_ready_weight = self.peak_ready_weight.max(self.ready_weight());
     }
 
-    /// Marks the endpoints that a complete list no longer names as removed.
+    /// Marks endpoints that are missing from a complete list as removed.
     pub(super) fn remove_unlisted(&mut self, now: Moment, complete_list: &[EndpointUpdate]) {
         let listed: BTreeSet<&EndpointId> = complete_list.iter().map(|update| &update.id).collect();
         for (id, endpoint) in &mut self.by_id {
@@ -145,8 +145,8 @@
         }
     }
 
-    /// The delay before the list is watched again after a failure. There is none after a first failure, since
-    /// the grace of a drain that was missed meanwhile is running.
+    /// Records a failure to watch the endpoint list and returns the delay before the retry. The first retry
+    /// is immediate, because the drain grace of an endpoint whose update was missed may already be running.
     pub(super) fn watch_retry_delay(&mut self, now: Moment, rng: &mut SeededRng) -> Span {
         let previous = self.last_watch_failure.replace(now);
         let failed_lately = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
@@ -157,27 +157,27 @@
         }
     }
 
-    /// A known endpoint.
+    /// Returns a known endpoint.
     pub(super) fn get(&self, id: &str) -> Option<&Endpoint> {
         self.by_id.get(id)
     }
 
-    /// A known endpoint, to change what is known about it.
+    /// Returns a known endpoint for modification.
     pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Endpoint> {
         self.by_id.get_mut(id)
     }
 
-    /// All known endpoints, by id.
+    /// Iterates over all known endpoints in the order of their ids.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
         self.by_id.iter()
     }
 
-    /// All known endpoints by id, to change what is known about them.
+    /// Iterates mutably over all known endpoints in the order of their ids.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&EndpointId, &mut Endpoint)> {
         self.by_id.iter_mut()
     }
 
-    /// The number of known endpoints, whatever their state.
+    /// The number of known endpoints in any state.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
@@ -187,7 +187,7 @@
         self.get(id).is_some_and(Endpoint::is_ready)
     }
 
-    /// The ready endpoints, by id.
+    /// Iterates over the ready endpoints in the order of their ids.
     pub(super) fn ready(&self) -> impl Iterator<Item = (&EndpointId, &Endpoint)> {
         self.by_id.iter().filter(|(_, endpoint)| endpoint.is_ready())
     }
@@ -197,7 +197,7 @@
         self.by_id.values().filter(|endpoint| !endpoint.is_ready()).count()
     }
 
-    /// The summed weight of the ready endpoints.
+    /// The total weight of the ready endpoints.
     pub(super) fn ready_weight(&self) -> f64 {
         self.ready().map(|(_, endpoint)| endpoint.weight).sum()
     }
@@ -207,7 +207,7 @@
         self.ready_weight() / self.peak_ready_weight.max(1e-9)
     }
 
-    /// Lets old outcomes and the peak of ready weight fade; called once an evaluation.
+    /// Decays the outcomes and the peak of the ready weight; called once per evaluation.
     pub(super) fn decay(&mut self) {
         for endpoint in self.by_id.values_mut() {
             endpoint.outlier.outcomes.halve();
@@ -215,14 +215,16 @@
         self.peak_ready_weight = (self.peak_ready_weight * PEAK_DECAY).max(self.ready_weight());
     }
 
-    /// A proxy joined with tables of its own: no endpoint counts as ejected from all proxies any more.
+    /// Called when a proxy joins with stale tables: no endpoint counts as ejected from all proxies any
+    /// longer.
     pub(super) fn reset_ejected_everywhere(&mut self) {
         for endpoint in self.by_id.values_mut() {
             endpoint.ejected_everywhere = false;
         }
     }
 
-    /// Forgets the endpoints that were removed long ago and are not `in_use`.
+    /// Forgets the endpoints whose removal is longer ago than the retention and that are not `in_use`, and
+    /// returns them.
     pub(super) fn forget_removed(
         &mut self,
         now: Moment,
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -1,9 +1,10 @@
-//! Outlier detection: endpoints whose attempts end late or fail more often than those of their peers get less
-//! of their weight, in levels, and recover level by level.
+//! Outlier detection: reduces the weight of endpoints whose attempts are late or fail more often than those
+//! of their peers. The reduction has levels, and an endpoint recovers one level at a time.
 //!
-//! [`Controller`](super::Controller) records the outcomes as load reports arrive and runs the detection once
-//! an evaluation. No endpoint loses all of its weight, and only a bounded part of the fleet's weight is taken
-//! away. While the median endpoint fares badly none is ejected: that would only move the overload.
+//! [`Controller`](super::Controller) records outcomes as load reports arrive and runs the detection once per
+//! evaluation. No endpoint loses all of its weight, and the reduction is limited to a fraction of the fleet's
+//! weight. While the median endpoint has a high outlier score no endpoint is ejected, since that would only
+//! shift the overload to the others.
 
 use super::endpoints::{Endpoint, EndpointRegistry, OUTCOME_BANDS};
 use super::fleet_load::{MEDIAN_SCORE, MIN_ATTEMPTS, REPORT_DELAY};
@@ -13,47 +14,48 @@
 use crate::host::EndpointId;
 use crate::time::{Moment, Span};
 
-/// The upper ends of the bands of answered attempts, as parts of the latency objective.
+/// The boundaries between the bands of answered attempts, as fractions of the latency objective.
 const LATENCY_BANDS: [f64; OUTCOME_BANDS - 2] = [0.4, 0.6, 1.0];
-/// The band of attempts that failed without an answer.
+/// The band for attempts that failed without an answer.
 const FAILED_BAND: usize = OUTCOME_BANDS - 1;
-/// What an attempt adds to the outlier score, by band.
+/// The outlier score of an attempt, by band.
 const BAND_SCORES: [f64; OUTCOME_BANDS] = [0.0, 0.0, 0.3, 1.0, 1.0];
 
 /// The fraction of its weight that an endpoint keeps, by ejection level.
 const WEIGHT_KEPT: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
 const MAX_EJECTION_LEVEL: usize = WEIGHT_KEPT.len() - 1;
-/// Levels for an endpoint at or above [`HOPELESS_SCORE`]; one level for any other outlier.
+/// By how many levels an endpoint at or above [`HOPELESS_SCORE`] is ejected; other outliers go one level up.
 const HOPELESS_LEVELS: usize = 3;
 const HOPELESS_SCORE: f64 = 0.7;
 
-/// Attempts that judge an endpoint, as a multiple of those that the mean endpoint has, where that is fewer
-/// than [`MIN_ATTEMPTS`].
+/// The minimum number of attempts for scoring an endpoint, as a multiple of the mean number per endpoint;
+/// [`MIN_ATTEMPTS`] is enough if that is fewer.
 const MIN_ATTEMPTS_OF_MEAN: f64 = 1.3;
-/// Failed attempts that judge an endpoint, however few attempts it has.
+/// The number of failed attempts that is enough for scoring an endpoint, however few attempts it has in all.
 const MIN_FAILED_ATTEMPTS: f64 = 2.0;
 
-/// How far above the fleet's score an endpoint is an outlier.
+/// An endpoint whose score exceeds that of the fleet by more than this is an outlier.
 const OUTLIER_MARGIN: f64 = 0.15;
-/// How far above the fleet's score an endpoint may recover.
+/// An endpoint whose score exceeds that of the fleet by no more than this may recover.
 const RECOVERY_MARGIN: f64 = 0.08;
-/// The time at a level before the next recovery, for each ejection so far.
+/// The time that an endpoint stays at a level before it may recover, for each ejection counted.
 const EJECTION_TIME: Span = Span::from_us(4_000_000);
+/// The maximum number of ejections that are counted.
 const MAX_EJECTION_COUNT: u32 = 3;
-/// The fraction of the ready weight that may be taken away in all.
+/// The maximum total weight reduction, as a fraction of the ready weight.
 const MAX_EJECTED_FRACTION: f64 = 0.35;
 
-/// The outcomes of an endpoint's attempts, as a load report states them.
+/// The outcomes of attempts at an endpoint, from a load report.
 pub(super) struct Outcomes {
     pub(super) answered: f64,
     pub(super) failed: f64,
     /// The latency of the answered attempts.
     pub(super) latency: Span,
-    /// The interval that the report covers.
+    /// The interval covered by the report.
     pub(super) interval: Span,
 }
 
-/// Records the outcomes of an endpoint's attempts.
+/// Records the outcomes of attempts at an endpoint.
 pub(super) fn record_outcomes(
     endpoint: &mut Endpoint,
     now: Moment,
@@ -63,8 +65,8 @@
     if outcomes.answered > 0.0 {
         endpoint.last_answered = Some(now);
     }
-    // Reports arrive late and cover attempts that began earlier: they reflect the weight before the last
-    // change.
+    // Reports arrive late and cover attempts that began earlier. Reports that arrive soon after a change of
+    // the level therefore reflect the previous weight; they are skipped unless the weight is full again.
     let since_change = now - endpoint.outlier.level_since;
     if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
         return;
@@ -75,19 +77,20 @@
     endpoint.outlier.outcomes.add(band, outcomes.answered);
 }
 
-/// Reports don't say which class an attempt was for: all are compared with the strictest objective.
+/// The latency objective that all attempts are compared with: the strictest one, because reports don't state
+/// the request class of an attempt.
 fn shortest_latency_objective(config: &ControllerConfig) -> Span {
     let objectives = config.request_classes.iter().map(|class| class.latency_objective);
     objectives.min().unwrap_or_default()
 }
 
-/// The weight that outlier detection leaves to an endpoint.
+/// The weight of an endpoint after the reduction by outlier detection.
 pub(super) fn effective_weight(endpoint: &Endpoint) -> f64 {
     endpoint.weight * WEIGHT_KEPT[endpoint.outlier.ejection_level]
 }
 
-/// Ejects outliers and lets earlier ones recover. Returns the median outlier score of the endpoints that are
-/// known well enough.
+/// Ejects outliers, and raises the weight of endpoints that have recovered. Returns the median outlier score
+/// of the endpoints with enough attempts.
 pub(super) fn detect_outliers(endpoints: &mut EndpointRegistry, now: Moment) -> f64 {
     let fleet = fleet_outcomes(endpoints);
     let fleet_score = outlier_score(&fleet).unwrap_or(0.0);
@@ -168,10 +171,11 @@
         if !endpoint.is_ready() || endpoint.outlier.ejection_level == 0 {
             continue;
         }
-        // Half an evaluation more, so that a late timer doesn't prolong the ejection by a whole one.
+        // Half an evaluation interval is included, so that a late timer doesn't prolong the ejection by a
+        // whole interval.
         let ejection_time =
             EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
-        // An endpoint without outcomes may recover.
+        // `None` compares as less than the limit: an endpoint without outcomes may recover.
         let fares_well = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
         if fares_well && now - endpoint.outlier.level_since > ejection_time {
             endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -23,7 +23,8 @@
     assert_eq!(levels, [0, 0, 1, 0]);
 }
 
-/// Detection after `attempts` at each of two endpoints, none at a third, and two at "a".
+/// Runs the detection after `attempts` at each of the endpoints "b" and "c", none at "d", and two at "a" of
+/// which `failed` failed.
 fn after_detection(attempts: f64, failed: f64, latency_secs: f64) -> TestController {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for id in ["b", "c"] {
