--- a/src/controller/candidate.rs
+++ b/src/controller/candidate.rs
@@ -1,4 +1,4 @@
-//! A candidate for a route table: a ready endpoint as it stands at one moment.
+//! A candidate for a route table: a snapshot of a ready endpoint.
 
 use crate::host::EndpointId;
 
@@ -7,19 +7,19 @@
 pub(super) struct Candidate {
     pub(super) id: EndpointId,
     pub(super) zone: u32,
-    /// Its listed weight, less what outlier detection and zone routing take away.
+    /// The listed weight after the reductions by outlier detection and zone routing.
     pub(super) weight: f64,
-    /// The fraction of its load that it can carry by now; 1 once it is warm.
+    /// The fraction of its full load that the endpoint can carry at present; 1 once it is warm.
     pub(super) slow_start_factor: f64,
 }
 
 impl Candidate {
-    /// Whether its slow start is over.
+    /// Whether the endpoint has completed its slow start.
     pub(super) fn is_warm(&self) -> bool {
         self.slow_start_factor >= 1.0
     }
 
-    /// The load that it can carry by now.
+    /// The load that the endpoint can carry at present, in units of weight.
     pub(super) fn capacity(&self) -> f64 {
         self.weight * self.slow_start_factor
     }
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -1,8 +1,9 @@
 //! Routing: which endpoints a route table should hold, and how much of the traffic leaves the home zone.
 //!
-//! Publication asks here for the desired weights of every table. One table serves all proxies, or all of a
-//! zone where crossing zones costs. It holds the whole fleet as long as the channel could notify all proxies
-//! in time; a larger fleet is laid out on a ring of which each of several tables holds an arc.
+//! Publication gets the desired weights of every table from here. One table serves all proxies, or all
+//! proxies of a zone if cross-zone requests have a cost or are not allowed. A table holds the whole fleet as
+//! long as the channel can notify all proxies of a change in time; a larger fleet is placed on a hash ring,
+//! and each of several tables holds an arc of it.
 
 use super::candidate::Candidate;
 use super::channel::ChannelLimits;
@@ -14,38 +15,40 @@
 use crate::time::Moment;
 use std::collections::BTreeMap;
 
-/// Tables of one zone, each with an arc of the ring, where none may hold the whole fleet.
+/// The number of arcs of the ring, and so of tables per zone, if no table may hold the whole fleet.
 const ARCS_PER_ZONE: u32 = 16;
-/// One endpoint in so many of a table is reserved for other zones.
+/// One in this many entries of a table is reserved for endpoints of other zones.
 const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
-/// An arc keeps endpoints up to this part of its length beyond its ends, or each endpoint that comes or goes
-/// would push another in or out.
+/// An arc keeps endpoints that it already holds if they are beyond its ends by no more than its length
+/// divided by this. Otherwise each endpoint that is added or removed would move others into or out of the
+/// arc.
 const ARC_SLACK_DIVISOR: usize = 8;
-/// The largest fraction of a zone's requests that stays in the zone where crossing zones costs.
+/// The maximum fraction of a zone's requests that stays in the zone if cross-zone requests have a cost.
 const MAX_HOME_FRACTION: f64 = 0.9;
-/// Changes of a table's remote factor up to this ratio are not made, or each ejection would move every weight
-/// of the other zones.
+/// A table's remote factor is changed only by more than this ratio. Otherwise each ejection would change the
+/// weights of all remote endpoints.
 const REMOTE_FACTOR_RATIO: f64 = 1.5;
+/// The minimum remote factor.
 const MIN_REMOTE_FACTOR: f64 = 0.01;
 
-/// A route table as it was published.
+/// The published state of a route table.
 pub(super) struct RouteTable {
-    /// The zone of its proxies; `None` where one table serves all zones.
+    /// The zone of its proxies; `None` if the table serves all zones.
     pub(super) home_zone: Option<u32>,
     /// The published weights.
     pub(super) weights: BTreeMap<EndpointId, f64>,
     /// The published admission level of each request class.
     admission_levels: BTreeMap<usize, f64>,
-    /// The fraction of their weight that endpoints of other zones get.
+    /// The factor applied to the weights of endpoints of other zones.
     remote_factor: f64,
-    /// Since when it keeps its weights although all of its endpoints left the list.
+    /// Since when the table keeps its weights although all of its endpoints have left the list.
     pub(super) carried_since: Option<Moment>,
-    /// When commands for it were sent last.
+    /// When commands for this table were last sent.
     pub(super) last_sent: Moment,
 }
 
 impl RouteTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new(home_zone: Option<u32>) -> Self {
         RouteTable {
             home_zone,
@@ -57,12 +60,12 @@
         }
     }
 
-    /// Lines that a proxy is sent as it is put on this table, besides the message overhead.
+    /// The number of lines sent to a proxy that is assigned this table, without the message overhead.
     pub(super) fn assignment_lines(&self) -> f64 {
         (self.weights.len() + self.admission_levels.len() + 1) as f64
     }
 
-    /// A weight was published; 0 removes the endpoint.
+    /// Records a published weight; 0 removes the endpoint.
     pub(super) fn publish_weight(&mut self, id: EndpointId, weight: f64) {
         if weight > 0.0 {
             self.weights.insert(id, weight);
@@ -71,13 +74,13 @@
         }
     }
 
-    /// Marks an admission level as published; false where it was published already.
+    /// Records a published admission level; returns whether it differs from the one published before.
     pub(super) fn publish_admission_level(&mut self, class: usize, level: f64) -> bool {
         self.admission_levels.insert(class, level) != Some(level)
     }
 
-    /// The weights that the table should have: the home zone's endpoints at their weight and the others at a
-    /// fraction of it, as many as the limits allow.
+    /// The weights that the table should have: endpoints of the home zone at their own weight and remote ones
+    /// scaled by the remote factor, as many as the table may hold.
     pub(super) fn desired_weights(
         &mut self,
         number: u32,
@@ -103,8 +106,9 @@
         slow_start_weights(candidates, &snapshot.fleet)
     }
 
-    /// Endpoints of other zones carry what the home zone's own don't cover, and a small part in any case.
-    /// Those in the table stand for those left out.
+    /// Updates the remote factor so that remote endpoints take the load beyond the capacity of the home zone,
+    /// and at least a small part of the load in any case. The endpoints in the table stand for those left out
+    /// of it.
     fn update_remote_factor(&mut self, all: &ZoneCapacity, held: &ZoneCapacity, snapshot: &RoutingSnapshot) {
         let mut factor = 1.0;
         if let Some(home_zone) = self.home_zone {
@@ -122,8 +126,8 @@
         }
     }
 
-    /// This table's arc of a ring of endpoints, at most `max` long but for endpoints just beyond its ends
-    /// that the table holds already.
+    /// The arc of a ring of endpoints that belongs to this table: at most `max` endpoints, plus those just
+    /// beyond the ends of the arc that the table already holds.
     fn ring_arc<'a>(&self, number: u32, ring: Vec<&'a Candidate>, max: usize) -> Vec<&'a Candidate> {
         let len = ring.len();
         if len <= max {
@@ -143,7 +147,7 @@
     }
 }
 
-/// The capacity of some endpoints inside and outside a table's home zone.
+/// The total routable capacity of endpoints inside and outside a table's home zone.
 struct ZoneCapacity {
     home: f64,
     remote: f64,
@@ -158,18 +162,20 @@
     }
 }
 
-/// The capacity of some endpoints for routing between zones, where cold ones count short.
+/// The capacity that counts for routing between zones. The slow-start factor applies twice, so that cold
+/// endpoints count for less than they can carry.
 fn routable_capacity<'a>(candidates: impl Iterator<Item = &'a Candidate>) -> f64 {
     candidates.map(|candidate| candidate.capacity() * candidate.slow_start_factor).sum()
 }
 
-/// Where a proxy belongs.
+/// The table that a proxy belongs to.
 pub(super) struct TablePlacement {
     pub(super) number: u32,
     pub(super) home_zone: Option<u32>,
 }
 
-/// The table for a proxy. Where crossing zones costs or is barred, each zone has tables of its own.
+/// Selects the table for a proxy. Each zone has its own tables if cross-zone requests have a cost or are not
+/// allowed.
 pub(super) fn table_for(
     proxy: u32,
     zone: u32,
@@ -178,7 +184,7 @@
     limits: &ChannelLimits,
 ) -> TablePlacement {
     let is_zoned = config.cross_zone_costs || has_zone_local_class(config);
-    // One table where it may hold the fleet and as much again.
+    // A single table is used if it could hold a fleet of twice the size.
     let is_whole_fleet = endpoints.len() > 0 && endpoints.len() <= limits.max_table_size / 2;
     let arc = if is_whole_fleet { 0 } else { proxy % ARCS_PER_ZONE };
     let group = if is_zoned { 1 + zone } else { 0 };
@@ -192,32 +198,32 @@
 /// All route tables, by number.
 pub(super) struct RouteTables {
     pub(super) by_number: BTreeMap<u32, RouteTable>,
-    /// Each controller has an order of the ring of its own.
+    /// Determines the order of the ring, so that it differs between controllers.
     ring_seed: u32,
 }
 
 impl RouteTables {
-    /// No tables yet.
+    /// Creates an empty set of tables.
     pub(super) fn new(ring_seed: u32) -> Self {
         RouteTables { by_number: BTreeMap::new(), ring_seed }
     }
 
-    /// Creates a table where it doesn't exist.
+    /// Creates a table if it doesn't exist.
     pub(super) fn ensure(&mut self, placement: &TablePlacement) {
         self.by_number.entry(placement.number).or_insert_with(|| RouteTable::new(placement.home_zone));
     }
 
-    /// Whether a table holds an endpoint.
+    /// Whether any table holds an endpoint.
     pub(super) fn hold(&self, id: &EndpointId) -> bool {
         self.by_number.values().any(|table| table.weights.contains_key(id))
     }
 
-    /// Whether a table holds a ready endpoint.
+    /// Whether a table holds at least one ready endpoint.
     pub(super) fn is_usable(&self, number: u32, endpoints: &EndpointRegistry) -> bool {
         self.by_number[&number].weights.keys().any(|id| endpoints.is_ready(id))
     }
 
-    /// The inputs of all tables at this moment.
+    /// Collects the inputs from which the weights of all tables are computed.
     pub(super) fn snapshot(
         &self,
         mut candidates: Vec<Candidate>,
@@ -238,7 +244,7 @@
         }
     }
 
-    /// A weight was rejected and doesn't stand.
+    /// Removes a published weight that was rejected.
     pub(super) fn remove_weight(&mut self, number: u32, id: &EndpointId) {
         if let Some(table) = self.by_number.get_mut(&number) {
             table.weights.remove(id);
@@ -246,22 +252,22 @@
     }
 }
 
-/// The inputs of all tables of one moment.
+/// The inputs from which the weights of all tables are computed at one point in time.
 pub(super) struct RoutingSnapshot {
     /// The candidates, in the order of the ring.
     candidates: Vec<Candidate>,
-    /// The usual request rate of each zone's proxies.
+    /// The usual request rate of the proxies of each zone.
     rates_by_zone: BTreeMap<u32, f64>,
-    /// The capacity of all zones that have proxies.
+    /// The routable capacity of all zones that have proxies.
     served_capacity: f64,
     max_table_size: usize,
-    /// Requests of some class must not leave their zone.
+    /// Whether requests of some class must not leave their zone.
     is_zone_local: bool,
     fleet: FleetCondition,
 }
 
 impl RoutingSnapshot {
-    /// The fraction of the served capacity that a zone's traffic is due.
+    /// The part of the served capacity that is proportional to a zone's share of the request rate.
     fn capacity_due(&self, zone: u32) -> f64 {
         let rate = self.rates_by_zone.get(&zone).unwrap_or(&0.0);
         let all_rates = self.rates_by_zone.values().sum::<f64>();
@@ -269,7 +275,7 @@
     }
 }
 
-/// The ready endpoints with what they can carry now, by id.
+/// The ready endpoints with their present weight and slow-start factor, ordered by id.
 pub(super) fn candidates(
     now: Moment,
     config: &ControllerConfig,
@@ -287,7 +293,7 @@
     candidates
 }
 
-/// The position of an endpoint on the ring: a hash of its id.
+/// The position of an endpoint on the ring: a seeded hash of its id.
 fn ring_position(id: &str, seed: u32) -> u32 {
     let mut hash = seed;
     for byte in id.bytes() {
--- a/src/controller/routing/tests.rs
+++ b/src/controller/routing/tests.rs
@@ -41,7 +41,8 @@
     assert_eq!(controller.host.weight(ARCS_PER_ZONE, "c"), Some(2.0));
 }
 
-/// Sixty endpoints in each of two zones, and sixty proxies of both, where tables may hold sixteen endpoints.
+/// A controller with 60 endpoints in each of two zones, 60 proxies spread over both, and tables of at most 16
+/// endpoints.
 fn controller_with_small_tables() -> TestController {
     let config =
         ControllerConfig { cross_zone_costs: true, proxy_count: 60, message_overhead_lines: 2.5, ..config() };
