--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -4,7 +4,7 @@
 use crate::time::Span;
 
 #[test]
-fn an_overloaded_fleet_admits_what_it_answers_and_the_highest_priority_first() {
+fn an_overloaded_fleet_limits_the_class_of_lower_priority_first() {
     let mut controller = running(config(), &["a"], 1);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn a_few_attempts_do_not_show_that_the_fleet_is_overloaded() {
+fn overload_is_not_concluded_from_a_few_attempts() {
     assert_eq!(just_started(3.0, 40.0).admission.budget, None);
     assert!(just_started(6.0, 40.0).admission.budget.is_some());
 }
 
 #[test]
-fn while_proxies_are_joining_what_was_answered_is_no_measure_for_them() {
+fn the_budget_is_not_measured_while_proxies_are_joining() {
     // The joined proxies now have a usual load of 40 requests per second, four times the mean.
     let mut controller = just_started(20.0, 10.0);
     assert_eq!(controller.admission.budget, None);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_budget_grows_once_the_fleet_is_well() {
+fn the_budget_grows_once_the_fleet_is_no_longer_degraded() {
     let mut controller = running(config(), &["a"], 1);
     controller.admission.budget = Some(100.0);
     controller.fleet_load = FleetLoad {
--- a/src/controller/endpoints/tests.rs
+++ b/src/controller/endpoints/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_fleet_replaced_for_hours_leaves_nothing_behind() {
+fn replacing_the_fleet_for_hours_does_not_accumulate_state() {
     let mut controller = running(config(), &["s0"], 2);
     let id = |n: u32| format!("s{n}");
     for n in 1..3_000_u32 {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_first_failure_of_the_watch_is_retried_at_once_and_those_right_after_it_with_a_delay() {
+fn the_first_watch_failure_is_retried_at_once_and_repeated_failures_with_a_delay() {
     let mut controller = running(ControllerConfig { polls_endpoint_list: true, ..config() }, &["a"], 1);
     for (now, at_once) in [(3.0, true), (3.1, false), (4.2, false), (6.0, true)] {
         controller.host.commands.clear();
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fares_worse_than_its_peers_goes_to_the_next_ejection_level() {
+fn an_endpoint_that_fails_more_often_than_its_peers_moves_to_the_next_ejection_level() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 20.0);
@@ -36,24 +36,25 @@
 }
 
 #[test]
-fn two_failed_attempts_suffice_and_keep_an_endpoint_ejected_while_it_fares_badly() {
+fn two_failed_attempts_eject_an_endpoint_and_further_failures_keep_it_ejected() {
     let mut controller = after_detection(9.0, 2.0, 0.0);
     assert_eq!((ejection_level(&controller, "a"), controller.fleet_load.median_score), (3, 0.0));
     controller.endpoint_outcomes(at(9.0), "a", 2.0, 1.0, Span::ZERO, Span::ZERO);
     controller.detect_outliers(at(9.0));
     let level = ejection_level(&controller, "a");
-    assert_eq!(level, 3, "its ejection time is over and it still fares badly");
+    assert_eq!(level, 3, "its ejection time has passed, but it still fails attempts");
 }
 
+// Six attempts are enough, or 1.3 times the mean number per endpoint if that is fewer.
 #[test]
-fn late_attempts_suffice_if_they_are_six_or_a_third_more_than_the_mean_endpoint_has() {
+fn late_attempts_eject_an_endpoint_only_from_a_minimum_number() {
     assert_eq!(ejection_level(&after_detection(9.0, 0.0, 2.0), "a"), 0);
     assert_eq!(ejection_level(&after_detection(3.0, 0.0, 2.0), "a"), 0);
     assert_eq!(ejection_level(&after_detection(2.0, 0.0, 2.0), "a"), 3);
 }
 
 #[test]
-fn only_a_part_of_the_fleet_is_ejected() {
+fn the_ejected_part_of_the_fleet_is_limited() {
     let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 100.0);
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn while_the_median_endpoint_fares_badly_none_is_ejected() {
+fn no_endpoint_is_ejected_while_the_median_score_is_high() {
     let mut controller = running(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 6.0);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn an_endpoint_recovers_after_its_ejection_time_however_late_the_timers_are() {
+fn timer_delay_does_not_change_when_an_endpoint_recovers() {
     for (late, level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
         let mut controller = running(config(), &["a", "b"], 1);
         let endpoint = controller.endpoints.get_mut("a").unwrap();
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn reports_about_the_weight_before_the_last_change_do_not_count() {
+fn reports_that_reflect_the_previous_weight_are_skipped() {
     let mut controller = running(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
--- a/src/controller/routing/tests.rs
+++ b/src/controller/routing/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_zone_without_endpoints_uses_the_others_at_full_weight() {
+fn a_zone_without_endpoints_uses_remote_endpoints_at_full_weight() {
     let mut controller = running(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
     controller.proxy_joined(at(1.0), 1, 5, 10.0, true);
     controller.timer_fired(at(1.2), Timer::Recheck);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn with_a_zone_local_class_a_table_holds_its_zone_alone() {
+fn with_a_zone_local_class_a_table_holds_only_its_home_zone() {
     let mut config = config();
     config.request_classes[1].zone_local = true;
     let mut controller = running(config, &["a"], 1);
@@ -56,8 +56,9 @@
     controller
 }
 
+// A table is too large if not all of its proxies could be told in time to stop using an endpoint.
 #[test]
-fn tables_that_not_all_could_leave_in_time_hold_an_arc_of_the_fleet_each() {
+fn a_fleet_too_large_for_one_table_is_split_into_arcs() {
     let controller = controller_with_small_tables();
     let max_table_size = ChannelLimits::new(&controller.config, &controller.endpoints).max_table_size;
     let tables: Vec<&RouteTable> = controller.tables.by_number.values().collect();
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn new_endpoints_push_nothing_out_of_an_arc() {
+fn new_endpoints_displace_few_endpoints_from_the_arcs() {
     let mut controller = controller_with_small_tables();
     let new: Vec<EndpointUpdate> =
         (0..8).map(|k| in_zone(k % 2, ready_since(&format!("n{k}"), 1.0))).collect();
--- a/src/controller/slow_start/tests.rs
+++ b/src/controller/slow_start/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_ramp_counts_from_the_start_and_not_from_the_list() {
+fn the_ramp_begins_when_the_endpoint_starts_and_not_when_it_is_listed() {
     let factor = slow_start_factor(config().slow_start_window, Some(at(-8.0)), at(0.0));
     assert!((factor - (0.1 + 0.9 * 0.5f64.powf(RAMP_EXPONENT))).abs() < 1e-9);
 }
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn no_cold_endpoint_joins_a_struggling_fleet_whose_proxies_eject() {
+fn no_cold_endpoint_joins_a_degraded_fleet_whose_proxies_eject() {
     let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
     let mut controller = running(config, &["a", "b"], 1);
     controller.fleet_load.struggling = true;
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn cold_endpoints_join_a_struggling_fleet_without_warm_ones() {
+fn cold_endpoints_join_a_degraded_fleet_without_warm_ones() {
     let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
     let mut controller = running(config, &[], 1);
     controller.fleet_load.struggling = true;
