--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -16,20 +16,20 @@
 pub(super) const RETRY_POLICY: RetryPolicy = RetryPolicy::Never;
 
 /// The budget of an overloaded fleet, as a fraction of the rate that it answered.
-const BUDGET_FRACTION_OF_SERVED: f64 = 0.9;
+const BUDGET_FRACTION_OF_ANSWERED: f64 = 0.9;
 /// The factor by which the budget grows at each evaluation at which the fleet is not degraded.
 const BUDGET_GROWTH: f64 = 1.08;
 /// The budget is removed once it reaches this multiple of the demand.
-const BUDGET_LIFTED_AT: f64 = 1.2;
+const BUDGET_REMOVAL_RATIO: f64 = 1.2;
 /// Proxies are considered to be still joining while the joined rate exceeds this multiple of its mean over
 /// the window.
-const JOINING_GROWTH: f64 = 1.25;
+const JOINING_RATE_RATIO: f64 = 1.25;
 /// The lowest admission level of any class.
 const MIN_LEVEL: f64 = 0.1;
 /// A level is not changed by this much or less, except back to 1.
-const LEVEL_STEP: f64 = 0.05;
+const MIN_LEVEL_CHANGE: f64 = 0.05;
 /// The initial level if levels are rates; high enough to admit everything.
-const UNLIMITED_PER_SECOND: f64 = 1e6;
+const UNLIMITED_RATE: f64 = 1e6;
 
 /// The admission levels and the budget from which they are computed.
 pub(super) struct Admission {
@@ -46,9 +46,9 @@
 impl Admission {
     /// Creates the initial state, which admits everything.
     pub(super) fn new(config: &ControllerConfig) -> Self {
-        let all = if config.admission == AdmissionMode::RatePerSecond { UNLIMITED_PER_SECOND } else { 1.0 };
+        let unlimited = if config.admission == AdmissionMode::RatePerSecond { UNLIMITED_RATE } else { 1.0 };
         Admission {
-            levels: vec![all; config.request_classes.len()],
+            levels: vec![unlimited; config.request_classes.len()],
             budget: None,
             budget_joined_rate: 0.0,
             last_measured: Moment::default(),
@@ -64,7 +64,7 @@
         joined_rate: f64,
         config: &ControllerConfig,
     ) {
-        load.joined_rates += joined_rate;
+        load.joined_rate_sum += joined_rate;
         let overloaded = load.assess();
         self.update_budget(now, load, overloaded, joined_rate, config);
         self.update_levels(load, joined_rate, config);
@@ -81,17 +81,17 @@
         let window = load.window_secs();
         // Reports cover only the proxies that were joined at the time. While more are joining, the reports do
         // not represent the load of all of them.
-        if joined_rate * window > load.joined_rates * JOINING_GROWTH {
+        if joined_rate * window > load.joined_rate_sum * JOINING_RATE_RATIO {
             self.last_measured = now;
         }
         if overloaded && now - self.last_measured >= REPORT_DELAY + config.report_interval {
-            self.budget = Some(load.served / window * BUDGET_FRACTION_OF_SERVED);
-            self.budget_joined_rate = load.joined_rates / window;
+            self.budget = Some(load.answered_in_window / window * BUDGET_FRACTION_OF_ANSWERED);
+            self.budget_joined_rate = load.joined_rate_sum / window;
             self.last_measured = now;
-        } else if !load.struggling {
+        } else if !load.is_degraded {
             let demand = load.demand.iter().sum::<f64>() / window;
             let grown = self.budget.map(|budget| budget * BUDGET_GROWTH);
-            self.budget = grown.filter(|budget| *budget < demand * BUDGET_LIFTED_AT);
+            self.budget = grown.filter(|budget| *budget < demand * BUDGET_REMOVAL_RATIO);
         }
     }
 
@@ -109,7 +109,7 @@
             let demand = (load.demand[class] / window).max(1e-9);
             let level = (remaining / demand).clamp(MIN_LEVEL, 1.0);
             remaining = (remaining - level * demand).max(0.0);
-            if (level - self.levels[class]).abs() > LEVEL_STEP || level >= 1.0 {
+            if (level - self.levels[class]).abs() > MIN_LEVEL_CHANGE || level >= 1.0 {
                 self.levels[class] = level;
             }
         }
--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -10,7 +10,7 @@
         demand: vec![100.0, 50.0],
         attempts: 150.0,
         answered: 60.0,
-        served: 60.0,
+        answered_in_window: 60.0,
         window: Span::secs(1.0),
         ..FleetLoad::default()
     };
@@ -28,9 +28,9 @@
         window,
         attempts,
         answered: attempts,
-        served: attempts,
+        answered_in_window: attempts,
         median_score: 0.3,
-        joined_rates: mean_joined_rate * window.as_secs(),
+        joined_rate_sum: mean_joined_rate * window.as_secs(),
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -49,10 +49,10 @@
     let mut controller = just_started(20.0, 10.0);
     assert_eq!(controller.admission.budget, None);
     // The joined rate stays the same. The budget is measured once reports from all proxies can have arrived.
-    controller.fleet_load.joined_rates = 80.0;
+    controller.fleet_load.joined_rate_sum = 80.0;
     controller.shed_load(at(11.9));
     assert_eq!(controller.admission.budget, None);
-    controller.fleet_load.joined_rates = 80.0;
+    controller.fleet_load.joined_rate_sum = 80.0;
     controller.shed_load(at(12.0));
     assert!(controller.admission.budget.is_some());
 }
@@ -81,7 +81,7 @@
         window: Span::secs(1.0),
         attempts: 20.0,
         answered: 5.0,
-        served: 20.0,
+        answered_in_window: 20.0,
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -90,7 +90,7 @@
         controller.proxy_joined(at(9.5), proxy, 0, 10.0, false);
     }
     controller.fleet_load.demand = vec![0.0, 80.0];
-    controller.fleet_load.struggling = true;
+    controller.fleet_load.is_degraded = true;
     controller.shed_load(at(9.5));
     assert_eq!(controller.admission.levels[1], 0.9);
 }
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -149,8 +149,8 @@
     /// is immediate, because the drain grace of an endpoint whose update was missed may already be running.
     pub(super) fn watch_retry_delay(&mut self, now: Moment, rng: &mut SeededRng) -> Span {
         let previous = self.last_watch_failure.replace(now);
-        let failed_lately = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
-        if failed_lately {
+        let failed_recently = previous.is_some_and(|at| now - at < WATCH_RETRY_DELAY * 2.0);
+        if failed_recently {
             WATCH_RETRY_DELAY * (0.5 + rng.next_f64())
         } else {
             Span::ZERO
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -36,15 +36,15 @@
     /// Attempts that were answered; decays as `attempts` does.
     pub(super) answered: f64,
     /// Attempts that were answered within the window; decays as the window does.
-    pub(super) served: f64,
+    pub(super) answered_in_window: f64,
     /// The joined request rate, summed over the evaluations of the window.
-    pub(super) joined_rates: f64,
+    pub(super) joined_rate_sum: f64,
     /// The length of the decaying window.
     pub(super) window: Span,
     /// The median outlier score at the last evaluation.
     pub(super) median_score: f64,
     /// Whether the fleet is degraded: overloaded, or not yet recovered.
-    pub(super) struggling: bool,
+    pub(super) is_degraded: bool,
 }
 
 impl FleetLoad {
@@ -69,7 +69,7 @@
     pub(super) fn record_outcomes(&mut self, attempts: f64, answered: f64) {
         self.attempts += attempts;
         self.answered += answered;
-        self.served += answered;
+        self.answered_in_window += answered;
     }
 
     /// The length of the window in seconds, at least [`MIN_WINDOW_SECS`].
@@ -79,14 +79,15 @@
 
     /// Updates whether the fleet is degraded, and returns whether it is overloaded.
     pub(super) fn assess(&mut self) -> bool {
-        let enough = self.attempts >= MIN_ATTEMPTS;
-        let answered_fraction = if enough { self.answered / self.attempts } else { 1.0 };
+        let has_enough_attempts = self.attempts >= MIN_ATTEMPTS;
+        let answered_fraction = if has_enough_attempts { self.answered / self.attempts } else { 1.0 };
         let overloaded = answered_fraction < OVERLOADED_ANSWERED_FRACTION
-            || self.median_score > MEDIAN_SCORE.enter && enough;
-        let is_still_unwell =
+            || self.median_score > MEDIAN_SCORE.enter && has_enough_attempts;
+        let has_not_recovered =
             answered_fraction < ANSWERED_FRACTION.leave || self.median_score > MEDIAN_SCORE.leave;
-        self.struggling =
-            overloaded || answered_fraction < ANSWERED_FRACTION.enter || self.struggling && is_still_unwell;
+        self.is_degraded = overloaded
+            || answered_fraction < ANSWERED_FRACTION.enter
+            || self.is_degraded && has_not_recovered;
         overloaded
     }
 
@@ -97,8 +98,8 @@
         }
         self.attempts /= 4.0;
         self.answered /= 4.0;
-        self.served /= 2.0;
-        self.joined_rates /= 2.0;
+        self.answered_in_window /= 2.0;
+        self.joined_rate_sum /= 2.0;
         self.window = self.window * 0.5;
     }
 }
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -15,22 +15,23 @@
 use crate::time::{Moment, Span};
 
 /// The boundaries between the bands of answered attempts, as fractions of the latency objective.
-const LATENCY_BANDS: [f64; OUTCOME_BANDS - 2] = [0.4, 0.6, 1.0];
+const LATENCY_BAND_BOUNDARIES: [f64; OUTCOME_BANDS - 2] = [0.4, 0.6, 1.0];
 /// The band for attempts that failed without an answer.
 const FAILED_BAND: usize = OUTCOME_BANDS - 1;
 /// The outlier score of an attempt, by band.
 const BAND_SCORES: [f64; OUTCOME_BANDS] = [0.0, 0.0, 0.3, 1.0, 1.0];
 
 /// The fraction of its weight that an endpoint keeps, by ejection level.
-const WEIGHT_KEPT: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
-const MAX_EJECTION_LEVEL: usize = WEIGHT_KEPT.len() - 1;
-/// By how many levels an endpoint at or above [`HOPELESS_SCORE`] is ejected; other outliers go one level up.
-const HOPELESS_LEVELS: usize = 3;
-const HOPELESS_SCORE: f64 = 0.7;
+const WEIGHT_FRACTIONS: [f64; 6] = [1.0, 0.75, 0.55, 0.35, 0.15, 0.04];
+const MAX_EJECTION_LEVEL: usize = WEIGHT_FRACTIONS.len() - 1;
+/// Levels added for an endpoint at or above [`SEVERE_OUTLIER_SCORE`]; other outliers move up by one level.
+const SEVERE_OUTLIER_LEVELS: usize = 3;
+/// The outlier score from which an endpoint is a severe outlier.
+const SEVERE_OUTLIER_SCORE: f64 = 0.7;
 
 /// The minimum number of attempts for scoring an endpoint, as a multiple of the mean number per endpoint;
 /// [`MIN_ATTEMPTS`] is enough if that is fewer.
-const MIN_ATTEMPTS_OF_MEAN: f64 = 1.3;
+const MIN_ATTEMPTS_MEAN_RATIO: f64 = 1.3;
 /// The number of failed attempts that is enough for scoring an endpoint, however few attempts it has in all.
 const MIN_FAILED_ATTEMPTS: f64 = 2.0;
 
@@ -72,7 +73,8 @@
         return;
     }
     let objective = shortest_latency_objective(config);
-    let band = LATENCY_BANDS.iter().filter(|part| outcomes.latency >= objective * **part).count();
+    let band =
+        LATENCY_BAND_BOUNDARIES.iter().filter(|fraction| outcomes.latency >= objective * **fraction).count();
     endpoint.outlier.outcomes.add(FAILED_BAND, outcomes.failed);
     endpoint.outlier.outcomes.add(band, outcomes.answered);
 }
@@ -86,7 +88,7 @@
 
 /// The weight of an endpoint after the reduction by outlier detection.
 pub(super) fn effective_weight(endpoint: &Endpoint) -> f64 {
-    endpoint.weight * WEIGHT_KEPT[endpoint.outlier.ejection_level]
+    endpoint.weight * WEIGHT_FRACTIONS[endpoint.outlier.ejection_level]
 }
 
 /// Ejects outliers, and raises the weight of endpoints that have recovered. Returns the median outlier score
@@ -95,7 +97,7 @@
     let fleet = fleet_outcomes(endpoints);
     let fleet_score = outlier_score(&fleet).unwrap_or(0.0);
     let mean_attempts = fleet.total() / endpoints.ready().count().max(1) as f64;
-    let min_attempts = MIN_ATTEMPTS.min(MIN_ATTEMPTS_OF_MEAN * mean_attempts);
+    let min_attempts = MIN_ATTEMPTS.min(MIN_ATTEMPTS_MEAN_RATIO * mean_attempts);
     let scores = scores_worst_first(endpoints, min_attempts);
     let median = median_score(endpoints, &scores, min_attempts);
     if median <= MEDIAN_SCORE.enter {
@@ -139,23 +141,23 @@
     let has_attempts = |scored: &&EndpointScore| {
         endpoints.get(&scored.id).is_some_and(|endpoint| endpoint.outlier.outcomes.total() >= min_attempts)
     };
-    let known: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
-    known.get(known.len() / 2).copied().unwrap_or(0.0)
+    let sampled: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
+    sampled.get(sampled.len() / 2).copied().unwrap_or(0.0)
 }
 
 fn eject_outliers(endpoints: &mut EndpointRegistry, scores: &[EndpointScore], limit: f64, now: Moment) {
-    let kept = |endpoint: &Endpoint| WEIGHT_KEPT[endpoint.outlier.ejection_level];
+    let weight_fraction = |endpoint: &Endpoint| WEIGHT_FRACTIONS[endpoint.outlier.ejection_level];
     let mut ejected: f64 =
-        endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - kept(endpoint))).sum();
+        endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - weight_fraction(endpoint))).sum();
     let max_ejected = endpoints.ready_weight() * MAX_EJECTED_FRACTION;
     for EndpointScore { id, score } in scores {
         if *score <= limit {
             continue;
         }
         let endpoint = endpoints.get_mut(id).expect("scored endpoints are registered");
-        let levels = if *score >= HOPELESS_SCORE { HOPELESS_LEVELS } else { 1 };
+        let levels = if *score >= SEVERE_OUTLIER_SCORE { SEVERE_OUTLIER_LEVELS } else { 1 };
         let level = (endpoint.outlier.ejection_level + levels).min(MAX_EJECTION_LEVEL);
-        ejected += endpoint.weight * (kept(endpoint) - WEIGHT_KEPT[level]);
+        ejected += endpoint.weight * (weight_fraction(endpoint) - WEIGHT_FRACTIONS[level]);
         if ejected > max_ejected {
             break;
         }
@@ -176,8 +178,8 @@
         let ejection_time =
             EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
         // `None` compares as less than the limit: an endpoint without outcomes may recover.
-        let fares_well = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
-        if fares_well && now - endpoint.outlier.level_since > ejection_time {
+        let may_recover = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
+        if may_recover && now - endpoint.outlier.level_since > ejection_time {
             endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
             if endpoint.outlier.ejection_level == 0 {
                 endpoint.outlier.ejection_count = 0;
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -27,7 +27,7 @@
 const MAX_HOME_FRACTION: f64 = 0.9;
 /// A table's remote factor is changed only by more than this ratio. Otherwise each ejection would change the
 /// weights of all remote endpoints.
-const REMOTE_FACTOR_RATIO: f64 = 1.5;
+const MIN_REMOTE_FACTOR_CHANGE: f64 = 1.5;
 /// The minimum remote factor.
 const MIN_REMOTE_FACTOR: f64 = 0.01;
 
@@ -91,12 +91,12 @@
         if snapshot.is_zone_local {
             remote.clear();
         }
-        let all = ZoneCapacity::new(&home, &remote);
+        let available = ZoneCapacity::new(&home, &remote);
         let max = snapshot.max_table_size;
         let reserved = (max / REMOTE_ENDPOINTS_DIVISOR).min(remote.len());
         let home = self.ring_arc(number, home, max - reserved);
         let remote = self.ring_arc(number, remote, max.saturating_sub(home.len()));
-        self.update_remote_factor(&all, &ZoneCapacity::new(&home, &remote), snapshot);
+        self.update_remote_factor(&available, &ZoneCapacity::new(&home, &remote), snapshot);
 
         let mut candidates: Vec<Candidate> = home.into_iter().cloned().collect();
         for candidate in remote {
@@ -109,19 +109,24 @@
     /// Updates the remote factor so that remote endpoints take the load beyond the capacity of the home zone,
     /// and at least a small part of the load in any case. The endpoints in the table stand for those left out
     /// of it.
-    fn update_remote_factor(&mut self, all: &ZoneCapacity, held: &ZoneCapacity, snapshot: &RoutingSnapshot) {
+    fn update_remote_factor(
+        &mut self,
+        available: &ZoneCapacity,
+        selected: &ZoneCapacity,
+        snapshot: &RoutingSnapshot,
+    ) {
         let mut factor = 1.0;
         if let Some(home_zone) = self.home_zone {
-            let due = snapshot.capacity_due(home_zone);
-            if held.home > 0.0 && held.remote > 0.0 && due > 0.0 {
-                let home_fraction = (all.home / due).min(1.0) * MAX_HOME_FRACTION;
-                let even = all.remote / held.remote * held.home / all.home;
-                let needed = held.home * (1.0 - home_fraction) / (home_fraction * held.remote);
-                factor = needed.min(even).max(MIN_REMOTE_FACTOR);
+            let share = snapshot.capacity_share(home_zone);
+            if selected.home > 0.0 && selected.remote > 0.0 && share > 0.0 {
+                let home_fraction = (available.home / share).min(1.0) * MAX_HOME_FRACTION;
+                let proportional = available.remote / selected.remote * selected.home / available.home;
+                let needed = selected.home * (1.0 - home_fraction) / (home_fraction * selected.remote);
+                factor = needed.min(proportional).max(MIN_REMOTE_FACTOR);
             }
         }
         let ratio = (factor / self.remote_factor).max(self.remote_factor / factor);
-        if ratio > REMOTE_FACTOR_RATIO {
+        if ratio > MIN_REMOTE_FACTOR_CHANGE {
             self.remote_factor = factor;
         }
     }
@@ -268,7 +273,7 @@
 
 impl RoutingSnapshot {
     /// The part of the served capacity that is proportional to a zone's share of the request rate.
-    fn capacity_due(&self, zone: u32) -> f64 {
+    fn capacity_share(&self, zone: u32) -> f64 {
         let rate = self.rates_by_zone.get(&zone).unwrap_or(&0.0);
         let all_rates = self.rates_by_zone.values().sum::<f64>();
         rate / all_rates.max(1e-9) * self.served_capacity
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -23,9 +23,9 @@
 const MAX_WARM_LOAD: f64 = 2.0;
 /// Endpoints below this slow-start factor are left out of the tables while the fleet is degraded and its
 /// proxies eject endpoints themselves.
-const MIN_FACTOR_WHILE_STRUGGLING: f64 = 0.35;
+const MIN_FACTOR_WHILE_DEGRADED: f64 = 0.35;
 /// The minimum factor that cold weights are multiplied by because of the fleet's condition.
-const MIN_COLD_REDUCTION: f64 = 0.05;
+const MIN_COLD_FACTOR: f64 = 0.05;
 
 /// The weight that an endpoint should have in a table.
 pub(super) struct EndpointWeight {
@@ -37,20 +37,20 @@
 pub(super) struct FleetCondition {
     /// The estimated fraction (0 to 1) of the recent peak load that the fleet can answer, from its ready
     /// weight and its answered attempts.
-    answerable_fraction: f64,
+    capacity_fraction: f64,
     /// Whether the coldest endpoints are left out of the tables. Proxies that eject failing endpoints move on
     /// to endpoints that they have not tried yet, however small the weight of those is.
-    keep_coldest_out: bool,
+    exclude_coldest: bool,
 }
 
 impl FleetCondition {
     /// Derives the condition from the present load and endpoints.
     pub(super) fn new(config: &ControllerConfig, endpoints: &EndpointRegistry, load: &FleetLoad) -> Self {
         let answered_fraction = load.answered.max(1.0) / load.attempts.max(1.0);
-        let answerable_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
+        let capacity_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
         FleetCondition {
-            answerable_fraction: answerable_fraction.clamp(MIN_COLD_REDUCTION, 1.0),
-            keep_coldest_out: config.proxy_ejects_after_failures > 0 && load.struggling,
+            capacity_fraction: capacity_fraction.clamp(MIN_COLD_FACTOR, 1.0),
+            exclude_coldest: config.proxy_ejects_after_failures > 0 && load.is_degraded,
         }
     }
 }
@@ -75,16 +75,16 @@
         |warm: bool| candidates.iter().filter(|c| c.is_warm() == warm).map(Candidate::capacity).sum::<f64>();
     let (cold, warm) = (capacity(false), capacity(true));
     // Cold weights are reduced only as far as the warm endpoints can take over the load.
-    let least = ((cold + warm) / MAX_WARM_LOAD - warm) / cold.max(1e-9);
-    let reduction = fleet.answerable_fraction.max(least).min(1.0);
-    let keep_coldest_out = fleet.keep_coldest_out && warm > 0.0;
+    let min_cold_factor = ((cold + warm) / MAX_WARM_LOAD - warm) / cold.max(1e-9);
+    let cold_factor = fleet.capacity_fraction.max(min_cold_factor).min(1.0);
+    let exclude_coldest = fleet.exclude_coldest && warm > 0.0;
     let mut weights = BTreeMap::new();
     for candidate in candidates {
         let is_warm = candidate.is_warm();
-        if keep_coldest_out && candidate.slow_start_factor < MIN_FACTOR_WHILE_STRUGGLING {
+        if exclude_coldest && candidate.slow_start_factor < MIN_FACTOR_WHILE_DEGRADED {
             continue;
         }
-        let factor = if is_warm { 1.0 } else { candidate.slow_start_factor * reduction };
+        let factor = if is_warm { 1.0 } else { candidate.slow_start_factor * cold_factor };
         let weight = candidate.weight * factor;
         weights.insert(candidate.id, EndpointWeight { weight, is_warm });
     }
--- a/src/controller/slow_start/tests.rs
+++ b/src/controller/slow_start/tests.rs
@@ -28,7 +28,7 @@
 fn no_cold_endpoint_joins_a_degraded_fleet_whose_proxies_eject() {
     let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
     let mut controller = running(config, &["a", "b"], 1);
-    controller.fleet_load.struggling = true;
+    controller.fleet_load.is_degraded = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
     assert_eq!(controller.host.weight_count(), 0);
 }
@@ -37,7 +37,7 @@
 fn cold_endpoints_join_a_degraded_fleet_without_warm_ones() {
     let config = ControllerConfig { proxy_ejects_after_failures: 3, ..config() };
     let mut controller = running(config, &[], 1);
-    controller.fleet_load.struggling = true;
+    controller.fleet_load.is_degraded = true;
     controller.endpoints_updated(at(2.0), &[ready_since("c", 2.0)]);
     assert!(controller.host.weight(0, "c").is_some());
 }
