--- a/control-plane/src/proxy_snapshot.rs
+++ b/control-plane/src/proxy_snapshot.rs
@@ -1,42 +1,44 @@
-//! The proxies that a new event stream names as joined before its first heartbeat.
+//! The joined proxies, as a new event stream lists them before its first heartbeat.
 
 use std::collections::BTreeSet;
 
-/// Collects the named proxies until they are complete.
+/// Collects the listed proxies until the list is complete.
 pub struct ProxySnapshot {
-    /// Nothing once the snapshot is complete or given up.
-    present: Option<BTreeSet<u32>>,
+    /// `None` once the snapshot has been completed or invalidated.
+    joined: Option<BTreeSet<u32>>,
 }
 
 impl Default for ProxySnapshot {
     fn default() -> Self {
-        ProxySnapshot { present: Some(BTreeSet::new()) }
+        ProxySnapshot { joined: Some(BTreeSet::new()) }
     }
 }
 
 impl ProxySnapshot {
-    /// A proxy was named.
-    pub fn proxy_present(&mut self, proxy: u32) {
-        if let Some(present) = &mut self.present {
-            present.insert(proxy);
+    /// Adds a proxy that the stream lists as joined.
+    pub fn insert(&mut self, proxy: u32) {
+        if let Some(joined) = &mut self.joined {
+            joined.insert(proxy);
         }
     }
 
-    /// A proxy left.
-    pub fn proxy_left(&mut self, proxy: u32) {
-        if let Some(present) = &mut self.present {
-            present.remove(&proxy);
+    /// Removes a proxy that left.
+    pub fn remove(&mut self, proxy: u32) {
+        if let Some(joined) = &mut self.joined {
+            joined.remove(&proxy);
         }
     }
 
-    /// Not all named proxies are known, so none may be taken as missing.
-    pub fn give_up(&mut self) {
-        self.present = None;
+    /// Invalidates the snapshot because not all listed proxies are known. No proxy may then be treated as
+    /// missing.
+    pub fn invalidate(&mut self) {
+        self.joined = None;
     }
 
-    /// The first heartbeat came: all proxies that are joined. Nothing at later heartbeats, or where it was given up.
+    /// Completes the snapshot at a heartbeat. Returns all joined proxies at the first heartbeat, and `None`
+    /// at later ones or if the snapshot was invalidated.
     pub fn complete(&mut self) -> Option<BTreeSet<u32>> {
-        self.present.take()
+        self.joined.take()
     }
 }
 
