--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -1,17 +1,17 @@
 use super::MIN_LEVEL;
 use crate::controller::fleet_load::FleetLoad;
-use crate::testing::{at, config, running, TestController};
+use crate::testing::{at, config, running_controller, TestController};
 use crate::time::Span;
 
 #[test]
 fn an_overloaded_fleet_limits_the_class_of_lower_priority_first() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
         attempts: 150.0,
         answered: 60.0,
         answered_in_window: 60.0,
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -21,8 +21,8 @@
 /// A controller shortly after its start, evaluated with the given attempts of the proxies that joined first.
 /// All attempts were answered; only the median outlier score indicates overload.
 fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
-    let mut controller = running(config(), &["a", "b"], 4);
-    let window = Span::secs(2.0);
+    let mut controller = running_controller(config(), &["a", "b"], 4);
+    let window = Span::from_secs(2.0);
     controller.fleet_load = FleetLoad {
         demand: vec![10.0, 10.0],
         window,
@@ -59,11 +59,11 @@
 
 #[test]
 fn the_budget_grows_once_the_fleet_is_no_longer_degraded() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.admission.budget = Some(100.0);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 90.0,
         answered: 90.0,
         ..FleetLoad::default()
@@ -74,11 +74,11 @@
 
 #[test]
 fn the_budget_grows_with_the_proxies_that_come_back() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     // One proxy is joined and 20 requests per second were answered: the budget is 18, nine tenths of that.
     controller.fleet_load = FleetLoad {
         demand: vec![0.0, 20.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 20.0,
         answered: 5.0,
         answered_in_window: 20.0,
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -92,7 +92,7 @@
 
     /// How long the channel takes to carry some lines.
     pub(super) fn time_for(&self, lines: f64) -> Span {
-        Span::secs(self.secs_for(lines))
+        Span::from_secs(self.secs_for(lines))
     }
 
     /// How many seconds the channel takes to carry some lines.
@@ -195,7 +195,7 @@
         if limits.max_pushes == 0 {
             return true;
         }
-        let (count, latest) = self.backlog.messages(now, proxy, limits.push_window);
+        let (count, latest) = self.backlog.recent_messages(now, proxy, limits.push_window);
         if count == 0 || latest == Some(now) {
             return true;
         }
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -1,5 +1,5 @@
 use super::FAILED_BAND;
-use crate::testing::{at, config, running, TestController};
+use crate::testing::{at, config, running_controller, TestController};
 use crate::time::Span;
 
 fn ejection_level(controller: &TestController, id: &str) -> usize {
@@ -12,7 +12,7 @@
 
 #[test]
 fn an_endpoint_that_fails_more_often_than_its_peers_moves_to_the_next_ejection_level() {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 20.0);
     }
@@ -26,11 +26,11 @@
 /// Runs the detection after `attempts` at each of the endpoints "b" and "c", none at "d", and two at "a" of
 /// which `failed` failed.
 fn after_detection(attempts: f64, failed: f64, latency_secs: f64) -> TestController {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for id in ["b", "c"] {
         controller.endpoint_outcomes(at(1.0), id, attempts, 0.0, Span::ZERO, Span::ZERO);
     }
-    controller.endpoint_outcomes(at(1.0), "a", 2.0, failed, Span::secs(latency_secs), Span::ZERO);
+    controller.endpoint_outcomes(at(1.0), "a", 2.0, failed, Span::from_secs(latency_secs), Span::ZERO);
     controller.detect_outliers(at(1.0));
     controller
 }
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_ejected_part_of_the_fleet_is_limited() {
-    let mut controller = running(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d", "e", "f", "g"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 100.0);
     }
@@ -69,7 +69,7 @@
 
 #[test]
 fn no_endpoint_is_ejected_while_the_median_score_is_high() {
-    let mut controller = running(config(), &["a", "b", "c", "d"], 1);
+    let mut controller = running_controller(config(), &["a", "b", "c", "d"], 1);
     for (_, endpoint) in controller.endpoints.iter_mut() {
         endpoint.outlier.outcomes.add(0, 6.0);
         endpoint.outlier.outcomes.add(FAILED_BAND, 4.0);
@@ -83,7 +83,7 @@
 #[test]
 fn timer_delay_does_not_change_when_an_endpoint_recovers() {
     for (late, level) in [(4.0, 2), (4.004, 2), (5.0, 1), (5.02, 1)] {
-        let mut controller = running(config(), &["a", "b"], 1);
+        let mut controller = running_controller(config(), &["a", "b"], 1);
         let endpoint = controller.endpoints.get_mut("a").unwrap();
         endpoint.outlier.ejection_level = 2;
         endpoint.outlier.ejection_count = 1;
@@ -95,17 +95,17 @@
 
 #[test]
 fn reports_that_reflect_the_previous_weight_are_skipped() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
     endpoint.outlier.level_since = at(5.0);
-    controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::secs(1.0));
+    controller.endpoint_outcomes(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::from_secs(1.0));
     assert_eq!(controller.endpoints.get("a").unwrap().outlier.outcomes.total(), 0.0);
 }
 
 #[test]
 fn reports_about_endpoints_that_were_never_listed_are_ignored() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoint_outcomes(at(1.0), "nobody", 5.0, 5.0, Span::ZERO, Span::ZERO);
     assert_eq!(controller.fleet_load.attempts, 0.0);
 }
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -50,7 +50,7 @@
         let capacity_fraction = endpoints.ready_fraction_of_peak() * answered_fraction;
         FleetCondition {
             capacity_fraction: capacity_fraction.clamp(MIN_COLD_FACTOR, 1.0),
-            exclude_coldest: config.proxy_ejects_after_failures > 0 && load.is_degraded,
+            exclude_coldest: config.proxy_ejection_threshold > 0 && load.is_degraded,
         }
     }
 }
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -7,7 +7,7 @@
 use crate::time::{Moment, Span};
 
 /// A controller whose commands are recorded.
-pub type TestController = Controller<Recorder>;
+pub type TestController = Controller<RecordingHost>;
 
 /// A command that the controller gave its host.
 #[derive(Clone, Debug, PartialEq)]
@@ -50,11 +50,11 @@
 
 /// A host that records the commands it is given.
 #[derive(Default)]
-pub struct Recorder {
+pub struct RecordingHost {
     pub commands: Vec<Command>,
 }
 
-impl Recorder {
+impl RecordingHost {
     pub fn count(&self, matches: impl Fn(&Command) -> bool) -> usize {
         self.commands.iter().filter(|command| matches(command)).count()
     }
@@ -110,7 +110,7 @@
     }
 }
 
-impl Host for Recorder {
+impl Host for RecordingHost {
     fn set_endpoint_weight(&mut self, table: u32, endpoint: &EndpointId, weight: f64) {
         self.commands.push(set_weight(table, endpoint, weight));
     }
@@ -145,12 +145,12 @@
 
 /// A moment some seconds after the start of a test.
 pub fn at(secs: f64) -> Moment {
-    Moment::from_us(1_000_000_000) + Span::secs(secs)
+    Moment::from_us(1_000_000_000) + Span::from_secs(secs)
 }
 
 pub fn config() -> ControllerConfig {
     let class = |priority_weight| RequestClass {
-        latency_objective: Span::secs(1.0),
+        latency_objective: Span::from_secs(1.0),
         priority_weight,
         zone_local: false,
         writes: false,
@@ -160,12 +160,12 @@
         polls_endpoint_list: false,
         cross_zone_costs: false,
         admission: AdmissionMode::Fraction,
-        proxy_ejects_after_failures: 0,
+        proxy_ejection_threshold: 0,
         shards: 0,
         single_writer: false,
-        lease: Span::secs(2.0),
-        settle_time: Span::secs(0.1),
-        report_interval: Span::secs(1.0),
+        write_lease: Span::from_secs(2.0),
+        write_settle_time: Span::from_secs(0.1),
+        report_interval: Span::from_secs(1.0),
         proxy_count: 4,
         min_endpoint_connections: 0,
         initial_table_size: 5,
@@ -173,11 +173,11 @@
         message_overhead_lines: 3.0,
         max_queued_lines: 1000.0,
         max_pushes: 12,
-        push_window: Span::secs(10.0),
-        max_transit: Span::secs(0.3),
-        drain_grace: Span::secs(2.0),
-        slow_start_window: Span::secs(16.0),
-        removal_not_binding: false,
+        push_window: Span::from_secs(10.0),
+        max_transit: Span::from_secs(0.3),
+        drain_grace: Span::from_secs(2.0),
+        slow_start_window: Span::from_secs(16.0),
+        drain_grace_excludes_removed: false,
     }
 }
 
@@ -200,8 +200,8 @@
 }
 
 /// A controller that knows these endpoints, ready and long warm in zone 0, and whose proxies are assigned.
-pub fn running(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
-    let mut controller = Controller::start(Recorder::default(), config, 7, at(0.0));
+pub fn running_controller(config: ControllerConfig, ids: &[&str], proxies: u32) -> TestController {
+    let mut controller = Controller::start(RecordingHost::default(), config, 7, at(0.0));
     let updates: Vec<EndpointUpdate> = ids.iter().map(|id| ready(id)).collect();
     controller.endpoint_list_replaced(at(0.0), &updates);
     for proxy in 0..proxies {
