--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -83,7 +83,7 @@
         let mut leaving = Vec::new();
         for (id, endpoint) in self.endpoints.iter() {
             if endpoint.needs_ejection() && !in_tables.contains(id) {
-                leaving.push((endpoint.left, id.clone()));
+                leaving.push((endpoint.last_ready, id.clone()));
             }
         }
         leaving.sort();
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -38,7 +38,7 @@
     /// When a load report last covered an attempt that it answered.
     pub(super) last_answered: Option<Moment>,
     /// When it was last known to be ready; its first appearance if it never was.
-    pub(super) left: Moment,
+    pub(super) last_ready: Moment,
     /// Whether it stopped being ready and was ejected from the proxies that were joined at the time.
     pub(super) ejected: bool,
     /// Whether the ejection reached all proxies with stale tables, including those that joined later.
@@ -78,7 +78,7 @@
     /// Applies a state from the endpoint list.
     pub(super) fn set_state(&mut self, now: Moment, state: EndpointState) {
         if self.is_ready() {
-            self.left = now;
+            self.last_ready = now;
         }
         self.state = state;
     }
@@ -129,7 +129,7 @@
             let endpoint = self
                 .by_id
                 .entry(update.id.clone())
-                .or_insert_with(|| Endpoint { left: now, ..Endpoint::default() });
+                .or_insert_with(|| Endpoint { last_ready: now, ..Endpoint::default() });
             endpoint.apply(now, update);
         }
         self.peak_ready_weight = self.peak_ready_weight.max(self.ready_weight());
@@ -231,7 +231,7 @@
         in_use: impl Fn(&EndpointId) -> bool,
     ) -> Vec<(EndpointId, Endpoint)> {
         let is_expired = |endpoint: &Endpoint| {
-            endpoint.state == EndpointState::Removed && now - endpoint.left > REMOVED_RETENTION
+            endpoint.state == EndpointState::Removed && now - endpoint.last_ready > REMOVED_RETENTION
         };
         let expired = self.by_id.iter().filter(|(id, endpoint)| is_expired(endpoint) && !in_use(id));
         let expired: Vec<EndpointId> = expired.map(|(id, _)| id.clone()).collect();
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -58,7 +58,7 @@
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
             if change.is_urgent {
-                let left = endpoints.get(&change.id).map(|endpoint| endpoint.left);
+                let left = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
                 ordered.insert((left, change.id.clone()));
             }
         }
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -42,7 +42,7 @@
     let mut controller = running_crowded(3.0, 60);
     for (k, (_, endpoint)) in controller.endpoints.iter_mut().enumerate() {
         endpoint.state = EndpointState::Draining;
-        endpoint.left = at(9.0 - k as f64 / 100.0);
+        endpoint.last_ready = at(9.0 - k as f64 / 100.0);
     }
     controller.issue_commands(at(60.0));
     assert_eq!(controller.host.weight(0, "59"), Some(0.0));
