--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -46,7 +46,7 @@
             let message = limits.message_overhead + self.tables.by_number[&table].assignment_lines();
             if waited < JOIN_COLLECTION_TIME || queued > IDLE_QUEUE_LINES && queued + message > max_lines {
                 self.recheck_soon();
-            } else if budget_is_spent || self.tables.is_usable(table, &self.endpoints) {
+            } else if budget_is_spent || self.tables.has_ready_endpoint(table, &self.endpoints) {
                 self.assign(now, number, limits);
             } else if self.timers.start(Timer::Heartbeat) {
                 let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -50,7 +50,8 @@
         if queued <= limits.max_lines(Urgency::Ordinary) || silence <= expected_within {
             return;
         }
-        let usable = self.proxies.matching(|proxy| self.tables.is_usable(proxy.table, &self.endpoints));
+        let usable =
+            self.proxies.matching(|proxy| self.tables.has_ready_endpoint(proxy.table, &self.endpoints));
         let position = (usable.len() as f64 * self.rng.next_f64()) as usize;
         if let Some(proxy) = usable.get(position) {
             self.assign(now, *proxy, limits);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -144,7 +144,7 @@
         let limits = ChannelLimits::new(&self.config, &self.endpoints);
         let placement = routing::table_for(proxy, zone, &self.config, &self.endpoints, &limits);
         self.proxies.join(now, proxy, zone, rate, has_initial_table, placement.number);
-        self.tables.ensure(&placement);
+        self.tables.create_if_missing(&placement);
         // Until it is assigned it holds tables that are not ours, with endpoints that may have left.
         self.endpoints.reset_ejected_everywhere();
         self.recheck_soon();
@@ -263,7 +263,7 @@
         if self.delivery.is_resend_pending {
             return;
         }
-        for (id, endpoint) in self.endpoints.forget_removed(now, |id| self.tables.hold(id)) {
+        for (id, endpoint) in self.endpoints.forget_removed(now, |id| self.tables.any_contains(id)) {
             if endpoint.ejected {
                 self.host.restore_endpoint(&id);
             }
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -214,17 +214,17 @@
     }
 
     /// Creates a table if it doesn't exist.
-    pub(super) fn ensure(&mut self, placement: &TablePlacement) {
+    pub(super) fn create_if_missing(&mut self, placement: &TablePlacement) {
         self.by_number.entry(placement.number).or_insert_with(|| RouteTable::new(placement.home_zone));
     }
 
     /// Whether any table holds an endpoint.
-    pub(super) fn hold(&self, id: &EndpointId) -> bool {
+    pub(super) fn any_contains(&self, id: &EndpointId) -> bool {
         self.by_number.values().any(|table| table.weights.contains_key(id))
     }
 
     /// Whether a table holds at least one ready endpoint.
-    pub(super) fn is_usable(&self, number: u32, endpoints: &EndpointRegistry) -> bool {
+    pub(super) fn has_ready_endpoint(&self, number: u32, endpoints: &EndpointRegistry) -> bool {
         self.by_number[&number].weights.keys().any(|id| endpoints.is_ready(id))
     }
 
