--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -43,7 +43,7 @@
     pub(super) window: Span,
     /// The median outlier score at the last evaluation.
     pub(super) median_score: f64,
-    /// Whether the fleet is degraded: overloaded, or not yet recovered.
+    /// Whether the fleet is degraded; an overloaded fleet always is.
     pub(super) is_degraded: bool,
 }
 
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -177,7 +177,7 @@
         // whole interval.
         let ejection_time =
             EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
-        // `None` compares as less than the limit: an endpoint without outcomes may recover.
+        // An endpoint without outcomes may recover: its score, `None`, compares as less than the limit.
         let may_recover = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
         if may_recover && now - endpoint.outlier.level_since > ejection_time {
             endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
