--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -48,7 +48,7 @@
             let message = limits.message_overhead + self.tables.by_number[&table].assignment_lines();
             if waited < JOIN_COLLECTION_TIME || queued > IDLE_QUEUE_LINES && queued + message > max_lines {
                 self.schedule_recheck();
-            } else if has_timed_out || self.tables.is_usable(table, &self.endpoints) {
+            } else if has_timed_out || self.tables.has_ready_endpoint(table, &self.endpoints) {
                 self.assign(now, number, limits);
             } else if self.timers.mark_scheduled(Timer::AssignmentRetry) {
                 let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
