--- a/simulation/src/client.rs
+++ b/simulation/src/client.rs
@@ -1,5 +1,6 @@
-//! Clients: they send each request to a proxy of their zone when it is due, give up attempts that take too long, and
-//! retry as far as the request class and their own limits allow.
+//! Simulated clients. A client sends each request to a proxy in its own zone at the scheduled time, times out
+//! attempts that take too long, and retries within the limits of the request class and of the client
+//! configuration.
 
 use crate::clock::{micros, Time};
 use crate::engine::Engine;
@@ -10,29 +11,30 @@
 use otterwinch_fleet::model::Idempotency;
 use otterwinch_fleet::ScheduledRequest;
 
-/// A request that has begun and not ended.
+/// A request in flight: one that has started and not ended.
 pub(crate) struct Request {
-    /// Its position in the load, from 1.
+    /// The request's position in the load, starting at 1.
     pub sequence: u64,
+    /// The scheduled time. Latency and the request timeout are measured from it.
     pub due: Time,
-    /// The index of its class in the fleet.
+    /// The index of the request class in the fleet.
     pub class: usize,
-    /// The index of its client's zone in the fleet.
+    /// The index of the client's zone in the fleet.
     pub zone: usize,
-    /// Seconds of work on a core of speed 1.
+    /// The work of one execution, in seconds on a core of speed 1.
     pub work: f64,
-    /// The client's attempts so far.
+    /// The number of the client's latest attempt, starting at 1; 0 before the first.
     pub attempt_number: u32,
-    /// When the client gives up the attempt that is under way; `None` between attempts.
+    /// When the attempt in progress times out; `None` between attempts.
     pub attempt_deadline: Option<Time>,
-    /// The proxy of the latest attempt; `None` where none was up.
+    /// The proxy that the latest attempt was sent to; `None` if no proxy was up.
     pub proxy: Option<u32>,
-    /// The proxy's attempt at an endpoint, while it is under way.
+    /// The slot of the proxy's attempt at an endpoint, while there is one.
     pub proxy_attempt: Option<u32>,
 }
 
 impl Engine<'_> {
-    /// Begins a request that is due now.
+    /// Starts a request that is due now.
     pub(crate) fn begin_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.in_flight += 1;
         let slot = self.requests.insert(Request {
@@ -49,13 +51,13 @@
         self.send_attempt(slot);
     }
 
-    /// The random choices of a request's present attempt.
+    /// Returns the source of the random choices for a request's latest attempt.
     pub(crate) fn sampler(&self, slot: u32) -> AttemptSampler {
         let request = &self.requests[slot];
         AttemptSampler { seed: self.seed, sequence: request.sequence, attempt_number: request.attempt_number }
     }
 
-    /// The client sends its next attempt.
+    /// Sends the client's next attempt at a request to a proxy.
     fn send_attempt(&mut self, slot: u32) {
         self.requests[slot].attempt_number += 1;
         let sampler = self.sampler(slot);
@@ -76,6 +78,8 @@
         self.schedule(arrives, Event::AttemptAtProxy { request, attempt_number });
     }
 
+    /// Returns when an attempt that is sent now times out: after a random fraction of the request's timeout,
+    /// and no later than the request itself.
     fn attempt_deadline(&self, slot: u32, sampler: &AttemptSampler) -> Time {
         let request = &self.requests[slot];
         let timeout = micros(self.fleet.request_classes[request.class].timeout);
@@ -85,7 +89,7 @@
         attempt_deadline.min(request.due + timeout)
     }
 
-    /// A proxy of a zone, or of all others where the zone has none that is up.
+    /// Chooses a live proxy in the zone at random, or in any zone if this one has none.
     fn choose_proxy(&self, zone: usize, sample: f64) -> Option<u32> {
         choose_uniformly(&self.live_proxies[zone], sample).or_else(|| {
             let all: Vec<u32> = self.live_proxies.iter().flatten().copied().collect();
@@ -93,14 +97,15 @@
         })
     }
 
-    /// Whether a request's attempt is still under way.
+    /// Returns whether the client still waits for this attempt of the request.
     pub(crate) fn is_under_way(&self, request: Handle, attempt_number: u32) -> bool {
         let current = self.requests.is_current(request);
         let request = &self.requests[request.slot];
         current && request.attempt_number == attempt_number && request.attempt_deadline.is_some()
     }
 
-    /// The answer to an attempt leaves the proxy now. It ends the request if it reaches the client in time.
+    /// Sends the answer of an attempt from the proxy to the client. It ends the request if it arrives before
+    /// the attempt times out; otherwise the timeout takes effect.
     pub(crate) fn answer_client(&mut self, slot: u32) {
         let arrives = self.now + micros(self.fleet.network.client_latency);
         let request = &self.requests[slot];
@@ -109,13 +114,14 @@
         }
     }
 
-    /// The failure of an attempt leaves the proxy now.
+    /// Sends the failure of an attempt from the proxy to the client, which then retries or ends the request.
     pub(crate) fn fail_client(&mut self, slot: u32, end: RequestEnd, never_ran: bool) {
         let arrives = self.now + micros(self.fleet.network.client_latency);
         self.retry_or_end(slot, end, never_ran, arrives);
     }
 
-    /// The client knows at `at` that its attempt has failed: it retries if it may, or the request ends.
+    /// Handles an attempt whose failure the client notices at `at`: schedules a retry if one is allowed and
+    /// would start before the request times out, and ends the request otherwise.
     pub(crate) fn retry_or_end(&mut self, slot: u32, end: RequestEnd, never_ran: bool, at: Time) {
         let request = &self.requests[slot];
         let expires = request.due + micros(self.fleet.request_classes[request.class].timeout);
@@ -130,6 +136,7 @@
         self.schedule(retry_at, Event::Retry { request });
     }
 
+    /// Returns the random wait before a request's next attempt.
     fn retry_wait(&self, slot: u32) -> Time {
         let (shortest, longest) = self.fleet.clients.retry_wait;
         let (shortest, longest) = (micros(shortest), micros(longest));
@@ -137,6 +144,9 @@
         shortest + ((longest - shortest) as f64 * sample) as Time
     }
 
+    /// Returns whether the request class and the client's limits allow a retry at `at`. A request that is not
+    /// idempotent may be retried only if it is proven not to have run; one with an idempotency key also as
+    /// long as endpoints recognize a repetition.
     fn may_retry(&self, slot: u32, never_ran: bool, at: Time) -> bool {
         let request = &self.requests[slot];
         let class = &self.fleet.request_classes[request.class];
@@ -150,14 +160,15 @@
         is_safe && !self.lifted_limits.retries && request.attempt_number <= self.fleet.clients.max_retries
     }
 
-    /// The wait before a retry is over.
+    /// Sends the next attempt once the wait before a retry is over.
     pub(crate) fn retry(&mut self, request: Handle) {
         if self.requests.is_current(request) {
             self.send_attempt(request.slot);
         }
     }
 
-    /// The client gives up its attempt and closes the connection to the proxy, which closes its own to the endpoint.
+    /// Handles the timeout of a client's attempt. The client closes its connection to the proxy, which then
+    /// closes the one to the endpoint.
     pub(crate) fn attempt_timed_out(&mut self, request: Handle, attempt_number: u32) {
         if !self.is_under_way(request, attempt_number) {
             return;
@@ -169,6 +180,7 @@
         self.retry_or_end(request.slot, RequestEnd::Failed, false, self.now);
     }
 
+    /// Records the result of a request and releases its slot.
     fn end_request(&mut self, slot: u32, end: RequestEnd) {
         let request = &self.requests[slot];
         let due = self.load_seconds(request.due);
@@ -178,6 +190,7 @@
     }
 }
 
+/// Returns the proxy that a sample from 0 (included) to 1 (excluded) selects; `None` if there are none.
 fn choose_uniformly(proxies: &[u32], sample: f64) -> Option<u32> {
     proxies.get((sample * proxies.len() as f64) as usize).copied()
 }
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -1,5 +1,6 @@
-//! What control-plane instances learn, and what becomes of their commands: load reports and changes of the endpoint list
-//! arrive late, messages to the proxies one after the other.
+//! The traffic between control-plane instances and the rest of the fleet: load reports and endpoint list
+//! updates reach an instance with a delay, and its commands reach the proxies as messages sent in order
+//! through a rate-limited channel.
 
 use crate::clock::{micros, moment, Time};
 use crate::engine::Engine;
@@ -15,30 +16,35 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The utilisation that proxies assume when they estimate their request rate. Only the proportions of their estimates
-/// count.
+/// The fleet utilisation assumed in the request rates that proxies state when they connect. Only the ratio
+/// between the proxies' estimates matters, not their absolute value.
 const ASSUMED_UTILISATION: f64 = 0.6;
 
-/// A message on its way to a proxy.
+/// A message in transit from a control-plane instance to a proxy.
 pub(crate) struct Message {
     proxy: u32,
-    /// The proxy's stream that carries it.
+    /// The number of the proxy's stream when the message was sent. If the stream has ended since, the message
+    /// is lost.
     stream: u32,
-    /// The state of the proxy's table; `None` where it was assigned none.
+    /// The content of the table assigned to the proxy; `None` if none is assigned.
     table: Option<Arc<TableSnapshot>>,
+    /// All endpoints that were ejected when the message was sent.
     ejected: Rc<BTreeSet<u32>>,
+    /// The number to acknowledge the message with, if the controller asked for an acknowledgement.
     acknowledgement: Option<u32>,
+    /// The length of the message, without the per-message overhead.
     lines: f64,
 }
 
 impl Engine<'_> {
-    /// Notifies the controller of an instance, and schedules what it asks for.
+    /// Passes an event to the controller of an instance, then schedules the timers and commands that result.
     pub(crate) fn notify(&mut self, number: u32, event: impl FnOnce(&mut Controller<SimulatedHost>, Moment)) {
         event(&mut self.instances[number as usize].controller, moment(self.now));
         self.schedule_controller_output(number);
     }
 
-    /// Schedules the timers of a controller, and the sending of its commands when all else of this time has happened.
+    /// Schedules the timers that a controller has requested. Its commands are sent after all other events of
+    /// the present time, so that they go out as one batch.
     pub(crate) fn schedule_controller_output(&mut self, number: u32) {
         let instance = &mut self.instances[number as usize];
         let host = instance.controller.host();
@@ -54,7 +60,7 @@
         }
     }
 
-    /// A proxy opens its stream to its control-plane instance.
+    /// Opens the stream between a proxy and its control-plane instance.
     pub(crate) fn connect_proxy(&mut self, number: u32) {
         let proxy = &mut self.proxies[number as usize];
         proxy.stream += 1;
@@ -67,7 +73,7 @@
         });
     }
 
-    /// The stream of a proxy to its control-plane instance ends.
+    /// Ends the stream between a proxy and its control-plane instance.
     pub(crate) fn disconnect_proxy(&mut self, number: u32) {
         let proxy = &mut self.proxies[number as usize];
         proxy.stream += 1;
@@ -76,14 +82,15 @@
         self.notify(instance, |controller, now| controller.proxy_left(now, number));
     }
 
-    /// The request rate that a proxy states when it connects: the zone's part of a typical load, spread evenly.
+    /// Returns the request rate that a proxy of this zone states when it connects: the zone's share of a
+    /// typical load, divided evenly among its proxies.
     fn estimated_request_rate(&self, zone: usize) -> f64 {
         let zone = &self.fleet.zones[zone];
         let total = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * ASSUMED_UTILISATION;
         total * zone.client_share / f64::from(zone.proxy_count)
     }
 
-    /// A report interval ends: its report is on its way, and the next interval begins.
+    /// Ends a report interval: sends its report and starts the next interval.
     pub(crate) fn close_report(&mut self, number: u32) {
         self.instances[number as usize].close_report();
         let control_plane = &self.fleet.control_plane;
@@ -93,7 +100,7 @@
         self.schedule_for_control_plane(next, Event::ReportDue { instance: number });
     }
 
-    /// A report reaches its instance.
+    /// Passes the earliest load report in transit to the controller of the instance.
     pub(crate) fn deliver_report(&mut self, number: u32) {
         let instance = &mut self.instances[number as usize];
         let Some(report) = instance.reports_in_transit.pop_front() else { return };
@@ -114,7 +121,7 @@
         self.schedule_controller_output(number);
     }
 
-    /// Entries of the endpoint list have changed: all instances learn of it later.
+    /// Sends the changed entries of the endpoint list to all instances, which receive them after a delay.
     pub(crate) fn publish_endpoints(&mut self, endpoints: &[u32]) {
         if self.instances.is_empty() {
             return;
@@ -129,14 +136,15 @@
         }
     }
 
-    /// A change of the endpoint list reaches an instance.
+    /// Passes an update of the endpoint list to the controller of an instance.
     pub(crate) fn deliver_endpoint_update(&mut self, number: u32, update: u32) {
         let controller = &mut self.instances[number as usize].controller;
         controller.endpoints_updated(moment(self.now), &self.endpoint_updates[update as usize]);
         self.schedule_controller_output(number);
     }
 
-    /// Sends the commands that an instance has issued at this time, as one message for each proxy that they concern.
+    /// Sends the commands that an instance has issued at this time, as one message to each proxy that they
+    /// affect.
     pub(crate) fn send_commands(&mut self, number: u32) {
         let Engine { instances, proxies, .. } = self;
         let instance = &mut instances[number as usize];
@@ -164,7 +172,7 @@
         }
     }
 
-    /// The earliest message in transit reaches its proxy, which pauses while it applies it.
+    /// Applies the earliest message in transit at its proxy, which handles no attempts while it does so.
     pub(crate) fn deliver_message(&mut self, number: u32) {
         let instance = &mut self.instances[number as usize];
         let Some(message) = instance.messages_in_transit.pop_front() else { return };
@@ -191,7 +199,7 @@
         }
     }
 
-    /// An acknowledgement reaches its instance, unless the proxy's stream has ended meanwhile.
+    /// Passes a proxy's acknowledgement to the controller, unless the stream that it was sent on has ended.
     pub(crate) fn deliver_acknowledgement(&mut self, instance: u32, number: u32, proxy: u32, stream: u32) {
         if self.proxies[proxy as usize].stream == stream {
             self.notify(instance, |controller, now| controller.acknowledged(now, number, proxy));
--- a/simulation/src/control_plane_instance.rs
+++ b/simulation/src/control_plane_instance.rs
@@ -1,4 +1,5 @@
-//! A control-plane instance: the real controller, the channel to its proxies, and what is on its way between them.
+//! A simulated control-plane instance: the real controller, its channel to the proxies, and the reports and
+//! messages in transit between them.
 
 use crate::control_messages::Message;
 use crate::proxy_channel::ProxyChannel;
@@ -6,27 +7,28 @@
 use otterwinch::controller::Controller;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Outcomes of attempts, summed over a report interval.
+/// The attempts at an endpoint within a report interval, by outcome.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct EndpointOutcomes {
+    /// All attempts, failed ones included.
     pub attempts: u32,
     pub failed: u32,
-    /// Total latency of the attempts that didn't fail, in microseconds.
+    /// The total latency of the attempts that were answered, in microseconds.
     pub latency_us: u64,
 }
 
-/// Where outcomes were seen: at an endpoint, by the proxies of a zone. Reports list them in this order.
+/// The endpoint of an attempt and the zone of its proxy. Reports are ordered by endpoint, then by zone.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OutcomeKey {
     pub endpoint: u32,
     pub zone: u32,
 }
 
-/// What the proxies of an instance report of an interval.
+/// The load report of all proxies of an instance for one interval.
 pub(crate) struct LoadReport {
-    /// Outcomes of attempts; a key without attempts is absent.
+    /// Outcomes of the proxies' attempts. Keys without attempts are absent.
     pub outcomes: BTreeMap<OutcomeKey, EndpointOutcomes>,
-    /// Requests that reached the proxies, by request class.
+    /// The number of client attempts that reached the proxies, by request class.
     pub demand: Vec<u32>,
 }
 
@@ -36,18 +38,19 @@
     }
 }
 
-/// One instance of the control plane.
+/// The controller and channel of an instance, with the reports and messages that are in transit.
 pub(crate) struct ControlPlaneInstance {
     pub controller: Controller<SimulatedHost>,
     pub channel: ProxyChannel,
-    /// The report of the interval that is under way.
+    /// The report of the current interval.
     pub open_report: LoadReport,
-    /// Closed reports that haven't arrived yet. All take the same time, so the first arrives first.
+    /// Reports that were sent and have not arrived yet, oldest first. All have the same delay, so they arrive
+    /// in this order.
     pub reports_in_transit: VecDeque<LoadReport>,
-    /// Messages that have not reached their proxies yet. They leave one after the other and all take the same time, so
-    /// the first arrives first.
+    /// Messages that have not reached their proxies yet, oldest first. They are sent in order and have the
+    /// same delay, so they arrive in this order.
     pub messages_in_transit: VecDeque<Message>,
-    /// Whether the commands of this instant are already due to be sent.
+    /// Whether sending the commands of the present time is already scheduled.
     pub send_scheduled: bool,
 }
 
@@ -67,13 +70,13 @@
         }
     }
 
-    /// Closes the open report and sends it on its way.
+    /// Moves the report of the current interval to those in transit and starts an empty one.
     pub(crate) fn close_report(&mut self) {
         let next = LoadReport::new(self.open_report.demand.len());
         self.reports_in_transit.push_back(std::mem::replace(&mut self.open_report, next));
     }
 
-    /// Counts the outcome of an attempt.
+    /// Adds the outcome of an attempt to the report of the current interval.
     pub(crate) fn record_outcome(&mut self, key: OutcomeKey, answered: bool, latency_us: u64) {
         let outcomes = self.open_report.outcomes.entry(key).or_default();
         outcomes.attempts += 1;
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -1,10 +1,10 @@
-//! The controller's configuration for a described fleet.
+//! Derives the controller's configuration from the description of a fleet.
 
 use otterwinch::config::{AdmissionMode, ControllerConfig, RequestClass};
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{self, Fleet, Idempotency};
 
-/// The configuration with which control-plane instances of this fleet start.
+/// Returns the configuration that every control-plane instance of this fleet starts with.
 pub fn controller_config(fleet: &Fleet) -> ControllerConfig {
     let control_plane = &fleet.control_plane;
     let min_connections = fleet.groups.iter().map(|group| group.max_connections).min();
