--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -1,5 +1,5 @@
-//! A simulated endpoint: cores, a bounded queue of requests, bounded connections, slow start and overload collapse. It
-//! knows attempts by their slots and by the work that they cost.
+//! A simulated endpoint: cores, a bounded request queue, a connection limit, slow start and overload
+//! collapse. Attempts are represented by their slots and their work only.
 
 use crate::clock::{secs, Time};
 use otterwinch::host::{EndpointId, EndpointState};
@@ -7,72 +7,74 @@
 use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
 use std::collections::VecDeque;
 
-/// What an endpoint does with an attempt that it is offered.
+/// How an endpoint responds to an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Offer {
-    /// A core works on it until this time.
+    /// A core has started on it and will be done at this time.
     Started(Time),
-    /// It waits for a core.
+    /// It is queued until a core is free.
     Queued,
-    /// The queue is full.
+    /// It is rejected because the queue is full.
     Rejected,
-    /// The endpoint collapses under it.
+    /// It exceeds the load that the endpoint can take during slow start, and the endpoint collapses.
     Collapsed,
 }
 
-/// An endpoint.
+/// The configuration, state and counters of an endpoint.
 pub(crate) struct Endpoint {
     pub id: EndpointId,
-    /// The index of its group in the fleet.
+    /// The index of the endpoint's group in the fleet.
     pub group: usize,
-    /// The index of its zone in the fleet.
+    /// The index of the endpoint's zone in the fleet.
     pub zone: usize,
-    /// What the endpoint list says of it, from its next update on.
+    /// The state of the endpoint in the endpoint list, as of its next update.
     pub state: EndpointState,
-    /// Its weight in the endpoint list.
+    /// The weight of the endpoint in the endpoint list.
     pub weight: f64,
-    /// Whether its process runs.
+    /// Whether the process is running.
     pub up: bool,
-    /// Whether it collapsed, and wasn't started again since.
+    /// Whether the endpoint collapsed and has not been restarted since.
     pub collapsed: bool,
-    /// Its latest start; `None` where that is long past.
+    /// When the process last started; `None` if that was before the simulation began.
     pub started: Option<Time>,
-    /// Counts its starts and ends: a connection to an earlier incarnation is broken.
+    /// The number of crashes and restarts so far. Connections to an earlier incarnation are broken.
     pub incarnation: u32,
-    /// The factor by which it is slower than it should be.
+    /// The factor by which an injected fault slows the endpoint down; 1 without such a fault.
     pub slowdown: f64,
-    /// The fraction of requests that it fails at once.
+    /// The fraction of attempts that fail immediately because of an injected fault.
     pub failure_rate: f64,
-    /// Whether it accepts requests and answers none.
+    /// Whether an injected fault makes the endpoint accept attempts without answering them.
     pub hangs: bool,
-    /// The number of open connections.
+    /// The number of open connections, idle ones included.
     pub open_connections: u32,
-    /// Work of a new connection, in seconds on a core of speed 1.
+    /// The work of setting up a connection, in seconds on a core of speed 1.
     pub connection_work: f64,
-    /// Whether it goes on with work that nobody waits for any more.
+    /// Whether the endpoint finishes work on an attempt whose connection was closed.
     pub finishes_abandoned: bool,
     pub cores: u32,
-    /// Attempts that it worked on or queued.
+    /// The number of attempts that were started or queued.
     pub accepted: u64,
-    /// Attempts that found the queue full.
+    /// The number of attempts that were rejected because the queue was full.
     pub rejected: u64,
-    /// Connections that it didn't accept.
+    /// The number of connections that were refused.
     pub refused_connections: u64,
+    /// The speed of each core once warm, without injected faults.
     speed: f64,
     max_queued: u32,
     max_connections: u32,
+    /// The slots of the queued attempts, oldest first.
     queue: VecDeque<u32>,
     busy_cores: u32,
     warm_up: Option<WarmUp>,
     overload_collapse: Option<OverloadCollapse>,
     recent_work: RecentWork,
-    /// Core-seconds in use until `accounted_until`.
+    /// Core-seconds used until `accounted_until`.
     used_core_seconds: f64,
     accounted_until: Time,
 }
 
 impl Endpoint {
-    /// An endpoint of a group, with its own speed.
+    /// Creates an endpoint of a group that is up and has this speed per core.
     pub(crate) fn new(
         id: EndpointId,
         group_index: usize,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// The fraction of its full speed that it has while it warms up.
+    /// Returns the present fraction of the full speed: less than 1 during slow start, 1 afterwards.
     fn slow_start_factor(&self, now: Time) -> f64 {
         match (self.started, self.warm_up) {
             (Some(started), Some(warm_up)) => {
@@ -123,12 +125,13 @@
         }
     }
 
-    /// The seconds of work that one core does in a second.
+    /// Returns the seconds of work that one core does per second at present.
     fn current_speed(&self, now: Time) -> f64 {
         self.speed * self.slow_start_factor(now) / self.slowdown
     }
 
-    /// Opens a connection, or counts it as refused.
+    /// Opens a connection if the endpoint is up and below its connection limit, and counts it as refused
+    /// otherwise. Returns whether the connection is open.
     pub(crate) fn accept_connection(&mut self) -> bool {
         let accepted = self.up && self.open_connections < self.max_connections;
         if accepted {
@@ -139,20 +142,20 @@
         accepted
     }
 
-    /// Core-seconds in use up to now.
+    /// Returns the core-seconds used so far.
     pub(crate) fn used_core_seconds(&mut self, now: Time) -> f64 {
         self.account_usage(now);
         self.used_core_seconds
     }
 
-    /// Accounts for the use of the cores up to now; to be called before the number of busy cores changes.
+    /// Adds the core time used since the last call. Must be called before the number of busy cores changes.
     fn account_usage(&mut self, now: Time) {
         let elapsed = secs(now.saturating_sub(self.accounted_until));
         self.used_core_seconds += elapsed * f64::from(self.busy_cores);
         self.accounted_until = now;
     }
 
-    /// Offers an attempt that costs so many seconds of work on a core of speed 1.
+    /// Starts, queues or rejects an attempt, or collapses under it. `work` is in seconds on a core of speed 1.
     pub(crate) fn offer(&mut self, now: Time, attempt: u32, work: f64) -> Offer {
         if self.collapses_under(now, work) {
             self.collapsed = true;
@@ -171,14 +174,14 @@
         Offer::Queued
     }
 
-    /// Occupies a core with work; returns when it is done.
+    /// Starts work on a free core and returns when it will be done.
     pub(crate) fn start_work(&mut self, now: Time, work: f64) -> Time {
         self.account_usage(now);
         self.busy_cores += 1;
         now + (work / self.current_speed(now) * 1e6).round() as Time
     }
 
-    /// Frees a core; returns the attempt to start next, if one is queued.
+    /// Frees a core and returns the attempt to start next, if one is queued.
     pub(crate) fn finish_work(&mut self, now: Time) -> Option<u32> {
         self.account_usage(now);
         self.busy_cores -= 1;
@@ -192,7 +195,8 @@
         }
     }
 
-    /// Counts offered work while the endpoint warms up, and tells whether it is too much to survive.
+    /// Records offered work during slow start. Returns whether the work offered within the collapse window
+    /// exceeds what the endpoint survives.
     fn collapses_under(&mut self, now: Time, work: f64) -> bool {
         let Some(collapse) = self.overload_collapse else { return false };
         if self.slow_start_factor(now) >= 1.0 {
@@ -204,7 +208,7 @@
         recent_work > capacity
     }
 
-    /// Ends the process: all that it was working on or had queued is lost.
+    /// Ends the process. Running and queued attempts and all connections are lost.
     pub(crate) fn crash(&mut self, now: Time) {
         self.account_usage(now);
         self.up = false;
@@ -215,7 +219,7 @@
         self.state = EndpointState::Removed;
     }
 
-    /// Starts the process, cold and without injected faults.
+    /// Starts the process again, in slow start and without injected faults.
     pub(crate) fn restart(&mut self, now: Time) {
         self.account_usage(now);
         self.up = true;
@@ -230,11 +234,11 @@
     }
 }
 
-/// Work offered within a sliding window, in buckets.
+/// The work offered within a sliding time window, summed in a ring of buckets.
 #[derive(Default)]
 struct RecentWork {
     buckets: [f64; RecentWork::BUCKETS],
-    /// The number of the latest bucket, counted from the beginning of the simulation.
+    /// The number of the newest bucket, counting from time 0.
     latest_bucket: Time,
 }
 
@@ -245,7 +249,8 @@
         self.buckets = [0.0; Self::BUCKETS];
     }
 
-    /// Adds work offered now; returns all work offered within the window of so many seconds.
+    /// Adds work offered now and returns the total within the window. `window` is in seconds and has to be
+    /// the same in every call.
     fn add(&mut self, now: Time, window: f64, work: f64) -> f64 {
         let buckets = Self::BUCKETS as Time;
         let bucket = (secs(now) / window * Self::BUCKETS as f64) as Time;
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -1,5 +1,5 @@
-//! What happens to a proxy's attempt at its endpoint: it is connected, queued, worked on and answered, or it is rejected,
-//! fails, hangs or is cancelled.
+//! The handling of attempts at endpoints: connecting, queueing, running and answering them, as well as
+//! rejection, injected faults and cancellation.
 
 use crate::clock::Time;
 use crate::endpoint::Offer;
@@ -8,21 +8,21 @@
 use crate::request_sampling::Purpose;
 use crate::slab::Handle;
 
-/// How far an attempt has come.
+/// The progress of a proxy's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// On its way to the endpoint.
+    /// It has not reached the endpoint yet.
     InTransit,
     Queued,
     Running,
-    /// The endpoint holds it and does nothing.
+    /// The endpoint has accepted it and will not answer, because of an injected fault.
     Hanging,
-    /// Its outcome is on its way to the proxy.
+    /// Its outcome, whether an answer or an error, is in transit to the proxy.
     Answered,
 }
 
 impl Engine<'_> {
-    /// An attempt reaches its endpoint.
+    /// Handles the arrival of an attempt at its endpoint.
     pub(crate) fn attempt_at_endpoint(&mut self, slot: u32) {
         if let Some(outcome) = self.connection_failure(slot) {
             return self.respond(slot, outcome);
@@ -43,7 +43,8 @@
         self.offer_work(slot);
     }
 
-    /// Connects an attempt; returns how it ends if it can't be connected.
+    /// Connects an attempt to its endpoint. Returns its outcome if that fails: no new connection was
+    /// accepted, or the reused one has broken.
     fn connection_failure(&mut self, slot: u32) -> Option<AttemptOutcome> {
         let attempt = &mut self.attempts[slot];
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
@@ -60,6 +61,7 @@
         None
     }
 
+    /// Returns whether an attempt fails because of an injected fault.
     fn fails_by_injection(&self, slot: u32) -> bool {
         let attempt = &self.attempts[slot];
         let failure_rate = self.endpoints[attempt.endpoint as usize].failure_rate;
@@ -67,6 +69,7 @@
         failure_rate > 0.0 && sampler.sample(Purpose::InjectedFailure) < failure_rate
     }
 
+    /// Offers an attempt to its endpoint, which starts, queues or rejects it, or collapses.
     fn offer_work(&mut self, slot: u32) {
         let attempt = &mut self.attempts[slot];
         let number = attempt.endpoint;
@@ -81,13 +84,14 @@
         }
     }
 
+    /// Marks an attempt as running and schedules its completion.
     fn run_until(&mut self, slot: u32, done: Time) {
         self.attempts[slot].stage = Stage::Running;
         let attempt = self.attempts.handle(slot);
         self.schedule(done, Event::WorkDone { attempt });
     }
 
-    /// A core has done the work of an attempt, unless the attempt was cancelled or its endpoint crashed meanwhile.
+    /// Completes the work on an attempt, unless it was cancelled or its endpoint crashed in the meantime.
     pub(crate) fn work_done(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
@@ -96,7 +100,7 @@
         }
         let endpoint = attempt.endpoint;
         if attempt.abandoned {
-            // Its connection was closed already.
+            // Its connection is already closed, so there is nothing to answer.
             self.attempts.release(slot);
         } else {
             self.respond(slot, AttemptOutcome::Answered);
@@ -104,7 +108,7 @@
         self.free_core(endpoint);
     }
 
-    /// Frees a core of an endpoint, and starts the next attempt that is queued for one.
+    /// Frees a core of an endpoint and starts the next queued attempt on it.
     fn free_core(&mut self, number: u32) {
         let endpoint = &mut self.endpoints[number as usize];
         if let Some(next) = endpoint.finish_work(self.now) {
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Sends the outcome of an attempt to its proxy: the endpoint's answer, or the error of its connection.
+    /// Sends the outcome of an attempt to its proxy: the endpoint's answer or error, or a connection error.
     pub(crate) fn respond(&mut self, slot: u32, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[slot];
         attempt.stage = Stage::Answered;
@@ -122,7 +126,7 @@
         self.schedule(arrives, Event::OutcomeAtProxy { attempt: slot, outcome });
     }
 
-    /// The endpoint notices that the connection of an attempt was closed, and cancels it.
+    /// Cancels an attempt when its endpoint notices that the proxy has closed the connection.
     pub(crate) fn connection_closed(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
@@ -133,7 +137,7 @@
             return;
         }
         match attempt.stage {
-            // The connection is closed when the attempt reaches its endpoint, or its outcome the proxy.
+            // The connection is closed when the attempt reaches the endpoint, or its outcome the proxy.
             Stage::InTransit | Stage::Answered => {}
             Stage::Queued => {
                 endpoint.drop_queued(slot);
--- a/simulation/src/request_sampling.rs
+++ b/simulation/src/request_sampling.rs
@@ -1,9 +1,10 @@
-//! Random choices made for a request. Each is a hash of the seed, the request, its attempt and the purpose, so that no
-//! choice depends on how many others were made before it.
+//! Random choices for requests. Each is a hash of the seed, the request, the attempt and the purpose of the
+//! choice, so that it doesn't depend on how many other choices were made before it.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a sample decides. The numbers enter the hash.
+/// What a sample is used for. The values are part of the hash input: changing one changes the simulation
+/// results.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Purpose {
     Proxy = 1,
@@ -15,18 +16,18 @@
     InjectedFailure = 7,
 }
 
-/// Samples for one attempt of one request.
+/// The source of random samples for one client attempt at a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptSampler {
     pub seed: u64,
-    /// The request's position in the load, from 1.
+    /// The request's position in the load, starting at 1.
     pub sequence: u64,
-    /// The client's attempts at this request so far, from 1.
+    /// The number of the client's attempt at this request, starting at 1.
     pub attempt_number: u32,
 }
 
 impl AttemptSampler {
-    /// A number from 0 (included) to 1 (excluded).
+    /// Returns the sample for a purpose, from 0 (included) to 1 (excluded).
     pub(crate) fn sample(&self, purpose: Purpose) -> f64 {
         let mut bytes = [0; 13];
         bytes[..8].copy_from_slice(&self.sequence.to_le_bytes());
