--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -155,7 +155,8 @@
         self.accounted_until = now;
     }
 
-    /// Starts, queues or rejects an attempt, or collapses under it. `work` is in seconds on a core of speed 1.
+    /// Starts, queues or rejects an attempt, or collapses under it. `work` is in seconds on a core of speed
+    /// 1.
     pub(crate) fn offer(&mut self, now: Time, attempt: u32, work: f64) -> Offer {
         if self.collapses_under(now, work) {
             self.collapsed = true;
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Proxies: they admit or reject the attempts of clients, choose an endpoint by weight, reuse connections, retry where
-//! an attempt is proven not to have run, and count outcomes for the load report.
+//! Simulated proxies. A proxy admits or rejects client attempts, chooses endpoints by weight, reuses
+//! connections, retries attempts that are proven not to have run, and counts outcomes for the load report.
 
 use crate::clock::{micros, Time};
 use crate::control_plane_instance::OutcomeKey;
@@ -14,31 +14,33 @@
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 
-/// A proxy.
+/// The state of a proxy.
 pub(crate) struct Proxy {
-    /// The index of its zone in the fleet.
+    /// The index of the proxy's zone in the fleet.
     pub zone: usize,
-    /// The control-plane instance that it belongs to.
+    /// The control-plane instance that the proxy connects to; `None` if its table is fixed.
     pub instance: Option<u32>,
-    /// The endpoints of the table that it starts with.
+    /// The endpoints in the initial table, which the proxy uses until a table is assigned.
     pub initial_endpoints: Vec<u32>,
+    /// The table that the proxy uses at present.
     pub table: Arc<TableSnapshot>,
-    /// Whether it uses a table that it was assigned.
+    /// Whether `table` is fixed or was assigned, as opposed to the initial table.
     pub has_assigned_table: bool,
-    /// It handles no attempt before this time: it applies a message.
+    /// When the proxy is done applying messages. It handles no client attempts before then.
     pub paused_until: Time,
-    /// Its idle connections, by endpoint.
+    /// The idle connections to each endpoint.
     pub pools: FxHashMap<u32, ConnectionPool>,
-    /// The number of its stream to the control plane. What was sent on an earlier stream is lost.
+    /// The number of the proxy's stream to its control-plane instance, increased on every connect and
+    /// disconnect. Whatever was sent on an earlier stream is lost.
     pub stream: u32,
     pub up: bool,
 }
 
 /// The idle connections of a proxy to an endpoint.
 pub(crate) struct ConnectionPool {
-    /// The incarnation of the endpoint that the connections lead to.
+    /// The incarnation of the endpoint when the connections were opened.
     pub incarnation: u32,
-    /// When each connection was used last.
+    /// When each connection was last used.
     pub idle_since: Vec<Time>,
 }
 
@@ -48,24 +50,24 @@
     pub request: Handle,
     pub proxy: u32,
     pub endpoint: u32,
-    /// The incarnation of the endpoint that its connection leads to.
+    /// The incarnation of the endpoint when the connection was opened.
     pub endpoint_incarnation: u32,
-    /// Seconds of work on a core of speed 1.
+    /// The work of the attempt, in seconds on a core of speed 1.
     pub work: f64,
     pub began: Time,
-    /// Whether it opens a connection of its own.
+    /// Whether the attempt opens a new connection instead of reusing an idle one.
     pub opens_connection: bool,
-    /// Whether the endpoint counts its connection as open.
+    /// Whether the connection is established, so that the endpoint counts it as open.
     pub connected: bool,
-    /// Whether its client or proxy doesn't wait for it any more.
+    /// Whether the outcome no longer matters, because the client timed out or the proxy was lost.
     pub abandoned: bool,
-    /// Whether it is the proxy's retry of another.
+    /// Whether this is the proxy's retry of an earlier attempt.
     pub is_retry: bool,
     pub stage: Stage,
 }
 
 impl Proxy {
-    /// A proxy that is up. Without an instance it keeps its table.
+    /// Creates a proxy that is up. Without a control-plane instance, `table` is never replaced.
     pub(crate) fn new(
         zone: usize,
         instance: Option<u32>,
@@ -85,13 +87,13 @@
         }
     }
 
-    /// Takes an idle connection to an incarnation of an endpoint; tells whether there was one.
+    /// Takes an idle connection to this incarnation of an endpoint, and returns whether there was one.
     fn take_connection(&mut self, endpoint: u32, incarnation: u32) -> bool {
         let Some(pool) = self.pools.get_mut(&endpoint) else { return false };
         pool.incarnation == incarnation && pool.idle_since.pop().is_some()
     }
 
-    /// Keeps a connection for later attempts.
+    /// Adds a connection to the pool, and discards any to an earlier incarnation of the endpoint.
     fn keep_connection(&mut self, endpoint: u32, incarnation: u32, now: Time) {
         let pool = self.pools.entry(endpoint);
         let pool = pool.or_insert_with(|| ConnectionPool { incarnation, idle_since: Vec::new() });
@@ -103,7 +105,8 @@
 }
 
 impl Engine<'_> {
-    /// An attempt of a client reaches its proxy.
+    /// Handles the arrival of a client's attempt at its proxy, or postpones it while the proxy applies a
+    /// message.
     pub(crate) fn attempt_at_proxy(&mut self, request: Handle, attempt_number: u32) {
         if !self.is_under_way(request, attempt_number) {
             return;
@@ -131,14 +134,14 @@
         }
     }
 
-    /// The one-way time between a proxy and an endpoint.
+    /// Returns the one-way network latency between a proxy and an endpoint.
     pub(crate) fn latency(&self, proxy: u32, endpoint: u32) -> Time {
         let from = self.proxies[proxy as usize].zone;
         let to = self.endpoints[endpoint as usize].zone;
         micros(self.fleet.network.zone_latency[from][to])
     }
 
-    /// The proxy forwards a request to an endpoint, over an idle connection or a new one.
+    /// Forwards a request to an endpoint, over an idle connection if there is one.
     fn forward(&mut self, slot: u32, number: u32, endpoint: u32, is_retry: bool) {
         let latency = self.latency(number, endpoint);
         let target = &self.endpoints[endpoint as usize];
@@ -160,12 +163,13 @@
             stage: Stage::InTransit,
         });
         self.requests[slot].proxy_attempt = Some(attempt);
-        // A new connection takes a round trip before its first byte.
+        // Opening a connection takes one round trip before the request can be sent.
         let arrives = self.now + if connected { latency } else { 3 * latency };
         self.schedule(arrives, Event::AttemptAtEndpoint { attempt });
     }
 
-    /// The outcome of an attempt reaches its proxy.
+    /// Handles the outcome of an attempt when it reaches the proxy: answers the client, retries at another
+    /// endpoint, or reports the failure to the client.
     pub(crate) fn outcome_at_proxy(&mut self, slot: u32, outcome: AttemptOutcome) {
         let attempt = self.attempts[slot];
         self.keep_or_close_connection(&attempt, outcome);
@@ -189,6 +193,8 @@
         }
     }
 
+    /// Returns the connection of an attempt to the pool, or closes it if the attempt was abandoned or failed.
+    /// Does nothing if the connection was never established or the endpoint has crashed since.
     fn keep_or_close_connection(&mut self, attempt: &Attempt, outcome: AttemptOutcome) {
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
         if !attempt.connected || attempt.endpoint_incarnation != endpoint.incarnation {
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Counts an outcome, which the proxy knows now, for the load report.
+    /// Adds the outcome of an attempt to the load report at the time at which the proxy learns it.
     fn record_outcome(&mut self, attempt: &Attempt, answered: bool) {
         let proxy = &self.proxies[attempt.proxy as usize];
         let Some(instance) = proxy.instance else { return };
@@ -212,7 +218,8 @@
         self.instances[instance as usize].record_outcome(key, answered, latency);
     }
 
-    /// Retries at another endpoint an attempt that never ran; tells whether the policy and the table allow it.
+    /// Retries an attempt that never ran at another endpoint. Returns false if the retry policy forbids it or
+    /// the table has no other endpoint.
     fn retry_elsewhere(&mut self, slot: u32, failed: &Attempt) -> bool {
         let table = &self.proxies[failed.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
@@ -230,8 +237,8 @@
         true
     }
 
-    /// Nobody waits for an attempt any more: its proxy closes the connection to the endpoint at `closed_at_proxy`, and
-    /// reports it as failed now.
+    /// Abandons an attempt whose client has timed out. It counts as failed now; the proxy closes the
+    /// connection to the endpoint at `closed_at_proxy`.
     pub(crate) fn abandon_attempt(&mut self, slot: u32, closed_at_proxy: Time) {
         self.attempts[slot].abandoned = true;
         let attempt = self.attempts[slot];
