--- a/simulation/src/proxy_channel.rs
+++ b/simulation/src/proxy_channel.rs
@@ -1,5 +1,5 @@
-//! The channel between a control-plane instance and its proxies: turns the commands of an instant into one message for
-//! each proxy that they concern, and sends messages one after the other at a limited rate.
+//! The channel between a control-plane instance and its proxies. It turns the commands issued at one time
+//! into one message for each proxy that they affect, and sends messages in order at a limited rate.
 
 use crate::clock::{secs, Time};
 use crate::route_table::{AdmissionLevel, RouteTable, TableSnapshot};
@@ -8,29 +8,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The tables of an instance, which proxy uses which, and the queue of messages to the proxies.
+/// The route tables of an instance, their assignment to proxies, and the queue of messages to the proxies.
 pub struct ProxyChannel {
-    /// Endpoints that are ejected from all tables.
+    /// The endpoints that are ejected from all tables.
     pub ejected: BTreeSet<u32>,
-    /// Proxies that are connected.
+    /// The proxies with an open stream to the instance.
     pub connected: BTreeSet<u32>,
-    /// Messages to the proxies.
+    /// The queue of messages to the proxies.
     pub send_queue: SendQueue,
+    /// The route tables by ID.
     tables: BTreeMap<u32, RouteTable>,
-    /// The table that each proxy was assigned.
+    /// The ID of the table assigned to each proxy. Proxies without one are absent.
     assigned: BTreeMap<u32, u32>,
     request_classes: usize,
 }
 
-/// Messages that leave one after the other, at a limited rate of lines.
+/// A queue of messages that are sent in order at a limited number of lines per second.
 pub struct SendQueue {
     lines_per_second: f64,
     message_overhead_lines: f64,
-    /// When the last queued message has left.
+    /// When the last queued message has been sent completely.
     idle_at: Time,
-    /// The most lines that were ever queued.
+    /// The most lines that were queued at any time.
     pub max_queued_lines: f64,
-    /// Lines of all messages so far, with their overhead.
+    /// The total lines of all messages so far, including the overhead per message.
     pub sent_lines: f64,
 }
 
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Queues a message of so many lines; returns when it has left.
+    /// Queues a message of this length and returns when it will have been sent.
     pub fn enqueue(&mut self, now: Time, lines: f64) -> Time {
         let lines = lines + self.message_overhead_lines;
         self.idle_at = self.idle_at.max(now) + (lines / self.lines_per_second * 1e6) as Time;
@@ -56,11 +57,11 @@
     }
 }
 
-/// The messages that the commands of an instant make.
+/// The messages that result from the commands issued at one time.
 pub struct MessageBatch {
     /// The length of each proxy's message, in lines.
     pub lines: BTreeMap<u32, f64>,
-    /// The number with which the proxies acknowledge the batch, if the controller asks for it.
+    /// The number to acknowledge the batch with, if the controller asked for an acknowledgement.
     pub acknowledgement: Option<u32>,
 }
 
@@ -71,7 +72,7 @@
 }
 
 impl ProxyChannel {
-    /// A channel without proxies and tables.
+    /// Creates a channel without proxies and tables.
     pub fn new(control_plane: &ControlPlane, request_classes: usize) -> Self {
         ProxyChannel {
             ejected: BTreeSet::new(),
@@ -83,19 +84,19 @@
         }
     }
 
-    /// Adds a proxy, which has no table yet.
+    /// Adds a proxy, which has no assigned table yet.
     pub fn connect(&mut self, proxy: u32) {
         self.connected.insert(proxy);
     }
 
-    /// Removes a proxy and forgets its table.
+    /// Removes a proxy and its table assignment.
     pub fn disconnect(&mut self, proxy: u32) {
         self.connected.remove(&proxy);
         self.assigned.remove(&proxy);
     }
 
-    /// Applies the commands of an instant to the tables, and counts the lines that each proxy is sent.
-    /// `in_initial_table` tells whether the table that a proxy starts with has an endpoint.
+    /// Applies the commands issued at one time and returns the messages to send. `in_initial_table` returns
+    /// whether a proxy's initial table contains an endpoint.
     pub fn apply(
         &mut self,
         commands: Vec<Command>,
@@ -130,18 +131,20 @@
         batch
     }
 
-    /// The present state of a proxy's table; `None` if it was assigned none.
+    /// Returns the present content of the table assigned to a proxy; `None` if none is assigned.
     pub fn table_snapshot(&mut self, proxy: u32) -> Option<Arc<TableSnapshot>> {
         let table_id = self.assigned.get(&proxy)?;
         let table = self.tables.get_mut(table_id)?;
         Some(table.snapshot(&self.ejected))
     }
 
+    /// Returns the table with this ID, which is created if necessary.
     fn table(&mut self, table_id: u32) -> &mut RouteTable {
         let request_classes = self.request_classes;
         self.tables.entry(table_id).or_insert_with(|| RouteTable::new(request_classes))
     }
 
+    /// Sets the weight of an endpoint in a table; a weight of 0 removes it.
     fn set_weight(&mut self, table_id: u32, endpoint: u32, weight: f64) {
         let table = self.table(table_id);
         if weight > 0.0 {
@@ -152,6 +155,7 @@
         table.invalidate();
     }
 
+    /// Sets the admission level of request classes in a table. An empty set stands for all classes.
     fn set_admission(&mut self, table_id: u32, request_classes: u64, level: AdmissionLevel) {
         let table = self.table(table_id);
         for (class, current) in table.admission.iter_mut().enumerate() {
@@ -162,6 +166,7 @@
         table.invalidate();
     }
 
+    /// Ejects an endpoint from all tables, or restores it.
     fn set_ejected(&mut self, endpoint: u32, ejected: bool) {
         if ejected {
             self.ejected.insert(endpoint);
@@ -173,7 +178,8 @@
         }
     }
 
-    /// Assigns a table, all of whose content the proxy is sent. A proxy that isn't connected is ignored.
+    /// Assigns a table to a proxy. The message has a line for the assignment, for each weight and admission
+    /// level in the table, and for each ejected endpoint in it. Ignored if the proxy isn't connected.
     fn assign(&mut self, proxy: u32, table_id: u32, batch: &mut MessageBatch) {
         if !self.connected.contains(&proxy) {
             return;
@@ -186,7 +192,7 @@
         self.assigned.insert(proxy, table_id);
     }
 
-    /// Adds a line for each proxy that uses a table.
+    /// Adds a line to the message of each proxy that a table is assigned to.
     fn add_line_to_users(&self, table_id: u32, batch: &mut MessageBatch) {
         for (proxy, assigned) in &self.assigned {
             if *assigned == table_id {
@@ -195,7 +201,8 @@
         }
     }
 
-    /// Adds a line for each connected proxy whose table has an endpoint.
+    /// Adds a line to the message of each connected proxy whose assigned or initial table contains an
+    /// endpoint.
     fn add_line_to_holders(
         &self,
         endpoint: u32,
--- a/simulation/src/route_table.rs
+++ b/simulation/src/route_table.rs
@@ -1,19 +1,19 @@
-//! Route tables: as a control-plane instance has ordered them, and as immutable snapshots that proxies hold and share.
+//! Route tables: the control plane's modifiable version, and the immutable snapshots that proxies share.
 
 use otterwinch::host::RetryPolicy;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Endpoints to choose from at random by weight.
+/// Endpoints to select from at random, with probabilities proportional to their weights.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedEndpoints {
     endpoints: Vec<u32>,
-    /// For each endpoint, the sum of the weights up to and including its own.
+    /// For each endpoint, the sum of the weights of the endpoints up to and including it.
     cumulative_weights: Vec<f64>,
 }
 
 impl WeightedEndpoints {
-    /// Endpoints with their weights; those without a weight above 0 are left out.
+    /// Creates a selection from endpoints and their weights, leaving out those without a positive weight.
     pub fn new(weights: impl Iterator<Item = (u32, f64)>) -> WeightedEndpoints {
         let mut weighted = WeightedEndpoints::default();
         let mut sum = 0.0;
@@ -25,7 +25,8 @@
         weighted
     }
 
-    /// The endpoint that a sample from 0 (included) to 1 (excluded) selects; `None` if there is none to select.
+    /// Returns the endpoint that a sample from 0 (included) to 1 (excluded) selects; `None` if there are no
+    /// endpoints.
     ///
     /// ```
     /// use otterwinch_simulation::route_table::WeightedEndpoints;
@@ -38,17 +39,17 @@
         Some(self.endpoints[position.min(self.endpoints.len() - 1)])
     }
 
-    /// The number of endpoints.
+    /// Returns the number of endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Whether there is no endpoint.
+    /// Returns whether there are no endpoints.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// The endpoints with their weights.
+    /// Iterates over the endpoints and their weights.
     pub fn iter(&self) -> impl Iterator<Item = (u32, f64)> + '_ {
         let sums = &self.cumulative_weights;
         let previous_sums = std::iter::once(0.0).chain(sums.iter().copied());
@@ -57,46 +58,48 @@
     }
 }
 
-/// How a proxy treats the requests of a class.
+/// The admission and retry settings of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionLevel {
-    /// The fraction of requests that it admits.
+    /// The fraction of client attempts that the proxy admits.
     pub admitted: f64,
-    /// When it retries them.
+    /// When the proxy retries an attempt.
     pub retry: RetryPolicy,
 }
 
-/// A table as it was when a message was sent.
+/// The content of a table when it was sent to a proxy.
 #[derive(Clone, Debug)]
 pub struct TableSnapshot {
-    /// The endpoints that weren't ejected.
+    /// The endpoints of the table, without the ejected ones.
     pub endpoints: WeightedEndpoints,
     /// The admission level of each request class; `None` where none was set.
     pub admission: Vec<Option<AdmissionLevel>>,
 }
 
-/// A table as its control-plane instance has ordered it so far.
+/// The content of a table after all commands so far, with a cached snapshot.
 #[derive(Default)]
 pub struct RouteTable {
-    /// The weight of each endpoint in the table, all above 0.
+    /// The weight of each endpoint in the table. All are positive.
     pub weights: BTreeMap<u32, f64>,
     /// The admission level of each request class; `None` where none was set.
     pub admission: Vec<Option<AdmissionLevel>>,
+    /// The cached result of [`snapshot`](Self::snapshot); `None` after a change.
     snapshot: Option<Arc<TableSnapshot>>,
 }
 
 impl RouteTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(request_classes: usize) -> Self {
         RouteTable { admission: vec![None; request_classes], ..RouteTable::default() }
     }
 
-    /// Discards the cached snapshot; to be called after each change of the table or of the ejected endpoints.
+    /// Discards the cached snapshot. Must be called after each change to the table or to the ejected
+    /// endpoints.
     pub fn invalidate(&mut self) {
         self.snapshot = None;
     }
 
-    /// The table as it stands, without the ejected endpoints.
+    /// Returns the present content without the ejected endpoints, from the cache if nothing has changed.
     pub fn snapshot(&mut self, ejected: &BTreeSet<u32>) -> Arc<TableSnapshot> {
         if let Some(snapshot) = &self.snapshot {
             return snapshot.clone();
--- a/simulation/src/simulated_host.rs
+++ b/simulation/src/simulated_host.rs
@@ -1,67 +1,70 @@
-//! The controller's [`Host`] in a simulation: collects what the controller orders, for the caller to carry out.
+//! An implementation of [`Host`] that collects the controller's commands and timers for the simulation or the
+//! emulator to process.
 
 use otterwinch::host::{EndpointId, Host, RequestClassSet, RetryPolicy, Timer};
 use otterwinch::time::Span;
 use rustc_hash::FxHashMap;
 use std::rc::Rc;
 
-/// Commands and timers that the controller has asked for since they were taken last.
+/// The commands and timers that the controller has issued since the caller last took them out.
 #[derive(Default)]
 pub struct SimulatedHost {
-    /// Commands in the order of their issue.
+    /// Commands in the order in which they were issued.
     pub commands: Vec<Command>,
-    /// Timers to schedule, by the time until they fire.
+    /// Timers to schedule, each with the delay until it fires.
     pub timers: Vec<(Span, Timer)>,
+    /// The index in the fleet of each endpoint ID. Commands for other endpoints are dropped.
     endpoint_indices: Rc<FxHashMap<EndpointId, u32>>,
 }
 
-/// A command to the proxies. Endpoints are named by their index in the fleet.
+/// A command to the proxies. Endpoints are given by their index in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Command {
-    /// Sets the weight of an endpoint in a table; 0 removes it.
+    /// Sets the weight of an endpoint in a table. A weight of 0 removes the endpoint from it.
     SetWeight {
         /// The table to change.
         table_id: u32,
         /// The endpoint.
         endpoint: u32,
-        /// Its weight among the table's endpoints.
+        /// Its weight relative to the other endpoints in the table.
         weight: f64,
     },
-    /// Makes a proxy use a table.
+    /// Assigns a table to a proxy, which then uses it for all request classes.
     AssignTable {
         /// The proxy.
         proxy: u32,
-        /// The table that it uses from now on.
+        /// The table to use.
         table_id: u32,
     },
-    /// Ejects an endpoint from all tables, or restores it.
+    /// Ejects an endpoint from all tables, or lifts its ejection.
     SetEjected {
         /// The endpoint.
         endpoint: u32,
-        /// Whether it is ejected.
+        /// Whether the endpoint is ejected from now on.
         ejected: bool,
     },
-    /// Sets the admission level of some request classes in a table.
+    /// Sets the admission level of request classes in a table.
     SetAdmission {
         /// The table to change.
         table_id: u32,
-        /// The request classes; an empty set stands for all.
+        /// The request classes. An empty set stands for all of them.
         request_classes: RequestClassSet,
-        /// The fraction of requests to admit.
+        /// The fraction of client attempts to admit.
         admitted: f64,
-        /// When proxies retry requests of these classes.
+        /// When proxies retry attempts of these classes.
         retry: RetryPolicy,
     },
-    /// Asks the proxies to acknowledge all commands so far with this number.
+    /// Asks the proxies that receive this batch of commands to acknowledge it with this number.
     RequestAcknowledgement(u32),
 }
 
 impl SimulatedHost {
-    /// A host that names endpoints by these indices.
+    /// Creates a host that translates endpoint IDs to these indices.
     pub fn new(endpoint_indices: Rc<FxHashMap<EndpointId, u32>>) -> Self {
         SimulatedHost { endpoint_indices, ..SimulatedHost::default() }
     }
 
+    /// Issues the command to eject an endpoint or to lift its ejection.
     fn set_ejected(&mut self, id: &EndpointId, ejected: bool) {
         if let Some(endpoint) = self.endpoint_indices.get(id).copied() {
             self.commands.push(Command::SetEjected { endpoint, ejected });
@@ -88,6 +91,7 @@
         self.set_ejected(id, false);
     }
 
+    /// Does nothing: the endpoint indices never change.
     fn forget_endpoint(&mut self, _id: &EndpointId) {}
 
     fn set_admission(
@@ -104,10 +108,10 @@
         self.commands.push(Command::RequestAcknowledgement(number));
     }
 
-    /// Nothing to do: simulated commands are never lost.
+    /// Does nothing: commands issued through this host are never reported as lost.
     fn resend_commands(&mut self) {}
 
-    /// Nothing to do: simulated endpoint lists send their updates without a watch.
+    /// Does nothing: the controller is passed every endpoint list update without a subscription.
     fn watch_endpoints(&mut self) {}
 
     fn schedule_timer(&mut self, after: Span, timer: Timer) {
