--- a/simulation/src/client.rs
+++ b/simulation/src/client.rs
@@ -67,15 +67,15 @@
         request.attempt_deadline = Some(deadline);
         request.proxy = proxy;
         let (class, zone, attempt_number) = (request.class, request.zone, request.attempt_number);
-        let began = self.load_seconds(self.now);
-        self.results.record_attempt(class, zone, began);
+        let started = self.load_seconds(self.now);
+        self.results.record_attempt(class, zone, started);
         if proxy.is_none() {
             return self.retry_or_end(slot, RequestEnd::Failed, true, self.now);
         }
         let request = self.requests.handle(slot);
         self.schedule(deadline, Event::AttemptTimeout { request, attempt_number });
-        let arrives = self.now + micros(self.fleet.network.client_latency);
-        self.schedule(arrives, Event::AttemptAtProxy { request, attempt_number });
+        let arrival = self.now + micros(self.fleet.network.client_latency);
+        self.schedule(arrival, Event::AttemptAtProxy { request, attempt_number });
     }
 
     /// Returns when an attempt that is sent now times out: after a random fraction of the request's timeout,
@@ -83,8 +83,8 @@
     fn attempt_deadline(&self, slot: u32, sampler: &AttemptSampler) -> Time {
         let request = &self.requests[slot];
         let timeout = micros(self.fleet.request_classes[request.class].timeout);
-        let (least, most) = self.fleet.clients.attempt_timeout_fraction;
-        let fraction = least + (most - least) * sampler.sample(Purpose::AttemptTimeout);
+        let (min_fraction, max_fraction) = self.fleet.clients.attempt_timeout_fraction;
+        let fraction = min_fraction + (max_fraction - min_fraction) * sampler.sample(Purpose::AttemptTimeout);
         let attempt_deadline = self.now + (timeout as f64 * fraction) as Time;
         attempt_deadline.min(request.due + timeout)
     }
@@ -98,7 +98,7 @@
     }
 
     /// Returns whether the client still waits for this attempt of the request.
-    pub(crate) fn is_under_way(&self, request: Handle, attempt_number: u32) -> bool {
+    pub(crate) fn is_attempt_in_progress(&self, request: Handle, attempt_number: u32) -> bool {
         let current = self.requests.is_current(request);
         let request = &self.requests[request.slot];
         current && request.attempt_number == attempt_number && request.attempt_deadline.is_some()
@@ -106,27 +106,27 @@
 
     /// Sends the answer of an attempt from the proxy to the client. It ends the request if it arrives before
     /// the attempt times out; otherwise the timeout takes effect.
-    pub(crate) fn answer_client(&mut self, slot: u32) {
-        let arrives = self.now + micros(self.fleet.network.client_latency);
+    pub(crate) fn send_answer_to_client(&mut self, slot: u32) {
+        let arrival = self.now + micros(self.fleet.network.client_latency);
         let request = &self.requests[slot];
-        if request.attempt_deadline.is_none_or(|deadline| arrives <= deadline) {
-            self.end_request(slot, RequestEnd::Answered(arrives - request.due));
+        if request.attempt_deadline.is_none_or(|deadline| arrival <= deadline) {
+            self.end_request(slot, RequestEnd::Answered(arrival - request.due));
         }
     }
 
     /// Sends the failure of an attempt from the proxy to the client, which then retries or ends the request.
-    pub(crate) fn fail_client(&mut self, slot: u32, end: RequestEnd, never_ran: bool) {
-        let arrives = self.now + micros(self.fleet.network.client_latency);
-        self.retry_or_end(slot, end, never_ran, arrives);
+    pub(crate) fn send_failure_to_client(&mut self, slot: u32, end: RequestEnd, never_ran: bool) {
+        let arrival = self.now + micros(self.fleet.network.client_latency);
+        self.retry_or_end(slot, end, never_ran, arrival);
     }
 
     /// Handles an attempt whose failure the client notices at `at`: schedules a retry if one is allowed and
     /// would start before the request times out, and ends the request otherwise.
     pub(crate) fn retry_or_end(&mut self, slot: u32, end: RequestEnd, never_ran: bool, at: Time) {
         let request = &self.requests[slot];
-        let expires = request.due + micros(self.fleet.request_classes[request.class].timeout);
+        let request_deadline = request.due + micros(self.fleet.request_classes[request.class].timeout);
         let retry_at = at + self.retry_wait(slot);
-        if !self.may_retry(slot, never_ran, at) || retry_at >= expires {
+        if !self.may_retry(slot, never_ran, at) || retry_at >= request_deadline {
             return self.end_request(slot, end);
         }
         let request = &mut self.requests[slot];
@@ -150,14 +150,16 @@
     fn may_retry(&self, slot: u32, never_ran: bool, at: Time) -> bool {
         let request = &self.requests[slot];
         let class = &self.fleet.request_classes[request.class];
-        let is_safe = match class.idempotency {
+        let safe_to_retry = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithIdempotencyKey => {
                 never_ran || at - request.due < micros(class.deduplication_window)
             }
             Idempotency::NotIdempotent => never_ran,
         };
-        is_safe && !self.lifted_limits.retries && request.attempt_number <= self.fleet.clients.max_retries
+        safe_to_retry
+            && !self.lifted_limits.retries
+            && request.attempt_number <= self.fleet.clients.max_retries
     }
 
     /// Sends the next attempt once the wait before a retry is over.
@@ -170,7 +172,7 @@
     /// Handles the timeout of a client's attempt. The client closes its connection to the proxy, which then
     /// closes the one to the endpoint.
     pub(crate) fn attempt_timed_out(&mut self, request: Handle, attempt_number: u32) {
-        if !self.is_under_way(request, attempt_number) {
+        if !self.is_attempt_in_progress(request, attempt_number) {
             return;
         }
         if let Some(attempt) = self.requests[request.slot].proxy_attempt {
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -38,48 +38,52 @@
 
 impl Engine<'_> {
     /// Passes an event to the controller of an instance, then schedules the timers and commands that result.
-    pub(crate) fn notify(&mut self, number: u32, event: impl FnOnce(&mut Controller<SimulatedHost>, Moment)) {
-        event(&mut self.instances[number as usize].controller, moment(self.now));
-        self.schedule_controller_output(number);
+    pub(crate) fn notify(
+        &mut self,
+        instance_index: u32,
+        event: impl FnOnce(&mut Controller<SimulatedHost>, Moment),
+    ) {
+        event(&mut self.instances[instance_index as usize].controller, moment(self.now));
+        self.schedule_controller_output(instance_index);
     }
 
     /// Schedules the timers that a controller has requested. Its commands are sent after all other events of
     /// the present time, so that they go out as one batch.
-    pub(crate) fn schedule_controller_output(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    pub(crate) fn schedule_controller_output(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let host = instance.controller.host();
         let timers = std::mem::take(&mut host.timers);
         let send = !host.commands.is_empty() && !instance.send_scheduled;
         instance.send_scheduled |= send;
         for (after, timer) in timers {
             let at = self.now + micros(after).max(1);
-            self.schedule_for_control_plane(at, Event::TimerFired { instance: number, timer });
+            self.schedule_for_control_plane(at, Event::TimerFired { instance: instance_index, timer });
         }
         if send {
-            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: number });
+            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: instance_index });
         }
     }
 
     /// Opens the stream between a proxy and its control-plane instance.
-    pub(crate) fn connect_proxy(&mut self, number: u32) {
-        let proxy = &mut self.proxies[number as usize];
+    pub(crate) fn connect_proxy(&mut self, proxy_index: u32) {
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.stream += 1;
         let zone = proxy.zone;
         let Some(instance) = proxy.instance else { return };
         let rate = self.estimated_request_rate(zone);
-        self.instances[instance as usize].channel.connect(number);
+        self.instances[instance as usize].channel.connect(proxy_index);
         self.notify(instance, |controller, now| {
-            controller.proxy_joined(now, number, zone as u32, rate, true)
+            controller.proxy_joined(now, proxy_index, zone as u32, rate, true)
         });
     }
 
     /// Ends the stream between a proxy and its control-plane instance.
-    pub(crate) fn disconnect_proxy(&mut self, number: u32) {
-        let proxy = &mut self.proxies[number as usize];
+    pub(crate) fn disconnect_proxy(&mut self, proxy_index: u32) {
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.stream += 1;
         let Some(instance) = proxy.instance else { return };
-        self.instances[instance as usize].channel.disconnect(number);
-        self.notify(instance, |controller, now| controller.proxy_left(now, number));
+        self.instances[instance as usize].channel.disconnect(proxy_index);
+        self.notify(instance, |controller, now| controller.proxy_left(now, proxy_index));
     }
 
     /// Returns the request rate that a proxy of this zone states when it connects: the zone's share of a
@@ -91,18 +95,18 @@
     }
 
     /// Ends a report interval: sends its report and starts the next interval.
-    pub(crate) fn close_report(&mut self, number: u32) {
-        self.instances[number as usize].close_report();
+    pub(crate) fn close_report(&mut self, instance_index: u32) {
+        self.instances[instance_index as usize].close_report();
         let control_plane = &self.fleet.control_plane;
-        let arrives = self.now + micros(control_plane.report_delay);
+        let arrival = self.now + micros(control_plane.report_delay);
         let next = self.now + micros(control_plane.report_interval);
-        self.schedule_for_control_plane(arrives, Event::ReportArrives { instance: number });
-        self.schedule_for_control_plane(next, Event::ReportDue { instance: number });
+        self.schedule_for_control_plane(arrival, Event::ReportArrives { instance: instance_index });
+        self.schedule_for_control_plane(next, Event::ReportDue { instance: instance_index });
     }
 
     /// Passes the earliest load report in transit to the controller of the instance.
-    pub(crate) fn deliver_report(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    pub(crate) fn deliver_report(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let Some(report) = instance.reports_in_transit.pop_front() else { return };
         let controller = &mut instance.controller;
         let interval = self.fleet.control_plane.report_interval;
@@ -118,7 +122,7 @@
                 controller.demand(class, f64::from(*requests));
             }
         }
-        self.schedule_controller_output(number);
+        self.schedule_controller_output(instance_index);
     }
 
     /// Sends the changed entries of the endpoint list to all instances, which receive them after a delay.
@@ -126,28 +130,28 @@
         if self.instances.is_empty() {
             return;
         }
-        let entry = |number: &u32| list_entry(&self.endpoints[*number as usize]);
+        let entry = |index: &u32| list_entry(&self.endpoints[*index as usize]);
         let entries: Vec<EndpointUpdate> = endpoints.iter().map(entry).collect();
         let update = self.endpoint_updates.len() as u32;
         self.endpoint_updates.push(entries);
-        let arrives = self.now + micros(self.fleet.control_plane.endpoint_list_delay);
+        let arrival = self.now + micros(self.fleet.control_plane.endpoint_list_delay);
         for instance in 0..self.instances.len() as u32 {
-            self.schedule_for_control_plane(arrives, Event::EndpointsUpdated { instance, update });
+            self.schedule_for_control_plane(arrival, Event::EndpointsUpdated { instance, update });
         }
     }
 
     /// Passes an update of the endpoint list to the controller of an instance.
-    pub(crate) fn deliver_endpoint_update(&mut self, number: u32, update: u32) {
-        let controller = &mut self.instances[number as usize].controller;
+    pub(crate) fn deliver_endpoint_update(&mut self, instance_index: u32, update: u32) {
+        let controller = &mut self.instances[instance_index as usize].controller;
         controller.endpoints_updated(moment(self.now), &self.endpoint_updates[update as usize]);
-        self.schedule_controller_output(number);
+        self.schedule_controller_output(instance_index);
     }
 
     /// Sends the commands that an instance has issued at this time, as one message to each proxy that they
     /// affect.
-    pub(crate) fn send_commands(&mut self, number: u32) {
+    pub(crate) fn send_commands(&mut self, instance_index: u32) {
         let Engine { instances, proxies, .. } = self;
-        let instance = &mut instances[number as usize];
+        let instance = &mut instances[instance_index as usize];
         instance.send_scheduled = false;
         let commands = std::mem::take(&mut instance.controller.host().commands);
         let channel = &mut instance.channel;
@@ -167,14 +171,14 @@
             });
         }
         for departure in departures {
-            let arrives = departure + micros(self.fleet.control_plane.message_delay);
-            self.schedule(arrives, Event::MessageAtProxy { instance: number });
+            let arrival = departure + micros(self.fleet.control_plane.message_delay);
+            self.schedule(arrival, Event::MessageAtProxy { instance: instance_index });
         }
     }
 
     /// Applies the earliest message in transit at its proxy, which handles no attempts while it does so.
-    pub(crate) fn deliver_message(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    pub(crate) fn deliver_message(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let Some(message) = instance.messages_in_transit.pop_front() else { return };
         let proxy = &mut self.proxies[message.proxy as usize];
         if proxy.stream != message.stream {
@@ -184,7 +188,8 @@
             proxy.table = table;
             proxy.has_assigned_table = true;
         } else if !proxy.has_assigned_table {
-            let usable = proxy.initial_endpoints.iter().filter(|number| !message.ejected.contains(number));
+            let usable =
+                proxy.initial_endpoints.iter().filter(|endpoint| !message.ejected.contains(endpoint));
             let endpoints = WeightedEndpoints::new(usable.map(|endpoint| (*endpoint, 1.0)));
             let admission = proxy.table.admission.clone();
             proxy.table = Arc::new(TableSnapshot { endpoints, admission });
@@ -192,17 +197,24 @@
         let pause = (micros(self.fleet.proxies.apply_time_per_line) as f64 * message.lines) as Time;
         proxy.paused_until = proxy.paused_until.max(self.now + pause);
         if let Some(acknowledgement) = message.acknowledgement {
-            let arrives = self.now + pause + micros(self.fleet.network.client_latency);
+            let arrival = self.now + pause + micros(self.fleet.network.client_latency);
             let (proxy, stream) = (message.proxy, message.stream);
-            let event = Event::Acknowledged { instance: number, number: acknowledgement, proxy, stream };
-            self.schedule_for_control_plane(arrives, event);
+            let event =
+                Event::Acknowledged { instance: instance_index, number: acknowledgement, proxy, stream };
+            self.schedule_for_control_plane(arrival, event);
         }
     }
 
     /// Passes a proxy's acknowledgement to the controller, unless the stream that it was sent on has ended.
-    pub(crate) fn deliver_acknowledgement(&mut self, instance: u32, number: u32, proxy: u32, stream: u32) {
+    pub(crate) fn deliver_acknowledgement(
+        &mut self,
+        instance: u32,
+        acknowledgement: u32,
+        proxy: u32,
+        stream: u32,
+    ) {
         if self.proxies[proxy as usize].stream == stream {
-            self.notify(instance, |controller, now| controller.acknowledged(now, number, proxy));
+            self.notify(instance, |controller, now| controller.acknowledged(now, acknowledgement, proxy));
         }
     }
 }
--- a/simulation/src/control_plane_instance.rs
+++ b/simulation/src/control_plane_instance.rs
@@ -33,8 +33,8 @@
 }
 
 impl LoadReport {
-    pub(crate) fn new(request_classes: usize) -> Self {
-        LoadReport { outcomes: BTreeMap::new(), demand: vec![0; request_classes] }
+    pub(crate) fn new(request_class_count: usize) -> Self {
+        LoadReport { outcomes: BTreeMap::new(), demand: vec![0; request_class_count] }
     }
 }
 
@@ -58,12 +58,12 @@
     pub(crate) fn new(
         controller: Controller<SimulatedHost>,
         channel: ProxyChannel,
-        request_classes: usize,
+        request_class_count: usize,
     ) -> Self {
         ControlPlaneInstance {
             controller,
             channel,
-            open_report: LoadReport::new(request_classes),
+            open_report: LoadReport::new(request_class_count),
             reports_in_transit: VecDeque::new(),
             messages_in_transit: VecDeque::new(),
             send_scheduled: false,
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -9,7 +9,7 @@
 
 /// How an endpoint responds to an attempt that reaches it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Offer {
+pub(crate) enum OfferOutcome {
     /// A core has started on it and will be done at this time.
     Started(Time),
     /// It is queued until a core is free.
@@ -157,22 +157,22 @@
 
     /// Starts, queues or rejects an attempt, or collapses under it. `work` is in seconds on a core of speed
     /// 1.
-    pub(crate) fn offer(&mut self, now: Time, attempt: u32, work: f64) -> Offer {
-        if self.collapses_under(now, work) {
+    pub(crate) fn offer(&mut self, now: Time, attempt: u32, work: f64) -> OfferOutcome {
+        if self.record_work_and_check_collapse(now, work) {
             self.collapsed = true;
-            return Offer::Collapsed;
+            return OfferOutcome::Collapsed;
         }
         if self.busy_cores < self.cores {
             self.accepted += 1;
-            return Offer::Started(self.start_work(now, work));
+            return OfferOutcome::Started(self.start_work(now, work));
         }
         if self.queue.len() >= self.max_queued as usize {
             self.rejected += 1;
-            return Offer::Rejected;
+            return OfferOutcome::Rejected;
         }
         self.accepted += 1;
         self.queue.push_back(attempt);
-        Offer::Queued
+        OfferOutcome::Queued
     }
 
     /// Starts work on a free core and returns when it will be done.
@@ -190,7 +190,7 @@
     }
 
     /// Removes an attempt from the queue.
-    pub(crate) fn drop_queued(&mut self, attempt: u32) {
+    pub(crate) fn remove_queued(&mut self, attempt: u32) {
         if let Some(position) = self.queue.iter().position(|queued| *queued == attempt) {
             self.queue.remove(position);
         }
@@ -198,15 +198,16 @@
 
     /// Records offered work during slow start. Returns whether the work offered within the collapse window
     /// exceeds what the endpoint survives.
-    fn collapses_under(&mut self, now: Time, work: f64) -> bool {
+    fn record_work_and_check_collapse(&mut self, now: Time, work: f64) -> bool {
         let Some(collapse) = self.overload_collapse else { return false };
         if self.slow_start_factor(now) >= 1.0 {
             return false;
         }
         let window = collapse.window.as_secs();
         let recent_work = self.recent_work.add(now, window, work);
-        let capacity = f64::from(self.cores) * self.current_speed(now) * window * collapse.overload_factor;
-        recent_work > capacity
+        let collapse_limit =
+            f64::from(self.cores) * self.current_speed(now) * window * collapse.overload_factor;
+        recent_work > collapse_limit
     }
 
     /// Ends the process. Running and queued attempts and all connections are lost.
@@ -253,14 +254,14 @@
     /// Adds work offered now and returns the total within the window. `window` is in seconds and has to be
     /// the same in every call.
     fn add(&mut self, now: Time, window: f64, work: f64) -> f64 {
-        let buckets = Self::BUCKETS as Time;
+        let bucket_count = Self::BUCKETS as Time;
         let bucket = (secs(now) / window * Self::BUCKETS as f64) as Time;
-        let passed = bucket.saturating_sub(self.latest_bucket).min(buckets);
-        for k in 1..=passed {
-            self.buckets[((bucket - passed + k) % buckets) as usize] = 0.0;
+        let elapsed_buckets = bucket.saturating_sub(self.latest_bucket).min(bucket_count);
+        for offset in 1..=elapsed_buckets {
+            self.buckets[((bucket - elapsed_buckets + offset) % bucket_count) as usize] = 0.0;
         }
         self.latest_bucket = bucket;
-        self.buckets[(bucket % buckets) as usize] += work;
+        self.buckets[(bucket % bucket_count) as usize] += work;
         self.buckets.iter().sum::<f64>()
     }
 }
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -2,7 +2,7 @@
 //! rejection, injected faults and cancellation.
 
 use crate::clock::Time;
-use crate::endpoint::Offer;
+use crate::endpoint::OfferOutcome;
 use crate::engine::Engine;
 use crate::event::{AttemptOutcome, Event};
 use crate::request_sampling::Purpose;
@@ -24,7 +24,7 @@
 impl Engine<'_> {
     /// Handles the arrival of an attempt at its endpoint.
     pub(crate) fn attempt_at_endpoint(&mut self, slot: u32) {
-        if let Some(outcome) = self.connection_failure(slot) {
+        if let Some(outcome) = self.connect_attempt(slot) {
             return self.respond(slot, outcome);
         }
         let attempt = &mut self.attempts[slot];
@@ -37,7 +37,7 @@
             attempt.stage = Stage::Hanging;
             return;
         }
-        if self.fails_by_injection(slot) {
+        if self.has_injected_failure(slot) {
             return self.respond(slot, AttemptOutcome::Failed);
         }
         self.offer_work(slot);
@@ -45,7 +45,7 @@
 
     /// Connects an attempt to its endpoint. Returns its outcome if that fails: no new connection was
     /// accepted, or the reused one has broken.
-    fn connection_failure(&mut self, slot: u32) -> Option<AttemptOutcome> {
+    fn connect_attempt(&mut self, slot: u32) -> Option<AttemptOutcome> {
         let attempt = &mut self.attempts[slot];
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
         if !attempt.opens_connection {
@@ -62,7 +62,7 @@
     }
 
     /// Returns whether an attempt fails because of an injected fault.
-    fn fails_by_injection(&self, slot: u32) -> bool {
+    fn has_injected_failure(&self, slot: u32) -> bool {
         let attempt = &self.attempts[slot];
         let failure_rate = self.endpoints[attempt.endpoint as usize].failure_rate;
         let sampler = self.sampler(attempt.request.slot);
@@ -72,23 +72,23 @@
     /// Offers an attempt to its endpoint, which starts, queues or rejects it, or collapses.
     fn offer_work(&mut self, slot: u32) {
         let attempt = &mut self.attempts[slot];
-        let number = attempt.endpoint;
-        match self.endpoints[number as usize].offer(self.now, slot, attempt.work) {
-            Offer::Started(done) => self.run_until(slot, done),
-            Offer::Queued => attempt.stage = Stage::Queued,
-            Offer::Rejected => self.respond(slot, AttemptOutcome::NeverRan),
-            Offer::Collapsed => {
+        let endpoint_index = attempt.endpoint;
+        match self.endpoints[endpoint_index as usize].offer(self.now, slot, attempt.work) {
+            OfferOutcome::Started(done_at) => self.run_attempt_until(slot, done_at),
+            OfferOutcome::Queued => attempt.stage = Stage::Queued,
+            OfferOutcome::Rejected => self.respond(slot, AttemptOutcome::NeverRan),
+            OfferOutcome::Collapsed => {
                 self.respond(slot, AttemptOutcome::ConnectionBroken);
-                self.crash_endpoint(number);
+                self.crash_endpoint(endpoint_index);
             }
         }
     }
 
     /// Marks an attempt as running and schedules its completion.
-    fn run_until(&mut self, slot: u32, done: Time) {
+    fn run_attempt_until(&mut self, slot: u32, done_at: Time) {
         self.attempts[slot].stage = Stage::Running;
         let attempt = self.attempts.handle(slot);
-        self.schedule(done, Event::WorkDone { attempt });
+        self.schedule(done_at, Event::WorkDone { attempt });
     }
 
     /// Completes the work on an attempt, unless it was cancelled or its endpoint crashed in the meantime.
@@ -109,11 +109,11 @@
     }
 
     /// Frees a core of an endpoint and starts the next queued attempt on it.
-    fn free_core(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    fn free_core(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if let Some(next) = endpoint.finish_work(self.now) {
-            let done = endpoint.start_work(self.now, self.attempts[next].work);
-            self.run_until(next, done);
+            let done_at = endpoint.start_work(self.now, self.attempts[next].work);
+            self.run_attempt_until(next, done_at);
         }
     }
 
@@ -122,16 +122,16 @@
         let attempt = &mut self.attempts[slot];
         attempt.stage = Stage::Answered;
         let (proxy, endpoint) = (attempt.proxy, attempt.endpoint);
-        let arrives = self.now + self.latency(proxy, endpoint);
-        self.schedule(arrives, Event::OutcomeAtProxy { attempt: slot, outcome });
+        let arrival = self.now + self.one_way_latency(proxy, endpoint);
+        self.schedule(arrival, Event::OutcomeAtProxy { attempt: slot, outcome });
     }
 
     /// Cancels an attempt when its endpoint notices that the proxy has closed the connection.
     pub(crate) fn connection_closed(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
-        let number = attempt.endpoint;
-        let endpoint = &mut self.endpoints[number as usize];
+        let endpoint_index = attempt.endpoint;
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         let lost_in_crash = attempt.connected && attempt.endpoint_incarnation != endpoint.incarnation;
         if !self.attempts.is_current(handle) || lost_in_crash {
             return;
@@ -140,7 +140,7 @@
             // The connection is closed when the attempt reaches the endpoint, or its outcome the proxy.
             Stage::InTransit | Stage::Answered => {}
             Stage::Queued => {
-                endpoint.drop_queued(slot);
+                endpoint.remove_queued(slot);
                 endpoint.open_connections -= 1;
                 self.attempts.release(slot);
             }
@@ -152,7 +152,7 @@
                 endpoint.open_connections -= 1;
                 if !endpoint.finishes_abandoned {
                     self.attempts.release(slot);
-                    self.free_core(number);
+                    self.free_core(endpoint_index);
                 }
             }
         }
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -54,7 +54,7 @@
     pub endpoint_incarnation: u32,
     /// The work of the attempt, in seconds on a core of speed 1.
     pub work: f64,
-    pub began: Time,
+    pub started: Time,
     /// Whether the attempt opens a new connection instead of reusing an idle one.
     pub opens_connection: bool,
     /// Whether the connection is established, so that the endpoint counts it as open.
@@ -88,13 +88,13 @@
     }
 
     /// Takes an idle connection to this incarnation of an endpoint, and returns whether there was one.
-    fn take_connection(&mut self, endpoint: u32, incarnation: u32) -> bool {
+    fn take_idle_connection(&mut self, endpoint: u32, incarnation: u32) -> bool {
         let Some(pool) = self.pools.get_mut(&endpoint) else { return false };
         pool.incarnation == incarnation && pool.idle_since.pop().is_some()
     }
 
     /// Adds a connection to the pool, and discards any to an earlier incarnation of the endpoint.
-    fn keep_connection(&mut self, endpoint: u32, incarnation: u32, now: Time) {
+    fn add_idle_connection(&mut self, endpoint: u32, incarnation: u32, now: Time) {
         let pool = self.pools.entry(endpoint);
         let pool = pool.or_insert_with(|| ConnectionPool { incarnation, idle_since: Vec::new() });
         if pool.incarnation != incarnation {
@@ -108,15 +108,15 @@
     /// Handles the arrival of a client's attempt at its proxy, or postpones it while the proxy applies a
     /// message.
     pub(crate) fn attempt_at_proxy(&mut self, request: Handle, attempt_number: u32) {
-        if !self.is_under_way(request, attempt_number) {
+        if !self.is_attempt_in_progress(request, attempt_number) {
             return;
         }
         let slot = request.slot;
         let class = self.requests[slot].class;
-        let Some(number) = self.requests[slot].proxy else { return };
-        let proxy = &self.proxies[number as usize];
+        let Some(proxy_index) = self.requests[slot].proxy else { return };
+        let proxy = &self.proxies[proxy_index as usize];
         if !proxy.up {
-            return self.fail_client(slot, RequestEnd::Failed, true);
+            return self.send_failure_to_client(slot, RequestEnd::Failed, true);
         }
         if proxy.paused_until > self.now {
             return self.schedule(proxy.paused_until, Event::AttemptAtProxy { request, attempt_number });
@@ -125,37 +125,37 @@
             self.instances[instance as usize].open_report.demand[class] += 1;
         }
         let sampler = self.sampler(slot);
-        let table = &self.proxies[number as usize].table;
+        let table = &self.proxies[proxy_index as usize].table;
         let admitted =
             table.admission[class].is_none_or(|level| sampler.sample(Purpose::Admission) < level.admitted);
         match table.endpoints.pick(sampler.sample(Purpose::Endpoint)) {
-            Some(endpoint) if admitted => self.forward(slot, number, endpoint, false),
-            _ => self.fail_client(slot, RequestEnd::Rejected, true),
+            Some(endpoint) if admitted => self.forward(slot, proxy_index, endpoint, false),
+            _ => self.send_failure_to_client(slot, RequestEnd::Rejected, true),
         }
     }
 
     /// Returns the one-way network latency between a proxy and an endpoint.
-    pub(crate) fn latency(&self, proxy: u32, endpoint: u32) -> Time {
+    pub(crate) fn one_way_latency(&self, proxy: u32, endpoint: u32) -> Time {
         let from = self.proxies[proxy as usize].zone;
         let to = self.endpoints[endpoint as usize].zone;
         micros(self.fleet.network.zone_latency[from][to])
     }
 
     /// Forwards a request to an endpoint, over an idle connection if there is one.
-    fn forward(&mut self, slot: u32, number: u32, endpoint: u32, is_retry: bool) {
-        let latency = self.latency(number, endpoint);
+    fn forward(&mut self, slot: u32, proxy_index: u32, endpoint: u32, is_retry: bool) {
+        let latency = self.one_way_latency(proxy_index, endpoint);
         let target = &self.endpoints[endpoint as usize];
-        let proxy = &mut self.proxies[number as usize];
-        let connected = proxy.take_connection(endpoint, target.incarnation);
+        let proxy = &mut self.proxies[proxy_index as usize];
+        let connected = proxy.take_idle_connection(endpoint, target.incarnation);
         self.cross_zone_attempts += u64::from(target.zone != proxy.zone);
         self.proxy_attempts += 1;
         let attempt = self.attempts.insert(Attempt {
             request: self.requests.handle(slot),
-            proxy: number,
+            proxy: proxy_index,
             endpoint,
             endpoint_incarnation: target.incarnation,
             work: self.requests[slot].work,
-            began: self.now,
+            started: self.now,
             opens_connection: !connected,
             connected,
             abandoned: false,
@@ -164,8 +164,8 @@
         });
         self.requests[slot].proxy_attempt = Some(attempt);
         // Opening a connection takes one round trip before the request can be sent.
-        let arrives = self.now + if connected { latency } else { 3 * latency };
-        self.schedule(arrives, Event::AttemptAtEndpoint { attempt });
+        let arrival = self.now + if connected { latency } else { 3 * latency };
+        self.schedule(arrival, Event::AttemptAtEndpoint { attempt });
     }
 
     /// Handles the outcome of an attempt when it reaches the proxy: answers the client, retries at another
@@ -181,14 +181,14 @@
         let request = attempt.request.slot;
         self.requests[request].proxy_attempt = None;
         match outcome {
-            AttemptOutcome::Answered => self.answer_client(request),
+            AttemptOutcome::Answered => self.send_answer_to_client(request),
             AttemptOutcome::NeverRan => {
-                if attempt.is_retry || !self.retry_elsewhere(request, &attempt) {
-                    self.fail_client(request, RequestEnd::Failed, true);
+                if attempt.is_retry || !self.retry_at_another_endpoint(request, &attempt) {
+                    self.send_failure_to_client(request, RequestEnd::Failed, true);
                 }
             }
             AttemptOutcome::Failed | AttemptOutcome::ConnectionBroken => {
-                self.fail_client(request, RequestEnd::Failed, false)
+                self.send_failure_to_client(request, RequestEnd::Failed, false)
             }
         }
     }
@@ -205,7 +205,7 @@
             endpoint.open_connections -= 1;
         } else {
             let proxy = &mut self.proxies[attempt.proxy as usize];
-            proxy.keep_connection(attempt.endpoint, endpoint.incarnation, self.now);
+            proxy.add_idle_connection(attempt.endpoint, endpoint.incarnation, self.now);
         }
     }
 
@@ -214,14 +214,14 @@
         let proxy = &self.proxies[attempt.proxy as usize];
         let Some(instance) = proxy.instance else { return };
         let key = OutcomeKey { endpoint: attempt.endpoint, zone: proxy.zone as u32 };
-        let latency = self.now - attempt.began;
+        let latency = self.now - attempt.started;
         self.instances[instance as usize].record_outcome(key, answered, latency);
     }
 
-    /// Retries an attempt that never ran at another endpoint. Returns false if the retry policy forbids it or
+    /// Retries, at another endpoint, an attempt that never ran. Returns false if the retry policy forbids it or
     /// the table has no other endpoint.
-    fn retry_elsewhere(&mut self, slot: u32, failed: &Attempt) -> bool {
-        let table = &self.proxies[failed.proxy as usize].table;
+    fn retry_at_another_endpoint(&mut self, slot: u32, failed_attempt: &Attempt) -> bool {
+        let table = &self.proxies[failed_attempt.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
             Some(level) => level.retry,
             None if self.fleet.proxies.retries_unexecuted => RetryPolicy::IfNeverRan,
@@ -230,10 +230,11 @@
         if policy == RetryPolicy::Never {
             return false;
         }
-        let others = table.endpoints.iter().filter(|(endpoint, _)| *endpoint != failed.endpoint);
+        let other_endpoints =
+            table.endpoints.iter().filter(|(endpoint, _)| *endpoint != failed_attempt.endpoint);
         let sample = self.sampler(slot).sample(Purpose::RetryEndpoint);
-        let Some(endpoint) = WeightedEndpoints::new(others).pick(sample) else { return false };
-        self.forward(slot, failed.proxy, endpoint, true);
+        let Some(endpoint) = WeightedEndpoints::new(other_endpoints).pick(sample) else { return false };
+        self.forward(slot, failed_attempt.proxy, endpoint, true);
         true
     }
 
@@ -242,9 +243,9 @@
     pub(crate) fn abandon_attempt(&mut self, slot: u32, closed_at_proxy: Time) {
         self.attempts[slot].abandoned = true;
         let attempt = self.attempts[slot];
-        let closed = closed_at_proxy + self.latency(attempt.proxy, attempt.endpoint);
+        let closed_at_endpoint = closed_at_proxy + self.one_way_latency(attempt.proxy, attempt.endpoint);
         let handle = self.attempts.handle(slot);
-        self.schedule(closed, Event::ConnectionClosed { attempt: handle });
+        self.schedule(closed_at_endpoint, Event::ConnectionClosed { attempt: handle });
         self.record_outcome(&attempt, false);
     }
 }
--- a/simulation/src/proxy_channel.rs
+++ b/simulation/src/proxy_channel.rs
@@ -19,8 +19,8 @@
     /// The route tables by ID.
     tables: BTreeMap<u32, RouteTable>,
     /// The ID of the table assigned to each proxy. Proxies without one are absent.
-    assigned: BTreeMap<u32, u32>,
-    request_classes: usize,
+    assigned_tables: BTreeMap<u32, u32>,
+    request_class_count: usize,
 }
 
 /// A queue of messages that are sent in order at a limited number of lines per second.
@@ -73,14 +73,14 @@
 
 impl ProxyChannel {
     /// Creates a channel without proxies and tables.
-    pub fn new(control_plane: &ControlPlane, request_classes: usize) -> Self {
+    pub fn new(control_plane: &ControlPlane, request_class_count: usize) -> Self {
         ProxyChannel {
             ejected: BTreeSet::new(),
             connected: BTreeSet::new(),
             send_queue: SendQueue::new(control_plane),
             tables: BTreeMap::new(),
-            assigned: BTreeMap::new(),
-            request_classes,
+            assigned_tables: BTreeMap::new(),
+            request_class_count,
         }
     }
 
@@ -92,7 +92,7 @@
     /// Removes a proxy and its table assignment.
     pub fn disconnect(&mut self, proxy: u32) {
         self.connected.remove(&proxy);
-        self.assigned.remove(&proxy);
+        self.assigned_tables.remove(&proxy);
     }
 
     /// Applies the commands issued at one time and returns the messages to send. `in_initial_table` returns
@@ -108,16 +108,16 @@
             match command {
                 Command::SetWeight { table_id, endpoint, weight } => {
                     self.set_weight(table_id, endpoint, weight);
-                    self.add_line_to_users(table_id, &mut batch);
+                    self.add_line_for_table(table_id, &mut batch);
                 }
                 Command::AssignTable { proxy, table_id } => self.assign(proxy, table_id, &mut batch),
                 Command::SetEjected { endpoint, ejected } => {
                     self.set_ejected(endpoint, ejected);
-                    self.add_line_to_holders(endpoint, &in_initial_table, &mut batch);
+                    self.add_line_for_endpoint(endpoint, &in_initial_table, &mut batch);
                 }
                 Command::SetAdmission { table_id, request_classes, admitted, retry } => {
                     self.set_admission(table_id, request_classes, AdmissionLevel { admitted, retry });
-                    self.add_line_to_users(table_id, &mut batch);
+                    self.add_line_for_table(table_id, &mut batch);
                 }
                 Command::RequestAcknowledgement(number) => {
                     batch.acknowledgement = Some(number);
@@ -133,15 +133,15 @@
 
     /// Returns the present content of the table assigned to a proxy; `None` if none is assigned.
     pub fn table_snapshot(&mut self, proxy: u32) -> Option<Arc<TableSnapshot>> {
-        let table_id = self.assigned.get(&proxy)?;
+        let table_id = self.assigned_tables.get(&proxy)?;
         let table = self.tables.get_mut(table_id)?;
         Some(table.snapshot(&self.ejected))
     }
 
     /// Returns the table with this ID, which is created if necessary.
     fn table(&mut self, table_id: u32) -> &mut RouteTable {
-        let request_classes = self.request_classes;
-        self.tables.entry(table_id).or_insert_with(|| RouteTable::new(request_classes))
+        let request_class_count = self.request_class_count;
+        self.tables.entry(table_id).or_insert_with(|| RouteTable::new(request_class_count))
     }
 
     /// Sets the weight of an endpoint in a table; a weight of 0 removes it.
@@ -152,7 +152,7 @@
         } else {
             table.weights.remove(&endpoint);
         }
-        table.invalidate();
+        table.invalidate_snapshot();
     }
 
     /// Sets the admission level of request classes in a table. An empty set stands for all classes.
@@ -163,7 +163,7 @@
                 *current = Some(level);
             }
         }
-        table.invalidate();
+        table.invalidate_snapshot();
     }
 
     /// Ejects an endpoint from all tables, or restores it.
@@ -174,7 +174,7 @@
             self.ejected.remove(&endpoint);
         }
         for table in self.tables.values_mut() {
-            table.invalidate();
+            table.invalidate_snapshot();
         }
     }
 
@@ -185,17 +185,17 @@
             return;
         }
         let table = self.table(table_id);
-        let content = table.weights.len() + table.admission.iter().flatten().count();
+        let content_lines = table.weights.len() + table.admission.iter().flatten().count();
         let table = &self.tables[&table_id];
-        let ejected = table.weights.keys().filter(|endpoint| self.ejected.contains(endpoint)).count();
-        batch.add_lines(proxy, (1 + content + ejected) as f64);
-        self.assigned.insert(proxy, table_id);
+        let ejected_lines = table.weights.keys().filter(|endpoint| self.ejected.contains(endpoint)).count();
+        batch.add_lines(proxy, (1 + content_lines + ejected_lines) as f64);
+        self.assigned_tables.insert(proxy, table_id);
     }
 
     /// Adds a line to the message of each proxy that a table is assigned to.
-    fn add_line_to_users(&self, table_id: u32, batch: &mut MessageBatch) {
-        for (proxy, assigned) in &self.assigned {
-            if *assigned == table_id {
+    fn add_line_for_table(&self, table_id: u32, batch: &mut MessageBatch) {
+        for (proxy, assigned_table) in &self.assigned_tables {
+            if *assigned_table == table_id {
                 batch.add_lines(*proxy, 1.0);
             }
         }
@@ -203,19 +203,19 @@
 
     /// Adds a line to the message of each connected proxy whose assigned or initial table contains an
     /// endpoint.
-    fn add_line_to_holders(
+    fn add_line_for_endpoint(
         &self,
         endpoint: u32,
         in_initial_table: &impl Fn(u32, u32) -> bool,
         batch: &mut MessageBatch,
     ) {
         for proxy in &self.connected {
-            let table = self.assigned.get(proxy).and_then(|table_id| self.tables.get(table_id));
-            let holds = match table {
+            let table = self.assigned_tables.get(proxy).and_then(|table_id| self.tables.get(table_id));
+            let contains_endpoint = match table {
                 Some(table) => table.weights.contains_key(&endpoint),
                 None => in_initial_table(*proxy, endpoint),
             };
-            if holds {
+            if contains_endpoint {
                 batch.add_lines(*proxy, 1.0);
             }
         }
--- a/simulation/src/route_table.rs
+++ b/simulation/src/route_table.rs
@@ -89,13 +89,13 @@
 
 impl RouteTable {
     /// Creates an empty table.
-    pub fn new(request_classes: usize) -> Self {
-        RouteTable { admission: vec![None; request_classes], ..RouteTable::default() }
+    pub fn new(request_class_count: usize) -> Self {
+        RouteTable { admission: vec![None; request_class_count], ..RouteTable::default() }
     }
 
     /// Discards the cached snapshot. Must be called after each change to the table or to the ejected
     /// endpoints.
-    pub fn invalidate(&mut self) {
+    pub fn invalidate_snapshot(&mut self) {
         self.snapshot = None;
     }
 
