--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -38,7 +38,7 @@
 
 impl Engine<'_> {
     /// Passes an event to the controller of an instance, then schedules the timers and commands that result.
-    pub(crate) fn notify(
+    pub(crate) fn notify_controller(
         &mut self,
         instance_index: u32,
         event: impl FnOnce(&mut Controller<SimulatedHost>, Moment),
@@ -72,7 +72,7 @@
         let Some(instance) = proxy.instance else { return };
         let rate = self.estimated_request_rate(zone);
         self.instances[instance as usize].channel.connect(proxy_index);
-        self.notify(instance, |controller, now| {
+        self.notify_controller(instance, |controller, now| {
             controller.proxy_joined(now, proxy_index, zone as u32, rate, true)
         });
     }
@@ -83,7 +83,7 @@
         proxy.stream += 1;
         let Some(instance) = proxy.instance else { return };
         self.instances[instance as usize].channel.disconnect(proxy_index);
-        self.notify(instance, |controller, now| controller.proxy_left(now, proxy_index));
+        self.notify_controller(instance, |controller, now| controller.proxy_left(now, proxy_index));
     }
 
     /// Returns the request rate that a proxy of this zone states when it connects: the zone's share of a
@@ -214,7 +214,9 @@
         stream: u32,
     ) {
         if self.proxies[proxy as usize].stream == stream {
-            self.notify(instance, |controller, now| controller.acknowledged(now, acknowledgement, proxy));
+            self.notify_controller(instance, |controller, now| {
+                controller.acknowledged(now, acknowledgement, proxy)
+            });
         }
     }
 }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -131,7 +131,7 @@
             Event::InjectFault { index } => self.inject_fault(index),
             Event::Maintenance => self.maintain(),
             Event::TimerFired { instance, timer } => {
-                self.notify(instance, |controller, now| controller.timer_fired(now, timer))
+                self.notify_controller(instance, |controller, now| controller.timer_fired(now, timer))
             }
             Event::ReportDue { instance } => self.close_report(instance),
             Event::ReportArrives { instance } => self.deliver_report(instance),
