--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -10,7 +10,7 @@
 
 /// The progress of a proxy's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
+pub(crate) enum AttemptStage {
     /// It has not reached the endpoint yet.
     InTransit,
     Queued,
@@ -25,7 +25,7 @@
     /// Handles the arrival of an attempt at its endpoint.
     pub(crate) fn attempt_at_endpoint(&mut self, slot: u32) {
         if let Some(outcome) = self.connect_attempt(slot) {
-            return self.respond(slot, outcome);
+            return self.send_outcome_to_proxy(slot, outcome);
         }
         let attempt = &mut self.attempts[slot];
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
@@ -34,11 +34,11 @@
             return self.attempts.release(slot);
         }
         if endpoint.hangs {
-            attempt.stage = Stage::Hanging;
+            attempt.stage = AttemptStage::Hanging;
             return;
         }
         if self.has_injected_failure(slot) {
-            return self.respond(slot, AttemptOutcome::Failed);
+            return self.send_outcome_to_proxy(slot, AttemptOutcome::Failed);
         }
         self.offer_work(slot);
     }
@@ -75,10 +75,10 @@
         let endpoint_index = attempt.endpoint;
         match self.endpoints[endpoint_index as usize].offer(self.now, slot, attempt.work) {
             OfferOutcome::Started(done_at) => self.run_attempt_until(slot, done_at),
-            OfferOutcome::Queued => attempt.stage = Stage::Queued,
-            OfferOutcome::Rejected => self.respond(slot, AttemptOutcome::NeverRan),
+            OfferOutcome::Queued => attempt.stage = AttemptStage::Queued,
+            OfferOutcome::Rejected => self.send_outcome_to_proxy(slot, AttemptOutcome::NeverRan),
             OfferOutcome::Collapsed => {
-                self.respond(slot, AttemptOutcome::ConnectionBroken);
+                self.send_outcome_to_proxy(slot, AttemptOutcome::ConnectionBroken);
                 self.crash_endpoint(endpoint_index);
             }
         }
@@ -86,7 +86,7 @@
 
     /// Marks an attempt as running and schedules its completion.
     fn run_attempt_until(&mut self, slot: u32, done_at: Time) {
-        self.attempts[slot].stage = Stage::Running;
+        self.attempts[slot].stage = AttemptStage::Running;
         let attempt = self.attempts.handle(slot);
         self.schedule(done_at, Event::WorkDone { attempt });
     }
@@ -95,7 +95,7 @@
     pub(crate) fn work_done(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
-        if !self.attempts.is_current(handle) || attempt.stage != Stage::Running {
+        if !self.attempts.is_current(handle) || attempt.stage != AttemptStage::Running {
             return;
         }
         let endpoint = attempt.endpoint;
@@ -103,7 +103,7 @@
             // Its connection is already closed, so there is nothing to answer.
             self.attempts.release(slot);
         } else {
-            self.respond(slot, AttemptOutcome::Answered);
+            self.send_outcome_to_proxy(slot, AttemptOutcome::Answered);
         }
         self.free_core(endpoint);
     }
@@ -118,9 +118,9 @@
     }
 
     /// Sends the outcome of an attempt to its proxy: the endpoint's answer or error, or a connection error.
-    pub(crate) fn respond(&mut self, slot: u32, outcome: AttemptOutcome) {
+    pub(crate) fn send_outcome_to_proxy(&mut self, slot: u32, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[slot];
-        attempt.stage = Stage::Answered;
+        attempt.stage = AttemptStage::Answered;
         let (proxy, endpoint) = (attempt.proxy, attempt.endpoint);
         let arrival = self.now + self.one_way_latency(proxy, endpoint);
         self.schedule(arrival, Event::OutcomeAtProxy { attempt: slot, outcome });
@@ -138,17 +138,17 @@
         }
         match attempt.stage {
             // The connection is closed when the attempt reaches the endpoint, or its outcome the proxy.
-            Stage::InTransit | Stage::Answered => {}
-            Stage::Queued => {
+            AttemptStage::InTransit | AttemptStage::Answered => {}
+            AttemptStage::Queued => {
                 endpoint.remove_queued(slot);
                 endpoint.open_connections -= 1;
                 self.attempts.release(slot);
             }
-            Stage::Hanging => {
+            AttemptStage::Hanging => {
                 endpoint.open_connections -= 1;
                 self.attempts.release(slot);
             }
-            Stage::Running => {
+            AttemptStage::Running => {
                 endpoint.open_connections -= 1;
                 if !endpoint.finishes_abandoned {
                     self.attempts.release(slot);
--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Injects the scheduled faults.
 
-use crate::endpoint_work::Stage;
+use crate::endpoint_work::AttemptStage;
 use crate::engine::Engine;
 use crate::event::{AttemptOutcome, Event};
 use crate::fault::Fault;
@@ -64,11 +64,12 @@
         }
         endpoint.crash(self.now);
         let lost = self.attempts.slots_where(|attempt| {
-            let at_endpoint = matches!(attempt.stage, Stage::Queued | Stage::Running | Stage::Hanging);
+            let at_endpoint =
+                matches!(attempt.stage, AttemptStage::Queued | AttemptStage::Running | AttemptStage::Hanging);
             attempt.endpoint == number && at_endpoint
         });
         for attempt in lost {
-            self.respond(attempt, AttemptOutcome::ConnectionBroken);
+            self.send_outcome_to_proxy(attempt, AttemptOutcome::ConnectionBroken);
         }
         self.publish_endpoints(&[number]);
     }
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{micros, Time};
 use crate::control_plane_instance::OutcomeKey;
-use crate::endpoint_work::Stage;
+use crate::endpoint_work::AttemptStage;
 use crate::engine::Engine;
 use crate::event::{AttemptOutcome, Event};
 use crate::request_sampling::Purpose;
@@ -63,7 +63,7 @@
     pub abandoned: bool,
     /// Whether this is the proxy's retry of an earlier attempt.
     pub is_retry: bool,
-    pub stage: Stage,
+    pub stage: AttemptStage,
 }
 
 impl Proxy {
@@ -160,7 +160,7 @@
             connected,
             abandoned: false,
             is_retry,
-            stage: Stage::InTransit,
+            stage: AttemptStage::InTransit,
         });
         self.requests[slot].proxy_attempt = Some(attempt);
         // Opening a connection takes one round trip before the request can be sent.
