--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -18,7 +18,7 @@
     /// The endpoint has accepted it and will not answer, because of an injected fault.
     Hanging,
     /// Its outcome, whether an answer or an error, is in transit to the proxy.
-    Answered,
+    OutcomeSent,
 }
 
 impl Engine<'_> {
@@ -120,7 +120,7 @@
     /// Sends the outcome of an attempt to its proxy: the endpoint's answer or error, or a connection error.
     pub(crate) fn send_outcome_to_proxy(&mut self, slot: u32, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[slot];
-        attempt.stage = AttemptStage::Answered;
+        attempt.stage = AttemptStage::OutcomeSent;
         let (proxy, endpoint) = (attempt.proxy, attempt.endpoint);
         let arrival = self.now + self.one_way_latency(proxy, endpoint);
         self.schedule(arrival, Event::OutcomeAtProxy { attempt: slot, outcome });
@@ -138,7 +138,7 @@
         }
         match attempt.stage {
             // The connection is closed when the attempt reaches the endpoint, or its outcome the proxy.
-            AttemptStage::InTransit | AttemptStage::Answered => {}
+            AttemptStage::InTransit | AttemptStage::OutcomeSent => {}
             AttemptStage::Queued => {
                 endpoint.remove_queued(slot);
                 endpoint.open_connections -= 1;
