--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -110,7 +110,7 @@
 
     /// Whether a proxy is connected.
     pub(crate) fn is_connected(&self, proxy: u32) -> bool {
-        lock(&self.state).model.connected.contains(&proxy)
+        lock(&self.state).model.connected_proxies.contains(&proxy)
     }
 
     /// Sends the commands of an instant.
@@ -119,9 +119,9 @@
         let now_us = (now - self.began).as_micros() as u64;
         let ChannelState { model, connections } = &mut *lock(&self.state);
         let in_initial_table = |proxy: u32, endpoint| self.proxies[proxy as usize].in_initial_table(endpoint);
-        let batch = model.apply(commands, in_initial_table);
-        let ejected = Arc::new(model.ejected.clone());
-        for (proxy, lines) in batch.lines {
+        let batch = model.apply_commands(commands, in_initial_table);
+        let ejected = Arc::new(model.ejected_endpoints.clone());
+        for (proxy, lines) in batch.lines_by_proxy {
             let sent_us = model.send_queue.enqueue(now_us, lines);
             let message = Message {
                 arrives_at: self.began + Duration::from_micros(sent_us) + self.message_delay,
@@ -139,7 +139,7 @@
 
     /// The most lines that were ever queued.
     pub(crate) fn max_queued_lines(&self) -> f64 {
-        lock(&self.state).model.send_queue.max_queued_lines
+        lock(&self.state).model.send_queue.peak_queued_lines
     }
 
     /// Whether the connection that a message was sent on still exists.
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -155,11 +155,12 @@
         instance.send_scheduled = false;
         let commands = std::mem::take(&mut instance.controller.host().commands);
         let channel = &mut instance.channel;
-        let batch = channel
-            .apply(commands, |proxy, endpoint| proxies[proxy as usize].initial_endpoints.contains(&endpoint));
-        let ejected = Rc::new(channel.ejected.clone());
-        let mut departures = Vec::with_capacity(batch.lines.len());
-        for (proxy, lines) in batch.lines {
+        let batch = channel.apply_commands(commands, |proxy, endpoint| {
+            proxies[proxy as usize].initial_endpoints.contains(&endpoint)
+        });
+        let ejected = Rc::new(channel.ejected_endpoints.clone());
+        let mut departures = Vec::with_capacity(batch.lines_by_proxy.len());
+        for (proxy, lines) in batch.lines_by_proxy {
             departures.push(channel.send_queue.enqueue(self.now, lines));
             instance.messages_in_transit.push_back(Message {
                 proxy,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -174,7 +174,7 @@
             events: self.events,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
-            max_queued_lines: send_queues.clone().map(|queue| queue.max_queued_lines).fold(0.0, f64::max),
+            max_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
             ended_early,
--- a/simulation/src/proxy_channel.rs
+++ b/simulation/src/proxy_channel.rs
@@ -11,9 +11,9 @@
 /// The route tables of an instance, their assignment to proxies, and the queue of messages to the proxies.
 pub struct ProxyChannel {
     /// The endpoints that are ejected from all tables.
-    pub ejected: BTreeSet<u32>,
+    pub ejected_endpoints: BTreeSet<u32>,
     /// The proxies with an open stream to the instance.
-    pub connected: BTreeSet<u32>,
+    pub connected_proxies: BTreeSet<u32>,
     /// The queue of messages to the proxies.
     pub send_queue: SendQueue,
     /// The route tables by ID.
@@ -30,7 +30,7 @@
     /// When the last queued message has been sent completely.
     idle_at: Time,
     /// The most lines that were queued at any time.
-    pub max_queued_lines: f64,
+    pub peak_queued_lines: f64,
     /// The total lines of all messages so far, including the overhead per message.
     pub sent_lines: f64,
 }
@@ -41,7 +41,7 @@
             lines_per_second: control_plane.channel_rate,
             message_overhead_lines: control_plane.message_overhead_lines,
             idle_at: 0,
-            max_queued_lines: 0.0,
+            peak_queued_lines: 0.0,
             sent_lines: 0.0,
         }
     }
@@ -51,7 +51,7 @@
         let lines = lines + self.message_overhead_lines;
         self.idle_at = self.idle_at.max(now) + (lines / self.lines_per_second * 1e6) as Time;
         let queued_lines = secs(self.idle_at - now) * self.lines_per_second;
-        self.max_queued_lines = self.max_queued_lines.max(queued_lines);
+        self.peak_queued_lines = self.peak_queued_lines.max(queued_lines);
         self.sent_lines += lines;
         self.idle_at
     }
@@ -60,14 +60,14 @@
 /// The messages that result from the commands issued at one time.
 pub struct MessageBatch {
     /// The length of each proxy's message, in lines.
-    pub lines: BTreeMap<u32, f64>,
+    pub lines_by_proxy: BTreeMap<u32, f64>,
     /// The number to acknowledge the batch with, if the controller asked for an acknowledgement.
     pub acknowledgement: Option<u32>,
 }
 
 impl MessageBatch {
     fn add_lines(&mut self, proxy: u32, lines: f64) {
-        *self.lines.entry(proxy).or_default() += lines;
+        *self.lines_by_proxy.entry(proxy).or_default() += lines;
     }
 }
 
@@ -75,8 +75,8 @@
     /// Creates a channel without proxies and tables.
     pub fn new(control_plane: &ControlPlane, request_class_count: usize) -> Self {
         ProxyChannel {
-            ejected: BTreeSet::new(),
-            connected: BTreeSet::new(),
+            ejected_endpoints: BTreeSet::new(),
+            connected_proxies: BTreeSet::new(),
             send_queue: SendQueue::new(control_plane),
             tables: BTreeMap::new(),
             assigned_tables: BTreeMap::new(),
@@ -86,23 +86,23 @@
 
     /// Adds a proxy, which has no assigned table yet.
     pub fn connect(&mut self, proxy: u32) {
-        self.connected.insert(proxy);
+        self.connected_proxies.insert(proxy);
     }
 
     /// Removes a proxy and its table assignment.
     pub fn disconnect(&mut self, proxy: u32) {
-        self.connected.remove(&proxy);
+        self.connected_proxies.remove(&proxy);
         self.assigned_tables.remove(&proxy);
     }
 
     /// Applies the commands issued at one time and returns the messages to send. `in_initial_table` returns
     /// whether a proxy's initial table contains an endpoint.
-    pub fn apply(
+    pub fn apply_commands(
         &mut self,
         commands: Vec<Command>,
         in_initial_table: impl Fn(u32, u32) -> bool,
     ) -> MessageBatch {
-        let mut batch = MessageBatch { lines: BTreeMap::new(), acknowledgement: None };
+        let mut batch = MessageBatch { lines_by_proxy: BTreeMap::new(), acknowledgement: None };
         let mut acknowledgement_lines = 0.0;
         for command in commands {
             match command {
@@ -125,7 +125,7 @@
                 }
             }
         }
-        for lines in batch.lines.values_mut() {
+        for lines in batch.lines_by_proxy.values_mut() {
             *lines += acknowledgement_lines;
         }
         batch
@@ -135,7 +135,7 @@
     pub fn table_snapshot(&mut self, proxy: u32) -> Option<Arc<TableSnapshot>> {
         let table_id = self.assigned_tables.get(&proxy)?;
         let table = self.tables.get_mut(table_id)?;
-        Some(table.snapshot(&self.ejected))
+        Some(table.snapshot(&self.ejected_endpoints))
     }
 
     /// Returns the table with this ID, which is created if necessary.
@@ -169,9 +169,9 @@
     /// Ejects an endpoint from all tables, or restores it.
     fn set_ejected(&mut self, endpoint: u32, ejected: bool) {
         if ejected {
-            self.ejected.insert(endpoint);
+            self.ejected_endpoints.insert(endpoint);
         } else {
-            self.ejected.remove(&endpoint);
+            self.ejected_endpoints.remove(&endpoint);
         }
         for table in self.tables.values_mut() {
             table.invalidate_snapshot();
@@ -181,13 +181,14 @@
     /// Assigns a table to a proxy. The message has a line for the assignment, for each weight and admission
     /// level in the table, and for each ejected endpoint in it. Ignored if the proxy isn't connected.
     fn assign(&mut self, proxy: u32, table_id: u32, batch: &mut MessageBatch) {
-        if !self.connected.contains(&proxy) {
+        if !self.connected_proxies.contains(&proxy) {
             return;
         }
         let table = self.table(table_id);
         let content_lines = table.weights.len() + table.admission.iter().flatten().count();
         let table = &self.tables[&table_id];
-        let ejected_lines = table.weights.keys().filter(|endpoint| self.ejected.contains(endpoint)).count();
+        let ejected_lines =
+            table.weights.keys().filter(|endpoint| self.ejected_endpoints.contains(endpoint)).count();
         batch.add_lines(proxy, (1 + content_lines + ejected_lines) as f64);
         self.assigned_tables.insert(proxy, table_id);
     }
@@ -209,7 +210,7 @@
         in_initial_table: &impl Fn(u32, u32) -> bool,
         batch: &mut MessageBatch,
     ) {
-        for proxy in &self.connected {
+        for proxy in &self.connected_proxies {
             let table = self.assigned_tables.get(proxy).and_then(|table_id| self.tables.get(table_id));
             let contains_endpoint = match table {
                 Some(table) => table.weights.contains_key(&endpoint),
