--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -218,8 +218,8 @@
         self.instances[instance as usize].record_outcome(key, answered, latency);
     }
 
-    /// Retries, at another endpoint, an attempt that never ran. Returns false if the retry policy forbids it or
-    /// the table has no other endpoint.
+    /// Retries, at another endpoint, an attempt that never ran. Returns false if the retry policy forbids it
+    /// or the table has no other endpoint.
     fn retry_at_another_endpoint(&mut self, slot: u32, failed_attempt: &Attempt) -> bool {
         let table = &self.proxies[failed_attempt.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
