--- a/simulation/src/client.rs
+++ b/simulation/src/client.rs
@@ -92,8 +92,8 @@
     /// Chooses a live proxy in the zone at random, or in any zone if this one has none.
     fn choose_proxy(&self, zone: usize, sample: f64) -> Option<u32> {
         choose_uniformly(&self.live_proxies[zone], sample).or_else(|| {
-            let all: Vec<u32> = self.live_proxies.iter().flatten().copied().collect();
-            choose_uniformly(&all, sample)
+            let all_proxies: Vec<u32> = self.live_proxies.iter().flatten().copied().collect();
+            choose_uniformly(&all_proxies, sample)
         })
     }
 
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -53,13 +53,13 @@
         let instance = &mut self.instances[instance_index as usize];
         let host = instance.controller.host();
         let timers = std::mem::take(&mut host.timers);
-        let send = !host.commands.is_empty() && !instance.send_scheduled;
-        instance.send_scheduled |= send;
+        let needs_sending = !host.commands.is_empty() && !instance.send_scheduled;
+        instance.send_scheduled |= needs_sending;
         for (after, timer) in timers {
             let at = self.now + micros(after).max(1);
             self.schedule_for_control_plane(at, Event::TimerFired { instance: instance_index, timer });
         }
-        if send {
+        if needs_sending {
             self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: instance_index });
         }
     }
@@ -90,8 +90,8 @@
     /// typical load, divided evenly among its proxies.
     fn estimated_request_rate(&self, zone: usize) -> f64 {
         let zone = &self.fleet.zones[zone];
-        let total = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * ASSUMED_UTILISATION;
-        total * zone.client_share / f64::from(zone.proxy_count)
+        let total_rate = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * ASSUMED_UTILISATION;
+        total_rate * zone.client_share / f64::from(zone.proxy_count)
     }
 
     /// Ends a report interval: sends its report and starts the next interval.
@@ -99,9 +99,9 @@
         self.instances[instance_index as usize].close_report();
         let control_plane = &self.fleet.control_plane;
         let arrival = self.now + micros(control_plane.report_delay);
-        let next = self.now + micros(control_plane.report_interval);
+        let next_report = self.now + micros(control_plane.report_interval);
         self.schedule_for_control_plane(arrival, Event::ReportArrives { instance: instance_index });
-        self.schedule_for_control_plane(next, Event::ReportDue { instance: instance_index });
+        self.schedule_for_control_plane(next_report, Event::ReportDue { instance: instance_index });
     }
 
     /// Passes the earliest load report in transit to the controller of the instance.
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -7,7 +7,7 @@
 use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
 use std::collections::VecDeque;
 
-/// How an endpoint responds to an attempt that reaches it.
+/// How an endpoint responds to an attempt that it is offered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OfferOutcome {
     /// A core has started on it and will be done at this time.
@@ -155,8 +155,7 @@
         self.accounted_until = now;
     }
 
-    /// Starts, queues or rejects an attempt, or collapses under it. `work` is in seconds on a core of speed
-    /// 1.
+    /// Starts, queues or rejects an attempt, or collapses. `work` is in seconds on a core of speed 1.
     pub(crate) fn offer(&mut self, now: Time, attempt: u32, work: f64) -> OfferOutcome {
         if self.record_work_and_check_collapse(now, work) {
             self.collapsed = true;
--- a/simulation/src/route_table.rs
+++ b/simulation/src/route_table.rs
@@ -67,7 +67,7 @@
     pub retry: RetryPolicy,
 }
 
-/// The content of a table when it was sent to a proxy.
+/// An immutable copy of a table's content, as proxies use it.
 #[derive(Clone, Debug)]
 pub struct TableSnapshot {
     /// The endpoints of the table, without the ejected ones.
