--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -1,17 +1,17 @@
 use super::MIN_LEVEL;
 use crate::controller::fleet_load::FleetLoad;
-use crate::testing::{at, config, running, TestController};
+use crate::testing::{at, config, running_controller, TestController};
 use crate::time::Span;
 
 #[test]
 fn an_overloaded_fleet_admits_what_it_answers_and_the_highest_priority_first() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
         attempts: 150.0,
         answered: 60.0,
         served: 60.0,
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -20,8 +20,8 @@
 
 /// A controller three seconds after its start, with a few attempts of the first proxies that joined it.
 fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
-    let mut controller = running(config(), &["a", "b"], 4);
-    let window = Span::secs(2.0);
+    let mut controller = running_controller(config(), &["a", "b"], 4);
+    let window = Span::from_secs(2.0);
     controller.fleet_load = FleetLoad {
         demand: vec![10.0, 10.0],
         window,
@@ -58,11 +58,11 @@
 
 #[test]
 fn the_budget_grows_once_the_fleet_is_well() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     controller.admission.budget = Some(100.0);
     controller.fleet_load = FleetLoad {
         demand: vec![100.0, 50.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 90.0,
         answered: 90.0,
         ..FleetLoad::default()
@@ -73,11 +73,11 @@
 
 #[test]
 fn the_budget_grows_with_the_proxies_that_come_back() {
-    let mut controller = running(config(), &["a"], 1);
+    let mut controller = running_controller(config(), &["a"], 1);
     // 20 requests were answered to one proxy of 10 requests a second; the budget is nine tenths of that.
     controller.fleet_load = FleetLoad {
         demand: vec![0.0, 20.0],
-        window: Span::secs(1.0),
+        window: Span::from_secs(1.0),
         attempts: 20.0,
         answered: 5.0,
         served: 20.0,
