--- a/control-plane/tests/sockets/support/endpoint_list.rs
+++ b/control-plane/tests/sockets/support/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! A fake endpoint list: answers reads of the whole list and polls for changes.
 
 use super::http::{
-    reset_on_close, send_answer, send_answer_in_pieces, send_answer_twice, send_truncated_answer,
-    spawn_http_server, Connection,
+    enable_reset_on_close, send_fragmented_response, send_response, send_response_twice,
+    send_truncated_response, spawn_http_server, ConnectionAction,
 };
 use super::{wait_for, TIMEOUT};
 use serde_json::{json, Value};
@@ -66,22 +66,22 @@
 }
 
 impl Poll {
-    fn of_request(first_line: &str) -> Poll {
+    fn of_request(request_line: &str) -> Poll {
         Poll {
-            since: query_parameter(first_line, "since="),
-            wait: Duration::from_millis(query_parameter(first_line, "timeout_ms=").unwrap_or(0)),
+            since: query_parameter(request_line, "since="),
+            wait: Duration::from_millis(query_parameter(request_line, "timeout_ms=").unwrap_or(0)),
         }
     }
 }
 
-fn query_parameter(first_line: &str, name: &str) -> Option<u64> {
-    let value = first_line.split(name).nth(1)?;
+fn query_parameter(request_line: &str, name: &str) -> Option<u64> {
+    let value = request_line.split(name).nth(1)?;
     value.split(['&', ' ']).next()?.parse().ok()
 }
 
 impl Shared {
-    fn serve(&self, first_line: &str, stream: &mut TcpStream) -> Connection {
-        let poll = Poll::of_request(first_line);
+    fn serve(&self, request_line: &str, stream: &mut TcpStream) -> ConnectionAction {
+        let poll = Poll::of_request(request_line);
         let mut state = self.state.lock().unwrap();
         let body = match poll.since {
             None => json!({"seq": state.version, "whole": true, "hosts": state.entries}),
@@ -92,11 +92,11 @@
             }
         };
         if state.silent {
-            return Connection::ReadsNextRequest;
+            return ConnectionAction::ReadNextRequest;
         }
         if state.rejects_newer_versions && poll.since.is_some_and(|since| since > state.version) {
-            send_answer(stream, "410 Gone", "{}");
-            return Connection::ReadsNextRequest;
+            send_response(stream, "410 Gone", "{}");
+            return ConnectionAction::ReadNextRequest;
         }
         answer(state.planned.pop_front(), &body.to_string(), stream)
     }
@@ -113,18 +113,18 @@
     }
 }
 
-fn answer(planned: Option<ListAnswer>, body: &str, stream: &mut TcpStream) -> Connection {
+fn answer(planned: Option<ListAnswer>, body: &str, stream: &mut TcpStream) -> ConnectionAction {
     match planned {
-        None => send_answer_in_pieces(stream, body),
-        Some(ListAnswer::Body(body)) => send_answer(stream, "200 OK", &body),
-        Some(ListAnswer::Truncated(bytes)) => send_truncated_answer(stream, body, bytes),
-        Some(ListAnswer::Twice) => send_answer_twice(stream, body),
+        None => send_fragmented_response(stream, body),
+        Some(ListAnswer::Body(body)) => send_response(stream, "200 OK", &body),
+        Some(ListAnswer::Truncated(bytes)) => send_truncated_response(stream, body, bytes),
+        Some(ListAnswer::Twice) => send_response_twice(stream, body),
         Some(ListAnswer::ConnectionReset) => {
-            reset_on_close(stream);
-            return Connection::IsDropped;
+            enable_reset_on_close(stream);
+            return ConnectionAction::StopReading;
         }
     }
-    Connection::ReadsNextRequest
+    ConnectionAction::ReadNextRequest
 }
 
 impl FakeEndpointList {
@@ -136,8 +136,8 @@
         let (sender, requests) = channel();
         let server = shared.clone();
         let address = spawn_http_server(move |request, stream| {
-            let _ = sender.send(request.first_line.clone());
-            server.serve(&request.first_line, stream)
+            let _ = sender.send(request.request_line.clone());
+            server.serve(&request.request_line, stream)
         });
         FakeEndpointList { address, shared, requests: Arc::new(Mutex::new(requests)) }
     }
--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -1,8 +1,8 @@
 //! A fake relay: takes batches of commands and has an event stream.
 
 use super::http::{
-    reset_on_close, send_answer, send_answer_in_pieces, send_answer_twice, send_chunk, send_truncated_answer,
-    spawn_http_server, Connection, HttpRequest,
+    enable_reset_on_close, send_chunk, send_fragmented_response, send_response, send_response_twice,
+    send_truncated_response, spawn_http_server, ConnectionAction, HttpRequest,
 };
 use super::{wait_for, TIMEOUT};
 use serde_json::{json, Value};
@@ -100,8 +100,13 @@
 }
 
 impl Shared {
-    fn serve(&self, calls: &Sender<Vec<Value>>, request: &HttpRequest, stream: &mut TcpStream) -> Connection {
-        if !request.first_line.starts_with(&format!("GET {STREAM_PATH}")) {
+    fn serve(
+        &self,
+        calls: &Sender<Vec<Value>>,
+        request: &HttpRequest,
+        stream: &mut TcpStream,
+    ) -> ConnectionAction {
+        if !request.request_line.starts_with(&format!("GET {STREAM_PATH}")) {
             return self.serve_call(calls, &request.body, stream);
         }
         if self.unreachable.load(Ordering::SeqCst) {
@@ -109,14 +114,19 @@
         } else {
             self.stream.lock().unwrap().open(stream);
         }
-        Connection::IsDropped
+        ConnectionAction::StopReading
     }
 
     fn leave_unanswered(&self, stream: &TcpStream) {
         self.unanswered.lock().unwrap().push(stream.try_clone().unwrap());
     }
 
-    fn serve_call(&self, calls: &Sender<Vec<Value>>, body: &[u8], stream: &mut TcpStream) -> Connection {
+    fn serve_call(
+        &self,
+        calls: &Sender<Vec<Value>>,
+        body: &[u8],
+        stream: &mut TcpStream,
+    ) -> ConnectionAction {
         assert!(body.len() <= MAX_CALL_BYTES, "a call of {} bytes", body.len());
         let value: Value = serde_json::from_slice(body).unwrap();
         let commands = value["changes"].as_array().unwrap().clone();
@@ -127,43 +137,43 @@
         self.answer(behavior, count, stream)
     }
 
-    fn answer(&self, behavior: RelayBehavior, count: usize, stream: &mut TcpStream) -> Connection {
+    fn answer(&self, behavior: RelayBehavior, count: usize, stream: &mut TcpStream) -> ConnectionAction {
         let accepted = json!({"taken": count}).to_string();
         match behavior {
-            RelayBehavior::Accepts => send_answer(stream, "200 OK", &accepted),
+            RelayBehavior::Accepts => send_response(stream, "200 OK", &accepted),
             RelayBehavior::AcceptsAndCloses => {
-                send_answer(stream, "200 OK", &accepted);
+                send_response(stream, "200 OK", &accepted);
                 let _ = stream.shutdown(Shutdown::Both);
             }
-            RelayBehavior::AnswersInPieces => send_answer_in_pieces(stream, &accepted),
+            RelayBehavior::AnswersInPieces => send_fragmented_response(stream, &accepted),
             RelayBehavior::AcceptsOnly(count) => {
-                send_answer(stream, "200 OK", &json!({"taken": count}).to_string());
+                send_response(stream, "200 OK", &json!({"taken": count}).to_string());
             }
             RelayBehavior::ClosesConnection => _ = stream.shutdown(Shutdown::Both),
             RelayBehavior::WithholdsAnswer => {
                 self.wait_for_release();
-                send_answer(stream, "200 OK", &accepted);
+                send_response(stream, "200 OK", &accepted);
             }
             RelayBehavior::ResetsConnection => {
-                reset_on_close(stream);
-                return Connection::IsDropped;
+                enable_reset_on_close(stream);
+                return ConnectionAction::StopReading;
             }
-            RelayBehavior::TruncatesAnswer(bytes) => send_truncated_answer(stream, &accepted, bytes),
-            RelayBehavior::AnswersTwice => send_answer_twice(stream, &accepted),
+            RelayBehavior::TruncatesAnswer(bytes) => send_truncated_response(stream, &accepted, bytes),
+            RelayBehavior::AnswersTwice => send_response_twice(stream, &accepted),
             RelayBehavior::AcceptsTooMany => {
-                send_answer(stream, "200 OK", &json!({"taken": count + 1}).to_string());
+                send_response(stream, "200 OK", &json!({"taken": count + 1}).to_string());
             }
             RelayBehavior::AnswersGarbage => _ = stream.write_all(b"\0\xff no answer at all\r\n\r\n"),
             RelayBehavior::DoesNotAnswer => self.leave_unanswered(stream),
-            RelayBehavior::AnswersInvalidJson => send_answer(stream, "200 OK", "{\"tak"),
+            RelayBehavior::AnswersInvalidJson => send_response(stream, "200 OK", "{\"tak"),
             RelayBehavior::RejectsAsInvalid => {
-                send_answer(stream, "400 Bad Request", r#"{"error":"invalid"}"#);
+                send_response(stream, "400 Bad Request", r#"{"error":"invalid"}"#);
             }
             RelayBehavior::Throttles => {
-                send_answer(stream, "429 Too Many Requests", r#"{"error":"throttled"}"#);
+                send_response(stream, "429 Too Many Requests", r#"{"error":"throttled"}"#);
             }
         }
-        Connection::ReadsNextRequest
+        ConnectionAction::ReadNextRequest
     }
 
     fn wait_for_release(&self) {
