--- a/control-plane/tests/sockets/commands.rs
+++ b/control-plane/tests/sockets/commands.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_joining_proxy_is_assigned_a_populated_table() {
     let Testbed { relay, control_plane: _control_plane, .. } = Testbed::start(&["a", "b"]);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     let lines = relay.next_call_with("put");
     let ids: Vec<&Value> = lines.iter().filter(|o| o["op"] == "put").map(|o| &o["endpoint"]).collect();
     assert_eq!(ids, ["a", "b"]);
@@ -26,7 +26,7 @@
 /// Drains `a` while the relay behaves like this, and checks that the very same commands are sent again.
 fn assert_commands_are_resent_after(behavior: RelayBehavior) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    relay.plan(behavior);
+    relay.queue_behavior(behavior);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let lost = relay.next_call_with("eject");
     let mut resent = relay.next_call();
@@ -44,12 +44,12 @@
 
 #[test]
 fn commands_are_resent_when_the_relay_does_not_answer() {
-    assert_commands_are_resent_after(RelayBehavior::DoesNotAnswer);
+    assert_commands_are_resent_after(RelayBehavior::DoesNotRespond);
 }
 
 #[test]
 fn commands_are_resent_when_the_answer_is_invalid_json() {
-    assert_commands_are_resent_after(RelayBehavior::AnswersInvalidJson);
+    assert_commands_are_resent_after(RelayBehavior::SendsInvalidJson);
 }
 
 #[test]
@@ -61,7 +61,7 @@
 fn the_controller_restarts_when_the_relay_rejects_the_commands_twice() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     // A single one may be a corrupted answer.
-    relay.plan_times(2, RelayBehavior::RejectsAsInvalid);
+    relay.queue_behavior_times(2, RelayBehavior::RejectsAsInvalid);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     for _ in 0..2 {
         relay.next_call_with("eject");
@@ -79,21 +79,21 @@
 #[test]
 fn after_a_long_silence_of_the_relay_queued_commands_are_sent_and_joining_proxies_assigned() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    relay.plan_times(5, RelayBehavior::DoesNotAnswer);
+    relay.queue_behavior_times(5, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_call_with("eject");
     // This change comes while commands are unacknowledged, and waits behind them.
     list.publish_changes(&[endpoint_entry("c", "active")]);
     control_plane.wait_for_log("command delivery recovered");
     assert_eq!(relay.next_call_with("put").last().unwrap()["op"], "fence");
-    relay.proxy_joins(8);
+    relay.join_proxy(8);
     assert_eq!(relay.next_command("attach")["node"], 8);
 }
 
 #[test]
 fn a_connection_closed_by_the_relay_loses_no_commands() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::AcceptsAndCloses);
+    relay.queue_behavior(RelayBehavior::AcceptsAndCloses);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
     list.publish_changes(&[endpoint_entry("c", "active")]);
@@ -103,7 +103,7 @@
 #[test]
 fn an_answer_in_pieces_is_accepted() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::AnswersInPieces);
+    relay.queue_behavior(RelayBehavior::FragmentsResponse);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let taken = relay.next_call_with("eject");
     list.publish_changes(&[endpoint_entry("b", "leaving"), endpoint_entry("c", "active")]);
@@ -113,9 +113,9 @@
 #[test]
 fn after_a_declined_command_the_rest_is_sent_and_the_assignment_is_repeated() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::AcceptsOnly(0));
-    relay.proxy_joins(8);
-    relay.proxy_joins(9);
+    relay.queue_behavior(RelayBehavior::AcceptsOnly(0));
+    relay.join_proxy(8);
+    relay.join_proxy(9);
     let call = relay.next_call_with("attach");
     let declined = call[0].clone();
     assert_eq!(control_plane.wait_for_log("relay rejected a command")["command"], declined.to_string());
@@ -132,33 +132,33 @@
 
 #[test]
 fn commands_are_resent_when_the_answer_is_truncated_in_its_status() {
-    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(12));
+    assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(12));
 }
 
 #[test]
 fn commands_are_resent_when_the_answer_is_truncated_after_its_head() {
-    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(40));
+    assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(40));
 }
 
 #[test]
 fn commands_are_resent_when_the_answer_lacks_its_last_byte() {
-    assert_commands_are_resent_after(RelayBehavior::TruncatesAnswer(usize::MAX));
+    assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(usize::MAX));
 }
 
 #[test]
 fn commands_are_resent_when_more_were_accepted_than_sent() {
-    assert_commands_are_resent_after(RelayBehavior::AcceptsTooMany);
+    assert_commands_are_resent_after(RelayBehavior::OverstatesAcceptedCount);
 }
 
 #[test]
 fn commands_are_resent_when_the_answer_is_not_http() {
-    assert_commands_are_resent_after(RelayBehavior::AnswersGarbage);
+    assert_commands_are_resent_after(RelayBehavior::SendsInvalidHttp);
 }
 
 #[test]
 fn an_answer_that_is_sent_twice_counts_once() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::AnswersTwice);
+    relay.queue_behavior(RelayBehavior::RespondsTwice);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let taken = relay.next_call_with("eject");
     list.publish_changes(&[endpoint_entry("c", "active")]);
@@ -171,13 +171,13 @@
 #[test]
 fn a_late_answer_is_ignored() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::WithholdsAnswer);
-    relay.plan(RelayBehavior::ClosesConnection);
+    relay.queue_behavior(RelayBehavior::WithholdsResponse);
+    relay.queue_behavior(RelayBehavior::ClosesConnection);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let withheld = relay.next_call_with("eject");
     // Timed out, sent again, failed: the outcome is unknown once more. Only now the first answer comes.
     relay.next_call_with("eject");
-    relay.release_answer();
+    relay.release_response();
     let mut third = relay.next_call();
     third.retain(|command| command["op"] != "fence");
     assert_eq!(third, withheld);
@@ -194,7 +194,7 @@
     for behavior in
         [RelayBehavior::RejectsAsInvalid, RelayBehavior::ClosesConnection, RelayBehavior::RejectsAsInvalid]
     {
-        relay.plan(behavior);
+        relay.queue_behavior(behavior);
     }
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     for _ in 0..4 {
--- a/control-plane/tests/sockets/config_reload.rs
+++ b/control-plane/tests/sockets/config_reload.rs
@@ -9,7 +9,7 @@
 /// Reloads a configuration that names another list and another relay.
 fn move_peers(control_plane: &ControlPlane, endpoints: &[&str], proxy: u32) -> (FakeEndpointList, FakeRelay) {
     let (list, relay) = (FakeEndpointList::start(endpoints), FakeRelay::start());
-    relay.proxy_joins(proxy);
+    relay.join_proxy(proxy);
     control_plane.reload_config(&config(list.address, relay.address).to_string());
     control_plane.wait_for_log("config reloaded");
     (list, relay)
@@ -36,7 +36,7 @@
 #[test]
 fn commands_that_failed_at_the_old_relay_go_to_the_new_one_before_any_other() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    relay.plan_times(500, RelayBehavior::Throttles);
+    relay.queue_behavior_times(500, RelayBehavior::Throttles);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let lost = relay.next_call_with("eject");
     let (_list, relay) = move_peers(&control_plane, &["b"], 7);
@@ -64,13 +64,13 @@
 #[test]
 fn a_call_in_flight_when_the_relay_moves_goes_to_the_new_one_before_any_other() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::WithholdsAnswer);
+    relay.queue_behavior(RelayBehavior::WithholdsResponse);
     // If the move comes late the call is repeated at the old relay, which must not accept it then.
-    relay.plan_times(500, RelayBehavior::DoesNotAnswer);
+    relay.queue_behavior_times(500, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let lost = relay.next_call_with("eject");
     let (other, new) = (FakeEndpointList::start(&["b"]), FakeRelay::start());
-    new.proxy_joins(7);
+    new.join_proxy(7);
     control_plane.reload_config(&config(other.address, new.address).to_string());
     control_plane.wait_for_log("config reloaded");
     let mut first = new.next_call();
@@ -80,7 +80,7 @@
         repeated.retain(|command| command["op"] != "fence");
         assert_eq!(repeated, lost);
     }
-    relay.release_answer();
+    relay.release_response();
     assert_eq!(new.next_command("attach")["node"], 7);
     assert!(relay.try_next_call().is_none(), "nothing more goes to the old place");
 }
--- a/control-plane/tests/sockets/connections.rs
+++ b/control-plane/tests/sockets/connections.rs
@@ -117,7 +117,7 @@
 #[test]
 fn reports_of_failed_attempts_reduce_an_endpoints_weight() {
     let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     relay.next_command("attach");
     let mut stream = control_plane.connect_collector();
     for (id, errors) in [("a", 40), ("b", 0), ("c", 0), ("d", 0)] {
@@ -141,7 +141,7 @@
 #[test]
 fn reports_sent_before_a_collector_is_disconnected_are_read_to_the_end() {
     let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     relay.next_command("attach");
     let mut most_silent = control_plane.connect_collector();
     let _others: Vec<TcpStream> = (0..7).map(|_| control_plane.connect_collector()).collect();
@@ -199,12 +199,12 @@
     let mut config = config(list.address, relay.address);
     config["limits"] = json!({"sockets": 256, "memory_mb": 32});
     let control_plane = ControlPlane::start_with(&config);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     relay.next_command("attach");
     drain_during_a_call(&relay, &list);
     let _unidentified: Vec<TcpStream> = (0..300).map(|_| control_plane.connect()).collect();
     let mut collector = control_plane.connect_collector();
     assert_answers_health_check(&mut collector);
-    relay.release_answer();
+    relay.release_response();
     wait_for_ejection(&relay, "b");
 }
--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -83,7 +83,7 @@
 #[test]
 fn an_endpoint_whose_entry_in_the_whole_list_is_invalid_keeps_its_state() {
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     relay.next_command("attach");
     list.plan_answer(answer(
         9,
@@ -98,7 +98,7 @@
 #[test]
 fn while_an_entry_has_no_name_no_endpoint_counts_as_removed() {
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
-    relay.proxy_joins(7);
+    relay.join_proxy(7);
     relay.next_command("attach");
     let nameless = [json!({"health": "active"}), endpoint_entry("b", "leaving")];
     list.publish_with_answer(&[endpoint_entry("a", "active")], &[], answer(9, true, &nameless));
--- a/control-plane/tests/sockets/proxy_stream.rs
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -6,9 +6,9 @@
 #[test]
 fn a_proxy_missing_from_a_reopened_stream_has_left() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
-    relay.proxy_joins(8);
+    relay.join_proxy(8);
     relay.next_command("attach");
-    relay.reopens_stream_with_last_proxy();
+    relay.reopen_event_stream_with_last_proxy();
     control_plane.wait_for_log("proxy stream lost");
     // The proxy that is named may have left and joined again meanwhile, so its table is assigned again.
     assert_eq!(relay.next_command("attach")["node"], 8);
@@ -19,10 +19,10 @@
 #[test]
 fn a_silent_stream_is_kept_until_another_one_opens() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
-    relay.becomes_unreachable();
+    relay.silence_event_stream();
     control_plane.wait_for_log("proxy stream silent");
     control_plane.wait_for_log("proxy stream connect failed");
-    relay.proxy_joins(8);
+    relay.join_proxy(8);
     control_plane.wait_for_log("proxy stream recovered");
     assert_eq!(relay.next_command("attach")["node"], 8);
     control_plane.wait_for_status(r#""proxies":2,"#);
@@ -36,14 +36,15 @@
 fn a_proxy_with_an_unreadable_line_in_a_reopened_stream_has_not_left() {
     for invalid in [hello(8, json!("x")), json!({"type": "hello", "object": {"node": []}})] {
         let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
-        relay.proxy_joins(8);
+        relay.join_proxy(8);
         relay.next_command("attach");
-        relay.reopens_stream_with(&[hello(7, json!(20.5)), invalid]);
+        relay.reopen_event_stream_with(&[hello(7, json!(20.5)), invalid]);
         control_plane.wait_for_log("proxy stream connected");
         control_plane.wait_for_log("proxy stream event skipped");
-        // Its table is assigned again once the opening has been read to its end.
+        // Proxy 7 is assigned its table again once the lines that the stream begins with have been read.
+
         assert_eq!(relay.next_command("attach")["node"], 7);
-        relay.proxy_joins(9);
+        relay.join_proxy(9);
         control_plane.wait_for_status(r#""proxies":3,"#);
     }
 }
--- a/control-plane/tests/sockets/shutdown.rs
+++ b/control-plane/tests/sockets/shutdown.rs
@@ -18,7 +18,7 @@
 
 /// `a` drains, and the relay withholds its answer to the call that ejects it; then `b` drains, and the control loop knows.
 pub fn drain_during_a_call(relay: &FakeRelay, list: &FakeEndpointList) {
-    relay.plan(RelayBehavior::WithholdsAnswer);
+    relay.queue_behavior(RelayBehavior::WithholdsResponse);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     assert!(relay.next_call_with("eject").iter().any(|o| o["endpoint"] == "a"));
     list.wait_until_up_to_date();
@@ -32,7 +32,7 @@
     drain_during_a_call(&relay, &list);
     control_plane.signal(signal);
     assert_eq!(control_plane.wait_for_log("shutting down")["signal"], format!("SIG{signal}"));
-    relay.release_answer();
+    relay.release_response();
     wait_for_ejection(&relay, "b");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
@@ -56,7 +56,7 @@
 #[test]
 fn an_unanswered_call_is_repeated_once_before_exit() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::DoesNotAnswer);
+    relay.queue_behavior(RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
     control_plane.signal("TERM");
@@ -67,7 +67,7 @@
 #[test]
 fn a_silent_relay_does_not_prevent_exit() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
-    relay.plan_times(50, RelayBehavior::DoesNotAnswer);
+    relay.queue_behavior_times(50, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
     control_plane.signal("TERM");
@@ -100,7 +100,7 @@
     assert_eq!(control_plane.wait_for_log("shutting down")["signal"], "SIGTERM");
     let refused = || TcpStream::connect(control_plane.address).err();
     assert_eq!(wait_for("a closed address", refused).kind(), ErrorKind::ConnectionRefused);
-    relay.release_answer();
+    relay.release_response();
     // The process had not ended yet when it refused the connection.
     wait_for_ejection(&relay, "b");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
@@ -110,12 +110,12 @@
 #[test]
 fn a_restart_after_a_kill_ejects_what_only_its_outdated_config_lists() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
-    relay.plan(RelayBehavior::WithholdsAnswer);
+    relay.queue_behavior(RelayBehavior::WithholdsResponse);
     list.publish(&[endpoint_entry("b", "active")], &[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
     control_plane.child.kill().unwrap();
     control_plane.child.wait().unwrap();
-    relay.release_answer();
+    relay.release_response();
     let mut old = config(list.address, relay.address);
     old["known"]["hosts"] = json!([endpoint_entry("a", "active"), endpoint_entry("b", "active")]);
     let _restarted = ControlPlane::start_with(&old);
--- a/control-plane/tests/sockets/support/endpoint_list.rs
+++ b/control-plane/tests/sockets/support/endpoint_list.rs
@@ -193,6 +193,7 @@
     }
 
     /// Whether it leaves requests unanswered.
+
     pub fn set_silent(&self, silent: bool) {
         self.state().silent = silent;
     }
--- a/control-plane/tests/sockets/support/mod.rs
+++ b/control-plane/tests/sockets/support/mod.rs
@@ -47,7 +47,7 @@
     /// A control plane whose proxy 7 is put on a table of the endpoints `a` and `b`.
     pub fn start_with_proxy() -> Testbed {
         let testbed = Testbed::start(&["a", "b"]);
-        testbed.relay.proxy_joins(7);
+        testbed.relay.join_proxy(7);
         testbed.relay.next_command("attach");
         testbed
     }
--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -1,4 +1,4 @@
-//! A fake relay: takes batches of commands and has an event stream.
+//! A fake relay: accepts calls with commands and serves the event stream.
 
 use super::http::{
     enable_reset_on_close, send_chunk, send_fragmented_response, send_response, send_response_twice,
@@ -16,79 +16,84 @@
 use std::time::Duration;
 
 const STREAM_PATH: &str = "/v3/kv/stream";
+/// An empty object on the event stream is a heartbeat.
+const HEARTBEAT: &str = "{}\n";
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// The longest body of a call.
-const MAX_CALL_BYTES: usize = 60_000;
+/// The relay does not read longer request bodies.
+const MAX_BODY_BYTES: usize = 60_000;
 
-/// What the relay does with a call.
+/// How the relay handles a call.
 #[derive(Clone, Copy)]
 pub enum RelayBehavior {
+    /// Accepts all commands.
     Accepts,
-    /// Accepts all, and answers a few bytes at a time.
-    AnswersInPieces,
-    /// Accepts so many commands and declines the next.
+    /// Accepts all commands and sends the response a few bytes at a time.
+    FragmentsResponse,
+    /// Accepts this many commands and rejects the next.
     AcceptsOnly(usize),
-    /// Accepts all and closes the connection, as if it had been idle for too long.
+    /// Accepts all commands and then closes the connection, as if it had been idle for too long.
     AcceptsAndCloses,
-    /// Reads the call and closes the connection.
+    /// Reads the call and closes the connection without a response.
     ClosesConnection,
-    /// Reads the call and never answers.
-    DoesNotAnswer,
-    /// Reads the call and answers after `release_answer`.
-    WithholdsAnswer,
-    /// Reads the call and resets the connection.
+    /// Reads the call and never responds.
+    DoesNotRespond,
+    /// Accepts all commands but sends the response only after `release_response`.
+    WithholdsResponse,
+    /// Reads the call and resets the connection without a response.
     ResetsConnection,
-    /// Accepts all; the answer ends after so many bytes.
-    TruncatesAnswer(usize),
-    /// Accepts all and answers twice.
-    AnswersTwice,
-    /// Says that it accepted more commands than it was sent.
-    AcceptsTooMany,
-    /// Answers something that is not HTTP.
-    AnswersGarbage,
-    /// Answers something that is not JSON.
-    AnswersInvalidJson,
+    /// Accepts all commands and sends only this many bytes of the response.
+    TruncatesResponse(usize),
+    /// Accepts all commands and sends the response twice.
+    RespondsTwice,
+    /// Responds that it accepted one command more than it was sent.
+    OverstatesAcceptedCount,
+    /// Sends a response that is not HTTP.
+    SendsInvalidHttp,
+    /// Sends a response whose body is not valid JSON.
+    SendsInvalidJson,
+    /// Responds that it is throttling calls.
     Throttles,
-    /// Says that the call is invalid.
+    /// Responds that the call is invalid.
     RejectsAsInvalid,
 }
 
-/// The relay; a clone is the same relay.
+/// A handle to the fake relay. Clones share the same relay.
 #[derive(Clone)]
 pub struct FakeRelay {
     pub address: SocketAddr,
+    /// The commands of each call, in the order of arrival.
     calls: Arc<Mutex<Receiver<Vec<Value>>>>,
     shared: Arc<Shared>,
 }
 
-/// What the server's threads share with the test.
+/// State that the server's threads share with the test.
 #[derive(Default)]
 struct Shared {
-    /// What is done with the next calls; those after them are accepted.
-    planned: Mutex<VecDeque<RelayBehavior>>,
-    stream: Mutex<EventStream>,
-    unreachable: AtomicBool,
-    /// Withheld answers that may be given.
-    released: Mutex<usize>,
-    release: Condvar,
-    /// Connections that are left without an answer.
-    unanswered: Mutex<Vec<TcpStream>>,
+    /// How the next calls are handled. Calls after these are accepted.
+    queued_behaviors: Mutex<VecDeque<RelayBehavior>>,
+    event_stream: Mutex<EventStream>,
+    event_stream_silent: AtomicBool,
+    /// The number of withheld responses that may be sent.
+    released_responses: Mutex<usize>,
+    response_released: Condvar,
+    /// Connections that are kept open without a response.
+    unanswered_connections: Mutex<Vec<TcpStream>>,
 }
 
 #[derive(Default)]
 struct EventStream {
-    /// The lines that a new connection begins with.
-    opening: Vec<String>,
+    /// The lines that a new connection begins with, before its first heartbeat.
+    snapshot_lines: Vec<String>,
     connections: Vec<TcpStream>,
 }
 
 impl EventStream {
     fn open(&mut self, stream: &mut TcpStream) {
         let _ = write!(stream, "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-        for line in &self.opening {
+        for line in &self.snapshot_lines {
             send_chunk(stream, &format!("{line}\n"));
         }
-        send_chunk(stream, "{}\n");
+        send_chunk(stream, HEARTBEAT);
         self.connections.push(stream.try_clone().unwrap());
     }
 
@@ -109,16 +114,16 @@
         if !request.request_line.starts_with(&format!("GET {STREAM_PATH}")) {
             return self.serve_call(calls, &request.body, stream);
         }
-        if self.unreachable.load(Ordering::SeqCst) {
-            self.leave_unanswered(stream);
+        if self.event_stream_silent.load(Ordering::SeqCst) {
+            self.hold_unanswered(stream);
         } else {
-            self.stream.lock().unwrap().open(stream);
+            self.event_stream.lock().unwrap().open(stream);
         }
         ConnectionAction::StopReading
     }
 
-    fn leave_unanswered(&self, stream: &TcpStream) {
-        self.unanswered.lock().unwrap().push(stream.try_clone().unwrap());
+    fn hold_unanswered(&self, stream: &TcpStream) {
+        self.unanswered_connections.lock().unwrap().push(stream.try_clone().unwrap());
     }
 
     fn serve_call(
@@ -127,17 +132,17 @@
         body: &[u8],
         stream: &mut TcpStream,
     ) -> ConnectionAction {
-        assert!(body.len() <= MAX_CALL_BYTES, "a call of {} bytes", body.len());
+        assert!(body.len() <= MAX_BODY_BYTES, "request body of {} bytes, limit {MAX_BODY_BYTES}", body.len());
         let value: Value = serde_json::from_slice(body).unwrap();
         let commands = value["changes"].as_array().unwrap().clone();
         let count = commands.len();
-        let planned = self.planned.lock().unwrap().pop_front();
-        let behavior = planned.unwrap_or(RelayBehavior::Accepts);
+        let queued = self.queued_behaviors.lock().unwrap().pop_front();
+        let behavior = queued.unwrap_or(RelayBehavior::Accepts);
         let _ = calls.send(commands);
-        self.answer(behavior, count, stream)
+        self.respond(behavior, count, stream)
     }
 
-    fn answer(&self, behavior: RelayBehavior, count: usize, stream: &mut TcpStream) -> ConnectionAction {
+    fn respond(&self, behavior: RelayBehavior, count: usize, stream: &mut TcpStream) -> ConnectionAction {
         let accepted = json!({"taken": count}).to_string();
         match behavior {
             RelayBehavior::Accepts => send_response(stream, "200 OK", &accepted),
@@ -145,12 +150,12 @@
                 send_response(stream, "200 OK", &accepted);
                 let _ = stream.shutdown(Shutdown::Both);
             }
-            RelayBehavior::AnswersInPieces => send_fragmented_response(stream, &accepted),
+            RelayBehavior::FragmentsResponse => send_fragmented_response(stream, &accepted),
             RelayBehavior::AcceptsOnly(count) => {
                 send_response(stream, "200 OK", &json!({"taken": count}).to_string());
             }
             RelayBehavior::ClosesConnection => _ = stream.shutdown(Shutdown::Both),
-            RelayBehavior::WithholdsAnswer => {
+            RelayBehavior::WithholdsResponse => {
                 self.wait_for_release();
                 send_response(stream, "200 OK", &accepted);
             }
@@ -158,14 +163,14 @@
                 enable_reset_on_close(stream);
                 return ConnectionAction::StopReading;
             }
-            RelayBehavior::TruncatesAnswer(bytes) => send_truncated_response(stream, &accepted, bytes),
-            RelayBehavior::AnswersTwice => send_response_twice(stream, &accepted),
-            RelayBehavior::AcceptsTooMany => {
+            RelayBehavior::TruncatesResponse(bytes) => send_truncated_response(stream, &accepted, bytes),
+            RelayBehavior::RespondsTwice => send_response_twice(stream, &accepted),
+            RelayBehavior::OverstatesAcceptedCount => {
                 send_response(stream, "200 OK", &json!({"taken": count + 1}).to_string());
             }
-            RelayBehavior::AnswersGarbage => _ = stream.write_all(b"\0\xff no answer at all\r\n\r\n"),
-            RelayBehavior::DoesNotAnswer => self.leave_unanswered(stream),
-            RelayBehavior::AnswersInvalidJson => send_response(stream, "200 OK", "{\"tak"),
+            RelayBehavior::SendsInvalidHttp => _ = stream.write_all(b"\0\xff no answer at all\r\n\r\n"),
+            RelayBehavior::DoesNotRespond => self.hold_unanswered(stream),
+            RelayBehavior::SendsInvalidJson => send_response(stream, "200 OK", "{\"tak"),
             RelayBehavior::RejectsAsInvalid => {
                 send_response(stream, "400 Bad Request", r#"{"error":"invalid"}"#);
             }
@@ -177,17 +182,17 @@
     }
 
     fn wait_for_release(&self) {
-        let released = self.released.lock().unwrap();
-        let waited = self.release.wait_timeout_while(released, TIMEOUT, |released| *released == 0);
+        let released = self.released_responses.lock().unwrap();
+        let waited = self.response_released.wait_timeout_while(released, TIMEOUT, |released| *released == 0);
         *waited.unwrap().0 -= 1;
     }
 
     fn send_heartbeats(&self) {
         loop {
             sleep(HEARTBEAT_INTERVAL);
-            if !self.unreachable.load(Ordering::SeqCst) {
-                let mut stream = self.stream.lock().unwrap();
-                stream.connections.retain_mut(|connection| send_chunk(connection, "{}\n"));
+            if !self.event_stream_silent.load(Ordering::SeqCst) {
+                let mut stream = self.event_stream.lock().unwrap();
+                stream.connections.retain_mut(|connection| send_chunk(connection, HEARTBEAT));
             }
         }
     }
@@ -204,72 +209,75 @@
         FakeRelay { address, calls: Arc::new(Mutex::new(calls)), shared }
     }
 
-    /// Gives one answer that is withheld.
-    pub fn release_answer(&self) {
-        *self.shared.released.lock().unwrap() += 1;
-        self.shared.release.notify_one();
+    /// Releases one withheld response.
+    pub fn release_response(&self) {
+        *self.shared.released_responses.lock().unwrap() += 1;
+        self.shared.response_released.notify_one();
     }
 
-    /// From now on it sends no heartbeats and answers no request for the event stream.
-    pub fn becomes_unreachable(&self) {
-        self.shared.unreachable.store(true, Ordering::SeqCst);
+    /// Stops the heartbeats and leaves new requests for the event stream unanswered.
+    pub fn silence_event_stream(&self) {
+        self.shared.event_stream_silent.store(true, Ordering::SeqCst);
     }
 
-    /// Plans what is done with one more of the next calls.
-    pub fn plan(&self, behavior: RelayBehavior) {
-        self.shared.planned.lock().unwrap().push_back(behavior);
+    /// Queues the handling of one of the next calls.
+    pub fn queue_behavior(&self, behavior: RelayBehavior) {
+        self.shared.queued_behaviors.lock().unwrap().push_back(behavior);
     }
 
-    /// Plans the same for so many calls.
-    pub fn plan_times(&self, times: usize, behavior: RelayBehavior) {
+    /// Queues the same handling for `times` calls.
+    pub fn queue_behavior_times(&self, times: usize, behavior: RelayBehavior) {
         for _ in 0..times {
-            self.plan(behavior);
+            self.queue_behavior(behavior);
         }
     }
 
-    pub fn proxy_joins(&self, proxy: u32) {
+    /// Announces on the event stream that a proxy has joined.
+    pub fn join_proxy(&self, proxy: u32) {
         let line = json!({"type": "hello", "object":
             {"node": proxy, "locality": "north", "w": 20.5, "cold": true}})
         .to_string();
-        let mut stream = self.shared.stream.lock().unwrap();
+        let mut stream = self.shared.event_stream.lock().unwrap();
         for connection in &mut stream.connections {
             send_chunk(connection, &format!("{line}\n"));
         }
-        stream.opening.push(line);
+        stream.snapshot_lines.push(line);
     }
 
-    /// Closes the event stream; a new one opens with these lines.
-    pub fn reopens_stream_with(&self, lines: &[Value]) {
-        let mut stream = self.shared.stream.lock().unwrap();
-        stream.opening = lines.iter().map(Value::to_string).collect();
+    /// Closes the event stream. New connections to it begin with these lines.
+    pub fn reopen_event_stream_with(&self, lines: &[Value]) {
+        let mut stream = self.shared.event_stream.lock().unwrap();
+        stream.snapshot_lines = lines.iter().map(Value::to_string).collect();
         stream.close_connections();
     }
 
-    /// Closes the event stream; a new one names only the last proxy that joined.
-    pub fn reopens_stream_with_last_proxy(&self) {
-        let mut stream = self.shared.stream.lock().unwrap();
-        let last = stream.opening.pop();
-        stream.opening = last.into_iter().collect();
+    /// Closes the event stream. New connections to it list only the proxy that joined last.
+    pub fn reopen_event_stream_with_last_proxy(&self) {
+        let mut stream = self.shared.event_stream.lock().unwrap();
+        let last = stream.snapshot_lines.pop();
+        stream.snapshot_lines = last.into_iter().collect();
         stream.close_connections();
     }
 
-    /// The next call, if it has come.
+    /// Returns the commands of the next call if it has arrived.
     pub fn try_next_call(&self) -> Option<Vec<Value>> {
         self.calls.lock().unwrap().try_recv().ok()
     }
 
-    /// The commands of the next call.
+    /// Waits for the next call and returns its commands.
     pub fn next_call(&self) -> Vec<Value> {
-        self.calls.lock().unwrap().recv_timeout(TIMEOUT).expect("a call to the relay")
+        self.calls.lock().unwrap().recv_timeout(TIMEOUT).expect("no call to the relay")
     }
 
-    /// The next call with a command of that kind; calls before it are skipped.
+    /// Waits for a call with a command of this kind and returns all its commands. Calls before it are
+    /// skipped.
     pub fn next_call_with(&self, op: &str) -> Vec<Value> {
         let has_command = |call: &Vec<Value>| call.iter().any(|command| command["op"] == op);
-        wait_for(op, || Some(self.next_call()).filter(has_command))
+        wait_for(&format!("command '{op}'"), || Some(self.next_call()).filter(has_command))
     }
 
-    /// The next command of that kind.
+    /// Waits for a command of this kind and returns it. Commands of calls before it are skipped.
+
     pub fn next_command(&self, op: &str) -> Value {
         let call = self.next_call_with(op);
         call.into_iter().find(|command| command["op"] == op).unwrap()
