--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Answers of the endpoint list that are invalid, truncated, outdated or doubled: an invalid entry is left out alone and
 //! its endpoint keeps its last state, and an endpoint that is known to drain is ejected.
 
-use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListAnswer, Testbed};
+use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListResponse, Testbed};
 use serde_json::{json, Value};
 
 #[test]
@@ -26,8 +26,8 @@
     entry
 }
 
-fn answer(version: u64, whole: bool, hosts: &[Value]) -> ListAnswer {
-    ListAnswer::Body(json!({"seq": version, "whole": whole, "hosts": hosts}).to_string())
+fn answer(version: u64, whole: bool, hosts: &[Value]) -> ListResponse {
+    ListResponse::Body(json!({"seq": version, "whole": whole, "hosts": hosts}).to_string())
 }
 
 fn wait_for_listed(control_plane: &ControlPlane, endpoints: usize) {
@@ -85,7 +85,7 @@
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
     relay.join_proxy(7);
     relay.next_command("attach");
-    list.plan_answer(answer(
+    list.queue_response(answer(
         9,
         true,
         &[invalid_entry("a", "active", "share", json!(-1)), endpoint_entry("b", "active")],
@@ -101,7 +101,7 @@
     relay.join_proxy(7);
     relay.next_command("attach");
     let nameless = [json!({"health": "active"}), endpoint_entry("b", "leaving")];
-    list.publish_with_answer(&[endpoint_entry("a", "active")], &[], answer(9, true, &nameless));
+    list.publish_with_response(&[endpoint_entry("a", "active")], &[], answer(9, true, &nameless));
     assert_next_ejected(&relay, "b");
     // The whole list is read again: now it is certain that `c` is removed and `a` is not.
     assert_next_ejected(&relay, "c");
@@ -117,7 +117,7 @@
     );
     assert_next_ejected(&relay, "b");
     list.wait_until_up_to_date();
-    list.publish_with_answer(
+    list.publish_with_response(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "leaving")],
         &[],
         answer(1, false, &[endpoint_entry("b", "active")]),
@@ -137,7 +137,7 @@
         list.publish_changes(&[]);
     }
     list.wait_until_up_to_date();
-    list.restarts_at(1, rejects_newer_versions);
+    list.restart_at_version(1, rejects_newer_versions);
     list.publish(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
         &[endpoint_entry("a", "leaving")],
@@ -155,9 +155,9 @@
     assert_restarted_list_is_followed(true);
 }
 
-fn assert_change_arrives_despite(answer: ListAnswer) {
+fn assert_change_arrives_despite(answer: ListResponse) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    list.publish_with_answer(
+    list.publish_with_response(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
         &[endpoint_entry("a", "leaving")],
         answer,
@@ -171,35 +171,35 @@
 
 #[test]
 fn a_change_arrives_when_its_answer_is_truncated_in_the_status() {
-    assert_change_arrives_despite(ListAnswer::Truncated(12));
+    assert_change_arrives_despite(ListResponse::Truncated(12));
 }
 
 #[test]
 fn a_change_arrives_when_its_answer_is_truncated_after_the_head() {
-    assert_change_arrives_despite(ListAnswer::Truncated(60));
+    assert_change_arrives_despite(ListResponse::Truncated(60));
 }
 
 #[test]
 fn a_change_arrives_when_its_answer_lacks_the_last_byte() {
-    assert_change_arrives_despite(ListAnswer::Truncated(usize::MAX));
+    assert_change_arrives_despite(ListResponse::Truncated(usize::MAX));
 }
 
 #[test]
 fn a_change_arrives_when_the_poll_is_reset() {
-    assert_change_arrives_despite(ListAnswer::ConnectionReset);
+    assert_change_arrives_despite(ListResponse::ConnectionReset);
 }
 
 #[test]
 fn a_change_arrives_when_its_answer_is_not_json() {
-    assert_change_arrives_despite(ListAnswer::Body("{\"seq\":".into()));
+    assert_change_arrives_despite(ListResponse::Body("{\"seq\":".into()));
 }
 
 #[test]
 fn a_change_arrives_when_its_answer_is_of_another_type() {
-    assert_change_arrives_despite(ListAnswer::Body("[[]]".into()));
+    assert_change_arrives_despite(ListResponse::Body("[[]]".into()));
 }
 
 #[test]
 fn a_change_arrives_when_it_is_answered_twice() {
-    assert_change_arrives_despite(ListAnswer::Twice);
+    assert_change_arrives_despite(ListResponse::SentTwice);
 }
--- a/control-plane/tests/sockets/proxy_stream.rs
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -42,7 +42,6 @@
         control_plane.wait_for_log("proxy stream connected");
         control_plane.wait_for_log("proxy stream event skipped");
         // Proxy 7 is assigned its table again once the lines that the stream begins with have been read.
-
         assert_eq!(relay.next_command("attach")["node"], 7);
         relay.join_proxy(9);
         control_plane.wait_for_status(r#""proxies":3,"#);
--- a/control-plane/tests/sockets/support/endpoint_list.rs
+++ b/control-plane/tests/sockets/support/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! A fake endpoint list: answers reads of the whole list and polls for changes.
+//! A fake endpoint list: responds to reads of the whole list and to polls for changes.
 
 use super::http::{
     enable_reset_on_close, send_fragmented_response, send_response, send_response_twice,
@@ -12,28 +12,28 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What is sent in place of the next answer.
-pub enum ListAnswer {
-    /// This body.
+/// What is sent instead of the regular response.
+pub enum ListResponse {
+    /// A response with this body.
     Body(String),
-    /// The first bytes of the answer.
+    /// Only this many bytes of the regular response; the connection is then closed.
     Truncated(usize),
-    /// Nothing; the connection is reset.
+    /// No response; the connection is reset.
     ConnectionReset,
-    /// The answer, twice.
-    Twice,
+    /// The regular response, twice.
+    SentTwice,
 }
 
-/// The list; a clone is the same list.
+/// A handle to the fake list. Clones share the same list.
 #[derive(Clone)]
 pub struct FakeEndpointList {
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    /// The first lines of the requests.
-    requests: Arc<Mutex<Receiver<String>>>,
+    /// The request line of each request, in the order of arrival.
+    request_lines: Arc<Mutex<Receiver<String>>>,
 }
 
-/// What the server's threads share with the test.
+/// State that the server's threads share with the test.
 #[derive(Default)]
 struct Shared {
     state: Mutex<ListState>,
@@ -43,33 +43,37 @@
 #[derive(Default)]
 struct ListState {
     version: u64,
-    /// What a read of the whole list answers.
+    /// The entries in the response to a read of the whole list.
     entries: Vec<Value>,
-    /// What a poll answers once.
+    /// The changes of the current version. A poll since any older version is sent only these.
     changes: Vec<Value>,
+    /// Whether requests are left without a response.
     silent: bool,
-    /// Polls for changes since a version that is newer than its own are rejected.
+    /// Whether polls for changes since a version newer than the current one are rejected.
     rejects_newer_versions: bool,
-    planned: VecDeque<ListAnswer>,
+    /// Sent instead of the next regular responses.
+    queued_responses: VecDeque<ListResponse>,
 }
 
-/// An entry of the list in zone `north`.
+/// Builds a list entry for an endpoint in zone `north`.
 pub fn endpoint_entry(id: &str, health: &str) -> Value {
     json!({"host": id, "dial": "127.0.0.1:9", "site": "north", "class": "m2", "block": 3,
         "health": health, "share": 1.0, "born_ms": 0})
 }
 
-/// The parameters of a poll.
-struct Poll {
+/// The query parameters of a request for the list.
+struct PollParameters {
+    /// The version to report changes since; `None` requests the whole list.
     since: Option<u64>,
-    wait: Duration,
+    /// How long a poll may wait for a change.
+    timeout: Duration,
 }
 
-impl Poll {
-    fn of_request(request_line: &str) -> Poll {
-        Poll {
+impl PollParameters {
+    fn from_request_line(request_line: &str) -> PollParameters {
+        PollParameters {
             since: query_parameter(request_line, "since="),
-            wait: Duration::from_millis(query_parameter(request_line, "timeout_ms=").unwrap_or(0)),
+            timeout: Duration::from_millis(query_parameter(request_line, "timeout_ms=").unwrap_or(0)),
         }
     }
 }
@@ -81,12 +85,12 @@
 
 impl Shared {
     fn serve(&self, request_line: &str, stream: &mut TcpStream) -> ConnectionAction {
-        let poll = Poll::of_request(request_line);
+        let poll = PollParameters::from_request_line(request_line);
         let mut state = self.state.lock().unwrap();
         let body = match poll.since {
             None => json!({"seq": state.version, "whole": true, "hosts": state.entries}),
             Some(since) => {
-                state = self.wait_for_change(state, since, poll.wait);
+                state = self.wait_for_change(state, since, poll.timeout);
                 let changes = if state.version > since { state.changes.clone() } else { vec![] };
                 json!({"seq": state.version, "whole": false, "hosts": changes})
             }
@@ -98,7 +102,7 @@
             send_response(stream, "410 Gone", "{}");
             return ConnectionAction::ReadNextRequest;
         }
-        answer(state.planned.pop_front(), &body.to_string(), stream)
+        respond(state.queued_responses.pop_front(), &body.to_string(), stream)
     }
 
     fn wait_for_change<'a>(
@@ -107,19 +111,21 @@
         since: u64,
         timeout: Duration,
     ) -> MutexGuard<'a, ListState> {
-        let unchanged =
-            |state: &mut ListState| state.silent || state.version <= since && state.planned.is_empty();
+        let unchanged = |state: &mut ListState| {
+            state.silent || state.version <= since && state.queued_responses.is_empty()
+        };
         self.changed.wait_timeout_while(state, timeout, unchanged).unwrap().0
     }
 }
 
-fn answer(planned: Option<ListAnswer>, body: &str, stream: &mut TcpStream) -> ConnectionAction {
-    match planned {
+/// Sends the queued response, or the regular one with `body` if none is queued.
+fn respond(queued: Option<ListResponse>, body: &str, stream: &mut TcpStream) -> ConnectionAction {
+    match queued {
         None => send_fragmented_response(stream, body),
-        Some(ListAnswer::Body(body)) => send_response(stream, "200 OK", &body),
-        Some(ListAnswer::Truncated(bytes)) => send_truncated_response(stream, body, bytes),
-        Some(ListAnswer::Twice) => send_response_twice(stream, body),
-        Some(ListAnswer::ConnectionReset) => {
+        Some(ListResponse::Body(body)) => send_response(stream, "200 OK", &body),
+        Some(ListResponse::Truncated(bytes)) => send_truncated_response(stream, body, bytes),
+        Some(ListResponse::SentTwice) => send_response_twice(stream, body),
+        Some(ListResponse::ConnectionReset) => {
             enable_reset_on_close(stream);
             return ConnectionAction::StopReading;
         }
@@ -128,25 +134,25 @@
 }
 
 impl FakeEndpointList {
-    /// A list of these active endpoints.
+    /// Starts a list of these endpoints, all active.
     pub fn start(endpoints: &[&str]) -> FakeEndpointList {
         let entries = endpoints.iter().map(|id| endpoint_entry(id, "active")).collect();
         let state = ListState { version: 1, entries, ..ListState::default() };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
-        let (sender, requests) = channel();
+        let (sender, request_lines) = channel();
         let server = shared.clone();
         let address = spawn_http_server(move |request, stream| {
             let _ = sender.send(request.request_line.clone());
             server.serve(&request.request_line, stream)
         });
-        FakeEndpointList { address, shared, requests: Arc::new(Mutex::new(requests)) }
+        FakeEndpointList { address, shared, request_lines: Arc::new(Mutex::new(request_lines)) }
     }
 
     fn state(&self) -> MutexGuard<'_, ListState> {
         self.shared.state.lock().unwrap()
     }
 
-    /// Publishes a change; reads of the whole list answer as before.
+    /// Publishes changes as a new version, but leaves the response to a read of the whole list as it was.
     pub fn publish_changes(&self, changes: &[Value]) {
         let mut state = self.state();
         state.version += 1;
@@ -160,49 +166,49 @@
         self.publish_changes(changes);
     }
 
-    /// The same, and what is sent in place of the answer that tells of it.
-    pub fn publish_with_answer(&self, entries: &[Value], changes: &[Value], answer: ListAnswer) {
+    /// Like `publish`, but the next request is sent `response` instead of the published state.
+    pub fn publish_with_response(&self, entries: &[Value], changes: &[Value], response: ListResponse) {
         let mut state = self.state();
-        state.planned.push_back(answer);
+        state.queued_responses.push_back(response);
         state.entries = entries.to_vec();
         state.version += 1;
         state.changes = changes.to_vec();
         self.shared.changed.notify_all();
     }
 
-    /// Plans what is sent in place of the next answer. A poll that waits is answered at once.
-    pub fn plan_answer(&self, answer: ListAnswer) {
-        self.state().planned.push_back(answer);
+    /// Queues a response to be sent instead of the next regular one. A poll that is waiting gets it at once.
+    pub fn queue_response(&self, response: ListResponse) {
+        self.state().queued_responses.push_back(response);
         self.shared.changed.notify_all();
     }
 
-    /// It has lost its state and counts versions from there.
-    pub fn restarts_at(&self, version: u64, rejects_newer_versions: bool) {
+    /// Simulates a restart that lost the list's state: versions continue from `version`.
+    pub fn restart_at_version(&self, version: u64, rejects_newer_versions: bool) {
         let mut state = self.state();
         state.version = version;
         state.rejects_newer_versions = rejects_newer_versions;
     }
 
-    /// Waits for a poll for changes since the present version: everything else has reached the control loop then.
+    /// Waits until the control plane polls for changes since the current version. By then all earlier changes
+    /// have reached the control loop.
     pub fn wait_until_up_to_date(&self) {
         let since = format!("since={}&", self.state().version);
-        wait_for("a poll since the present version", || {
-            let request = self.requests.lock().unwrap().recv_timeout(TIMEOUT);
-            request.expect("a request to the list").contains(&since).then_some(())
+        wait_for("a poll since the current version", || {
+            let request_line = self.request_lines.lock().unwrap().recv_timeout(TIMEOUT);
+            request_line.expect("no request to the endpoint list").contains(&since).then_some(())
         });
     }
 
-    /// Whether it leaves requests unanswered.
-
+    /// Sets whether requests are left without a response.
     pub fn set_silent(&self, silent: bool) {
         self.state().silent = silent;
     }
 
-    /// Waits for so many requests.
+    /// Waits for this many requests.
     pub fn wait_for_requests(&self, count: usize) {
-        let requests = self.requests.lock().unwrap();
+        let request_lines = self.request_lines.lock().unwrap();
         for _ in 0..count {
-            requests.recv_timeout(TIMEOUT).expect("a request to the list");
+            request_lines.recv_timeout(TIMEOUT).expect("no request to the endpoint list");
         }
     }
 }
--- a/control-plane/tests/sockets/support/http.rs
+++ b/control-plane/tests/sockets/support/http.rs
@@ -108,7 +108,6 @@
 }
 
 /// Sends one chunk of a chunked body. Returns false if it could not be written.
-
 pub fn send_chunk(stream: &mut TcpStream, text: &str) -> bool {
     write!(stream, "{:x}\r\n{text}\r\n", text.len()).is_ok()
 }
--- a/control-plane/tests/sockets/support/mod.rs
+++ b/control-plane/tests/sockets/support/mod.rs
@@ -7,7 +7,7 @@
 mod relay;
 
 pub use control_plane::{config, frame, program, read_frame, ConfigFile, ControlPlane};
-pub use endpoint_list::{endpoint_entry, FakeEndpointList, ListAnswer};
+pub use endpoint_list::{endpoint_entry, FakeEndpointList, ListResponse};
 pub use relay::{FakeRelay, RelayBehavior};
 
 use std::time::{Duration, Instant};
--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -277,7 +277,6 @@
     }
 
     /// Waits for a command of this kind and returns it. Commands of calls before it are skipped.
-
     pub fn next_command(&self, op: &str) -> Value {
         let call = self.next_call_with(op);
         call.into_iter().find(|command| command["op"] == op).unwrap()
