--- a/control-plane/tests/sockets/config.rs
+++ b/control-plane/tests/sockets/config.rs
@@ -1,24 +1,25 @@
 //! The configuration at the start: `check` and the faults that it names.
 
-use crate::support::{config, program, ConfigFile};
+use crate::support::{config_with_peers, program_command, ConfigFile};
 use serde_json::{json, Value};
 
 #[test]
 fn a_start_after_the_endpoint_list_has_moved_uses_the_configs_address() {
-    let file = ConfigFile::with(&valid_config().to_string());
-    let check = program().arg("check").arg(&file.path).env("GW_DISCOVERY", "127.0.0.1:3").status().unwrap();
+    let file = ConfigFile::create(&valid_config().to_string());
+    let check =
+        program_command().arg("check").arg(&file.path).env("GW_DISCOVERY", "127.0.0.1:3").status().unwrap();
     assert!(check.success());
 }
 
 /// Exit code and standard error of `check` on this file.
 fn check(text: &str) -> (Option<i32>, String) {
-    let file = ConfigFile::with(text);
-    let out = program().arg("check").arg(&file.path).output().unwrap();
+    let file = ConfigFile::create(text);
+    let out = program_command().arg("check").arg(&file.path).output().unwrap();
     (out.status.code(), String::from_utf8(out.stderr).unwrap())
 }
 
 pub fn valid_config() -> Value {
-    config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into())
+    config_with_peers(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into())
 }
 
 #[test]
@@ -57,15 +58,16 @@
 
 #[test]
 fn a_config_that_contradicts_the_environment_is_rejected() {
-    let file = ConfigFile::with(&valid_config().to_string());
-    let out = program().arg("serve").env("GW_CONFIG", &file.path).env("GW_NAME", "n9").output().unwrap();
+    let file = ConfigFile::create(&valid_config().to_string());
+    let out =
+        program_command().arg("serve").env("GW_CONFIG", &file.path).env("GW_NAME", "n9").output().unwrap();
     let said = String::from_utf8(out.stderr).unwrap();
     assert_eq!((out.status.code(), said.contains("'name' is 'n1' but GW_NAME says 'n9'")), (Some(2), true));
 }
 
 #[test]
 fn a_missing_or_unreadable_config_is_one_plain_line() {
-    let out = program().arg("serve").output().unwrap();
+    let out = program_command().arg("serve").output().unwrap();
     assert_eq!((out.status.code(), out.stderr), (Some(2), b"otterwinch: GW_CONFIG names no file\n".to_vec()));
     assert_eq!(check("{\"name\":").1.lines().count(), 1);
 }
--- a/control-plane/tests/sockets/config_reload.rs
+++ b/control-plane/tests/sockets/config_reload.rs
@@ -2,7 +2,8 @@
 
 use crate::connections::assert_answers_health_check;
 use crate::support::{
-    config, endpoint_entry, wait_for, ControlPlane, FakeEndpointList, FakeRelay, RelayBehavior, Testbed,
+    config_with_peers, endpoint_entry, wait_for, ControlPlane, FakeEndpointList, FakeRelay, RelayBehavior,
+    Testbed,
 };
 use serde_json::json;
 
@@ -10,7 +11,7 @@
 fn move_peers(control_plane: &ControlPlane, endpoints: &[&str], proxy: u32) -> (FakeEndpointList, FakeRelay) {
     let (list, relay) = (FakeEndpointList::start(endpoints), FakeRelay::start());
     relay.join_proxy(proxy);
-    control_plane.reload_config(&config(list.address, relay.address).to_string());
+    control_plane.reload_config(&config_with_peers(list.address, relay.address).to_string());
     control_plane.wait_for_log("config reloaded");
     (list, relay)
 }
@@ -48,7 +49,7 @@
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     control_plane.reload_config("{\"name\":");
     control_plane.wait_for_log("config rejected, keeping the current one");
-    let mut other = config(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
+    let mut other = config_with_peers(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
     other["settings"]["zones"] = json!(["elsewhere"]);
     other["name"] = "n2".into();
     control_plane.reload_config(&other.to_string());
@@ -71,7 +72,7 @@
     let lost = relay.next_call_with("eject");
     let (other, new) = (FakeEndpointList::start(&["b"]), FakeRelay::start());
     new.join_proxy(7);
-    control_plane.reload_config(&config(other.address, new.address).to_string());
+    control_plane.reload_config(&config_with_peers(other.address, new.address).to_string());
     control_plane.wait_for_log("config reloaded");
     let mut first = new.next_call();
     first.retain(|command| command["op"] != "fence");
--- a/control-plane/tests/sockets/connections.rs
+++ b/control-plane/tests/sockets/connections.rs
@@ -2,14 +2,14 @@
 
 use crate::shutdown::{drain_during_a_call, wait_for_ejection};
 use crate::support::{
-    config, frame, read_frame, wait_for, ControlPlane, FakeEndpointList, FakeRelay, Testbed,
+    config_with_peers, encode_frame, read_frame, wait_for, ControlPlane, FakeEndpointList, FakeRelay, Testbed,
 };
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{Shutdown, TcpStream};
 
 pub fn assert_answers_health_check(stream: &mut TcpStream) {
-    stream.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
+    stream.write_all(&encode_frame(r#"{"msg":"probe"}"#)).unwrap();
     assert_eq!(read_frame(stream).unwrap(), r#"{"msg":"alive"}"#);
 }
 
@@ -17,7 +17,7 @@
 fn health_checks_in_pieces_and_two_at_once_are_answered() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.connect();
-    let probe = frame(r#"{"msg":"probe"}"#);
+    let probe = encode_frame(r#"{"msg":"probe"}"#);
     for byte in &probe[..7] {
         stream.write_all(&[*byte]).unwrap();
         stream.flush().unwrap();
@@ -43,13 +43,13 @@
     let report = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
     for sent in [
         &[] as &[u8],
-        &frame(r#"{"msg":"agent","locality":"north"}"#)[..9],
-        &frame(r#"{"msg":"agent","locality":"nowhere"}"#),
-        &frame(r#"{"msg":"hello","node":1,"locality":"north","w":1.0,"cold":true}"#),
-        &frame(r#"{"msg":"put","table":1,"endpoint":"a","w":1.0}"#),
-        &frame(report),
-        &frame("{\"msg\":"),
-        &frame("[]"),
+        &encode_frame(r#"{"msg":"agent","locality":"north"}"#)[..9],
+        &encode_frame(r#"{"msg":"agent","locality":"nowhere"}"#),
+        &encode_frame(r#"{"msg":"hello","node":1,"locality":"north","w":1.0,"cold":true}"#),
+        &encode_frame(r#"{"msg":"put","table":1,"endpoint":"a","w":1.0}"#),
+        &encode_frame(report),
+        &encode_frame("{\"msg\":"),
+        &encode_frame("[]"),
         &[0, 16, 0, 1],
         &[0, 15, 255, 255, b'{'],
         &[255; 64],
@@ -68,7 +68,7 @@
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.connect();
     wait_for("the end of who only asks", || {
-        let asked = stream.write_all(&frame(r#"{"msg":"probe"}"#));
+        let asked = stream.write_all(&encode_frame(r#"{"msg":"probe"}"#));
         asked.and_then(|()| read_frame(&mut stream)).err()
     });
 }
@@ -76,7 +76,7 @@
 #[test]
 fn hundreds_of_silent_connections_do_not_keep_collectors_out() {
     let (list, relay) = (FakeEndpointList::start(&["a"]), FakeRelay::start());
-    let mut config = config(list.address, relay.address);
+    let mut config = config_with_peers(list.address, relay.address);
     config["limits"] = json!({"sockets": 256, "memory_mb": 32});
     let control_plane = ControlPlane::start_with(&config);
     let mut first = control_plane.connect_collector();
@@ -98,7 +98,7 @@
 #[test]
 fn a_collector_that_sends_unreadable_frames_is_disconnected() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
-    for unreadable in [frame("{\"msg\":"), vec![255; 64], frame(&"x".repeat(70_000))] {
+    for unreadable in [encode_frame("{\"msg\":"), vec![255; 64], encode_frame(&"x".repeat(70_000))] {
         let mut bad = control_plane.connect_collector();
         let _ = bad.write_all(&unreadable);
         assert_closed(&mut bad, "unreadable");
@@ -108,7 +108,7 @@
 #[test]
 fn a_peer_that_leaves_within_a_frame_does_not_affect_others() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
-    control_plane.connect().write_all(&frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
+    control_plane.connect().write_all(&encode_frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
     control_plane.wait_for_log("connection failed");
     let mut good = control_plane.connect();
     assert_answers_health_check(&mut good);
@@ -123,7 +123,7 @@
     for (id, errors) in [("a", 40), ("b", 0), ("c", 0), ("d", 0)] {
         let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
             "errors": errors, "rtt": 41.7, "interval": 1000.0, "metrics": {"util": 0.5}});
-        stream.write_all(&frame(&report.to_string())).unwrap();
+        stream.write_all(&encode_frame(&report.to_string())).unwrap();
     }
     let line = relay.next_command("put");
     assert_eq!(line["endpoint"], "a");
@@ -146,17 +146,17 @@
     let mut most_silent = control_plane.connect_collector();
     let _others: Vec<TcpStream> = (0..7).map(|_| control_plane.connect_collector()).collect();
     let dull = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
-    let mut sent = frame(dull).repeat(900);
+    let mut sent = encode_frame(dull).repeat(900);
     for (id, errors) in [("b", 0), ("c", 0), ("d", 0), ("a", 40)] {
         let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
             "errors": errors, "rtt": 41.7, "interval": 1000.0});
-        sent.extend(frame(&report.to_string()));
+        sent.extend(encode_frame(&report.to_string()));
     }
     let mut ninth = control_plane.connect();
     assert_answers_health_check(&mut ninth);
     control_plane.while_suspended(|| {
         // Read first, as it comes first.
-        ninth.write_all(&frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
+        ninth.write_all(&encode_frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
         most_silent.write_all(&sent).unwrap();
     });
     control_plane.wait_for_log("collector connected");
@@ -186,7 +186,7 @@
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.while_suspended(|| {
         let mut stream = control_plane.connect();
-        stream.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
+        stream.write_all(&encode_frame(r#"{"msg":"probe"}"#)).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         stream
     });
@@ -196,7 +196,7 @@
 #[test]
 fn a_flood_of_connections_during_a_call_delays_neither_collectors_nor_commands() {
     let (list, relay) = (FakeEndpointList::start(&["a", "b"]), FakeRelay::start());
-    let mut config = config(list.address, relay.address);
+    let mut config = config_with_peers(list.address, relay.address);
     config["limits"] = json!({"sockets": 256, "memory_mb": 32});
     let control_plane = ControlPlane::start_with(&config);
     relay.join_proxy(7);
--- a/control-plane/tests/sockets/main.rs
+++ b/control-plane/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the built program on loopback sockets, between a fake endpoint list and a fake relay.
+//! Tests of the built program on loopback sockets, with a fake endpoint list and a fake relay.
 
 mod commands;
 mod config;
--- a/control-plane/tests/sockets/shutdown.rs
+++ b/control-plane/tests/sockets/shutdown.rs
@@ -2,8 +2,8 @@
 //! or by a process that is suspended while everything arrives.
 
 use crate::support::{
-    config, endpoint_entry, frame, read_frame, wait_for, ControlPlane, FakeEndpointList, FakeRelay,
-    RelayBehavior, Testbed,
+    config_with_peers, encode_frame, endpoint_entry, read_frame, wait_for, ControlPlane, FakeEndpointList,
+    FakeRelay, RelayBehavior, Testbed,
 };
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
@@ -12,7 +12,7 @@
 #[test]
 fn sigterm_ends_the_program_with_code_0() {
     let Testbed { mut control_plane, .. } = Testbed::start_with_proxy();
-    control_plane.signal("TERM");
+    control_plane.send_signal("TERM");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
@@ -30,7 +30,7 @@
 fn assert_queued_commands_are_sent_before_exit_on(signal: &str) {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
     drain_during_a_call(&relay, &list);
-    control_plane.signal(signal);
+    control_plane.send_signal(signal);
     assert_eq!(control_plane.wait_for_log("shutting down")["signal"], format!("SIG{signal}"));
     relay.release_response();
     wait_for_ejection(&relay, "b");
@@ -59,7 +59,7 @@
     relay.queue_behavior(RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
-    control_plane.signal("TERM");
+    control_plane.send_signal("TERM");
     assert_eq!(relay.next_command("eject")["endpoint"], "a");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
@@ -70,7 +70,7 @@
     relay.queue_behavior_times(50, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_command("eject");
-    control_plane.signal("TERM");
+    control_plane.send_signal("TERM");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
@@ -80,9 +80,9 @@
     let _silent = control_plane.connect();
     let (mut probe, mut page) = control_plane.while_suspended(|| {
         let (mut probe, mut page) = (control_plane.connect(), control_plane.connect());
-        probe.write_all(&frame(r#"{"msg":"probe"}"#)).unwrap();
+        probe.write_all(&encode_frame(r#"{"msg":"probe"}"#)).unwrap();
         page.write_all(b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").unwrap();
-        control_plane.signal("TERM");
+        control_plane.send_signal("TERM");
         (probe, page)
     });
     assert_eq!(read_frame(&mut probe).unwrap(), r#"{"msg":"alive"}"#);
@@ -96,7 +96,7 @@
 fn connections_after_the_signal_are_refused_while_a_last_call_is_in_flight() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
     drain_during_a_call(&relay, &list);
-    control_plane.signal("TERM");
+    control_plane.send_signal("TERM");
     assert_eq!(control_plane.wait_for_log("shutting down")["signal"], "SIGTERM");
     let refused = || TcpStream::connect(control_plane.address).err();
     assert_eq!(wait_for("a closed address", refused).kind(), ErrorKind::ConnectionRefused);
@@ -116,7 +116,7 @@
     control_plane.child.kill().unwrap();
     control_plane.child.wait().unwrap();
     relay.release_response();
-    let mut old = config(list.address, relay.address);
+    let mut old = config_with_peers(list.address, relay.address);
     old["known"]["hosts"] = json!([endpoint_entry("a", "active"), endpoint_entry("b", "active")]);
     let _restarted = ControlPlane::start_with(&old);
     let mut lines = Vec::new();
--- a/control-plane/tests/sockets/support/control_plane.rs
+++ b/control-plane/tests/sockets/support/control_plane.rs
@@ -1,4 +1,4 @@
-//! The built program: its configuration, its process, its log, and clients of its listener.
+//! Starts the built program and gives access to its configuration file, process, log and listener.
 
 use super::{wait_for, FakeEndpointList, FakeRelay, TIMEOUT};
 use serde_json::{json, Value};
@@ -12,8 +12,8 @@
 
 const ENVIRONMENT_VARIABLES: [&str; 4] = ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY", "GW_CONFIG"];
 
-/// A valid configuration.
-pub fn config(list: SocketAddr, relay: SocketAddr) -> Value {
+/// A valid configuration with these addresses of the endpoint list and the relay.
+pub fn config_with_peers(list: SocketAddr, relay: SocketAddr) -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "discovery": list.to_string(), "seed": "8c1f30d27a5be964",
         "relay": {"address": relay.to_string()},
         "known": {"seq": 0, "whole": true, "hosts": []},
@@ -21,22 +21,24 @@
             "zones": ["north", "south"],
             "classes": [{"name": "quote", "promiseUs": 1_500_000, "importance": 1.0},
                 {"name": "hold", "promiseUs": 1_200_000, "importance": 3.0}],
-            "familyInfo": {"channelRate": 14000.0, "fixedCost": 10.0, "mostWaiting": 14000.0, "proxyCount": 16,
-                "initialSet": 12, "transitMaxUs": 300_000, "reportEveryUs": 1_000_000,
+            "familyInfo": {"channelRate": 14000.0, "fixedCost": 10.0, "mostWaiting": 14000.0,
+                "proxyCount": 16, "initialSet": 12, "transitMaxUs": 300_000, "reportEveryUs": 1_000_000,
                 "throttleBy": "fraction"},
             "guarantees": {"drainGraceUs": 1_500_000, "coldUs": 10_000_000},
             "replicasOfMe": 1}})
 }
 
-/// A configuration file, deleted when this is dropped.
+/// A temporary configuration file that is deleted on drop.
 pub struct ConfigFile {
     pub path: PathBuf,
 }
 
 impl ConfigFile {
-    pub fn with(text: &str) -> ConfigFile {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("otterwinch-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    /// Creates a file with this content.
+    pub fn create(text: &str) -> ConfigFile {
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let name = format!("otterwinch-{}-{number}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).unwrap();
         ConfigFile { path }
@@ -49,109 +51,113 @@
     }
 }
 
-/// The program, without the environment variables that it reads.
-pub fn program() -> Command {
-    let mut program = Command::new(env!("CARGO_BIN_EXE_otterwinch"));
+/// A command that runs the built program without any of the environment variables that the program reads.
+pub fn program_command() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_otterwinch"));
     for variable in ENVIRONMENT_VARIABLES {
-        program.env_remove(variable);
+        command.env_remove(variable);
     }
-    program
+    command
 }
 
-/// A running program, killed when this is dropped.
+/// A running control plane process that is killed on drop.
 pub struct ControlPlane {
     pub child: Child,
+    /// The address of its listener.
     pub address: SocketAddr,
     log: Receiver<Value>,
-    config: ConfigFile,
+    config_file: ConfigFile,
 }
 
 impl ControlPlane {
     pub fn start(list: &FakeEndpointList, relay: &FakeRelay) -> ControlPlane {
-        ControlPlane::start_with(&config(list.address, relay.address))
+        ControlPlane::start_with(&config_with_peers(list.address, relay.address))
     }
 
-    /// Starts the program and waits until it listens and has opened the event stream.
+    /// Starts the program with this configuration and waits until it listens and has opened the event stream.
     pub fn start_with(config: &Value) -> ControlPlane {
-        let config = ConfigFile::with(&config.to_string());
-        let mut serve = program();
-        serve.arg("serve").env("GW_CONFIG", &config.path).stderr(Stdio::piped());
-        let mut child = serve.spawn().unwrap();
+        let config_file = ConfigFile::create(&config.to_string());
+        let mut command = program_command();
+        command.arg("serve").env("GW_CONFIG", &config_file.path).stderr(Stdio::piped());
+        let mut child = command.spawn().unwrap();
         let log = read_log(child.stderr.take().unwrap());
         let address = ([127, 0, 0, 1], 0).into();
-        let mut control_plane = ControlPlane { child, address, log, config };
+        let mut control_plane = ControlPlane { child, address, log, config_file };
         let started = control_plane.wait_for_log("started");
         control_plane.address = started["listen"].as_str().unwrap().parse().unwrap();
         control_plane.wait_for_log("proxy stream connected");
         control_plane
     }
 
-    /// The next line of the log with that message; lines before it are skipped.
+    /// Waits for the next log line with this message and returns it. Lines before it are skipped.
     pub fn wait_for_log(&self, message: &str) -> Value {
         let next_line = || match self.log.recv_timeout(TIMEOUT) {
             Ok(line) => line,
-            Err(error) => panic!("no '{message}' in the log: {error}"),
+            Err(error) => panic!("no log line '{message}': {error}"),
         };
-        wait_for(message, || Some(next_line()).filter(|line| line["msg"] == message))
+        wait_for(&format!("log line '{message}'"), || Some(next_line()).filter(|line| line["msg"] == message))
     }
 
-    /// Waits until `/state` contains this text.
+    /// Waits until the response to `/state` contains this text.
     pub fn wait_for_status(&self, text: &str) {
-        wait_for(text, || self.http_get("/state").contains(text).then_some(()));
+        wait_for(&format!("{text} in /state"), || self.http_get("/state").contains(text).then_some(()));
     }
 
+    /// Connects to the listener. Reads of the connection time out after [`TIMEOUT`].
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream
     }
 
-    /// The answer to a request, head and body.
+    /// Sends a GET request and returns the response, head and body.
     pub fn http_get(&self, path: &str) -> String {
         let mut stream = self.connect();
         write!(stream, "GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").unwrap();
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).unwrap();
-        answer
+        let mut response = String::new();
+        stream.read_to_string(&mut response).unwrap();
+        response
     }
 
-    /// Replaces the configuration file and sends SIGHUP.
+    /// Replaces the content of the configuration file and sends SIGHUP.
     pub fn reload_config(&self, config: &str) {
-        std::fs::write(&self.config.path, config).unwrap();
-        self.signal("HUP");
+        std::fs::write(&self.config_file.path, config).unwrap();
+        self.send_signal("HUP");
     }
 
-    /// Suspends the process while `action` runs: it finds all that happens meanwhile at once.
+    /// Suspends the process while `action` runs, so that everything that happens meanwhile reaches it at
+    /// once.
     pub fn while_suspended<T>(&self, action: impl FnOnce() -> T) -> T {
-        self.signal("STOP");
+        self.send_signal("STOP");
         let stat_path = format!("/proc/{}/stat", self.child.id());
         let stat = || std::fs::read_to_string(&stat_path).ok();
         wait_for("suspension", || stat().filter(|stat| stat.contains(") T ")));
         let result = action();
-        self.signal("CONT");
+        self.send_signal("CONT");
         result
     }
 
-    pub fn signal(&self, name: &str) {
-        let process = self.child.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &process]).status().unwrap().success());
+    /// Sends the signal with this name, without `SIG`, to the process.
+    pub fn send_signal(&self, name: &str) {
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args(["-s", name, &pid]).status().unwrap().success());
     }
 
-    /// A collector of zone `north` that has identified itself.
+    /// Connects a collector that has identified itself as that of zone `north`.
     pub fn connect_collector(&self) -> TcpStream {
         let mut stream = self.connect();
-        stream.write_all(&frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
+        stream.write_all(&encode_frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
         self.wait_for_log("collector connected");
         stream
     }
 
-    /// Waits until the process has ended; its exit code.
+    /// Waits until the process has exited and returns its exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let exit_status = || {
             std::thread::yield_now();
             self.child.try_wait().unwrap()
         };
-        wait_for("the end of the process", exit_status).code()
+        wait_for("the process to exit", exit_status).code()
     }
 }
 
@@ -162,11 +168,12 @@
     }
 }
 
+/// Reads the log lines in a thread of their own. A line that is not JSON is passed on as a string.
 fn read_log(stderr: ChildStderr) -> Receiver<Value> {
     let (sender, log) = channel();
     spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-            // Shown by the test runner if the test fails.
+            // The test runner shows this if the test fails.
             println!("{line}");
             let _ = sender.send(serde_json::from_str(&line).unwrap_or(Value::String(line)));
         }
@@ -174,13 +181,14 @@
     log
 }
 
-/// A frame of the collectors' protocol.
-pub fn frame(text: &str) -> Vec<u8> {
+/// Encodes a frame of the collectors' protocol: the length as four bytes, then the text.
+pub fn encode_frame(text: &str) -> Vec<u8> {
     let mut bytes = (text.len() as u32).to_be_bytes().to_vec();
     bytes.extend_from_slice(text.as_bytes());
     bytes
 }
 
+/// Reads one frame and returns its text.
 pub fn read_frame(stream: &mut TcpStream) -> std::io::Result<String> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
