--- a/control-plane/tests/sockets/commands.rs
+++ b/control-plane/tests/sockets/commands.rs
@@ -1,38 +1,44 @@
-//! Commands to the relay: which are sent, and what becomes of those whose call fails.
+//! Which commands are sent to the relay, and what happens to commands whose call fails.
 
 use crate::support::{endpoint_entry, wait_for, RelayBehavior, Testbed};
 use serde_json::{json, Value};
 
 #[test]
-fn a_joining_proxy_is_assigned_a_populated_table() {
+fn a_joining_proxy_is_assigned_a_table_with_all_endpoints() {
     let Testbed { relay, control_plane: _control_plane, .. } = Testbed::start(&["a", "b"]);
     relay.join_proxy(7);
-    let lines = relay.next_call_with("put");
-    let ids: Vec<&Value> = lines.iter().filter(|o| o["op"] == "put").map(|o| &o["endpoint"]).collect();
+    let call = relay.next_call_with("put");
+    let ids: Vec<&Value> =
+        call.iter().filter(|command| command["op"] == "put").map(|command| &command["endpoint"]).collect();
     assert_eq!(ids, ["a", "b"]);
-    let table = lines[0]["table"].clone();
+    let table = call[0]["table"].clone();
     assert_eq!(relay.next_command("attach"), json!({"op": "attach", "node": 7, "table": table}));
 }
 
 #[test]
-fn a_draining_endpoint_loses_its_weight_and_is_ejected() {
+fn a_draining_endpoint_gets_weight_zero_and_is_ejected() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let call = relay.next_call_with("eject");
-    assert!(call.iter().any(|o| o["op"] == "put" && o["endpoint"] == "a" && o["w"] == 0.0), "{call:?}");
-    assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
+    assert!(
+        call.iter()
+            .any(|command| command["op"] == "put" && command["endpoint"] == "a" && command["w"] == 0.0),
+        "{call:?}"
+    );
+    assert!(call.iter().any(|command| command["op"] == "eject" && command["endpoint"] == "a"), "{call:?}");
 }
 
-/// Drains `a` while the relay behaves like this, and checks that the very same commands are sent again.
+/// Drains `a` while the relay handles the next call with `behavior`, and checks that exactly the same commands
+/// are resent.
 fn assert_commands_are_resent_after(behavior: RelayBehavior) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(behavior);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    let lost = relay.next_call_with("eject");
+    let failed = relay.next_call_with("eject");
     let mut resent = relay.next_call();
-    // Commands that may have been carried out are followed by a request for an acknowledgement.
+    // Commands that may have been executed are followed by an acknowledgement request when they are resent.
     resent.retain(|command| command["op"] != "fence");
-    assert_eq!(resent, lost);
+    assert_eq!(resent, failed);
     control_plane.wait_for_log("command delivery failed");
     control_plane.wait_for_log("command delivery recovered");
 }
@@ -43,12 +49,12 @@
 }
 
 #[test]
-fn commands_are_resent_when_the_relay_does_not_answer() {
+fn commands_are_resent_when_the_relay_does_not_respond() {
     assert_commands_are_resent_after(RelayBehavior::DoesNotRespond);
 }
 
 #[test]
-fn commands_are_resent_when_the_answer_is_invalid_json() {
+fn commands_are_resent_when_the_response_is_invalid_json() {
     assert_commands_are_resent_after(RelayBehavior::SendsInvalidJson);
 }
 
@@ -60,7 +66,7 @@
 #[test]
 fn the_controller_restarts_when_the_relay_rejects_the_commands_twice() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
-    // A single one may be a corrupted answer.
+    // A single rejection may be a corrupted response.
     relay.queue_behavior_times(2, RelayBehavior::RejectsAsInvalid);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     for _ in 0..2 {
@@ -77,12 +83,12 @@
 }
 
 #[test]
-fn after_a_long_silence_of_the_relay_queued_commands_are_sent_and_joining_proxies_assigned() {
+fn queued_commands_are_sent_and_joining_proxies_assigned_after_the_relay_was_silent() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior_times(5, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     relay.next_call_with("eject");
-    // This change comes while commands are unacknowledged, and waits behind them.
+    // This change arrives while commands are unacknowledged. Its commands are queued behind those.
     list.publish_changes(&[endpoint_entry("c", "active")]);
     control_plane.wait_for_log("command delivery recovered");
     assert_eq!(relay.next_call_with("put").last().unwrap()["op"], "fence");
@@ -101,28 +107,28 @@
 }
 
 #[test]
-fn an_answer_in_pieces_is_accepted() {
+fn a_fragmented_response_is_accepted() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::FragmentsResponse);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    let taken = relay.next_call_with("eject");
+    let accepted = relay.next_call_with("eject");
     list.publish_changes(&[endpoint_entry("b", "leaving"), endpoint_entry("c", "active")]);
-    assert_ne!(relay.next_call(), taken);
+    assert_ne!(relay.next_call(), accepted);
 }
 
 #[test]
-fn after_a_declined_command_the_rest_is_sent_and_the_assignment_is_repeated() {
+fn after_a_rejected_command_the_rest_is_sent_and_the_assignment_is_repeated() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::AcceptsOnly(0));
     relay.join_proxy(8);
     relay.join_proxy(9);
     let call = relay.next_call_with("attach");
-    let declined = call[0].clone();
-    assert_eq!(control_plane.wait_for_log("relay rejected a command")["command"], declined.to_string());
+    let rejected = call[0].clone();
+    assert_eq!(control_plane.wait_for_log("relay rejected a command")["command"], rejected.to_string());
     if call.len() > 1 {
         assert_eq!(relay.next_call(), call[1..]);
     }
-    wait_for("the bind again", || relay.next_call_with("attach").contains(&declined).then_some(()));
+    wait_for("the repeated assignment", || relay.next_call_with("attach").contains(&rejected).then_some(()));
 }
 
 #[test]
@@ -131,17 +137,17 @@
 }
 
 #[test]
-fn commands_are_resent_when_the_answer_is_truncated_in_its_status() {
+fn commands_are_resent_when_the_response_is_truncated_in_its_status_line() {
     assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(12));
 }
 
 #[test]
-fn commands_are_resent_when_the_answer_is_truncated_after_its_head() {
+fn commands_are_resent_when_the_response_is_truncated_after_its_head() {
     assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(40));
 }
 
 #[test]
-fn commands_are_resent_when_the_answer_lacks_its_last_byte() {
+fn commands_are_resent_when_the_response_lacks_its_last_byte() {
     assert_commands_are_resent_after(RelayBehavior::TruncatesResponse(usize::MAX));
 }
 
@@ -151,31 +157,33 @@
 }
 
 #[test]
-fn commands_are_resent_when_the_answer_is_not_http() {
+fn commands_are_resent_when_the_response_is_not_http() {
     assert_commands_are_resent_after(RelayBehavior::SendsInvalidHttp);
 }
 
 #[test]
-fn an_answer_that_is_sent_twice_counts_once() {
+fn a_response_that_is_sent_twice_counts_once() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::RespondsTwice);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    let taken = relay.next_call_with("eject");
+    let accepted = relay.next_call_with("eject");
     list.publish_changes(&[endpoint_entry("c", "active")]);
     let next = relay.next_call_with("put");
-    assert_ne!(next, taken);
-    assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
+    assert_ne!(next, accepted);
+    assert!(next.iter().all(|command| command["op"] != "eject"), "{next:?}");
 }
 
-/// The answer to a call that timed out comes after the commands were sent again: it answers neither call.
+/// The response to a call that timed out arrives after the commands were resent. It counts as the response to
+/// neither call.
 #[test]
-fn a_late_answer_is_ignored() {
+fn a_late_response_is_ignored() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::WithholdsResponse);
     relay.queue_behavior(RelayBehavior::ClosesConnection);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let withheld = relay.next_call_with("eject");
-    // Timed out, sent again, failed: the outcome is unknown once more. Only now the first answer comes.
+    // The first call timed out, and the call that resent its commands failed, so the outcome is still unknown.
+    // Only now the response to the first call arrives.
     relay.next_call_with("eject");
     relay.release_response();
     let mut third = relay.next_call();
@@ -184,10 +192,10 @@
     control_plane.wait_for_log("command delivery recovered");
     list.publish_changes(&[endpoint_entry("c", "active")]);
     let next = relay.next_call_with("put");
-    assert!(next.iter().all(|o| o["op"] != "eject"), "{next:?}");
+    assert!(next.iter().all(|command| command["op"] != "eject"), "{next:?}");
 }
 
-/// A single rejection may be a corrupted answer; only two in a row are believed.
+/// A single rejection may be a corrupted response, so only two in a row restart the controller.
 #[test]
 fn two_rejections_with_a_failed_call_between_do_not_restart_the_controller() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
