--- a/control-plane/tests/sockets/connections.rs
+++ b/control-plane/tests/sockets/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to the listener: collectors, health checks, status pages, and peers that are none of these.
+//! Connections to the listener: collectors, health checks, HTTP clients of the status pages, and unidentified
+//! peers.
 
 use crate::shutdown::{drain_during_a_call, wait_for_ejection};
 use crate::support::{
@@ -14,7 +15,7 @@
 }
 
 #[test]
-fn health_checks_in_pieces_and_two_at_once_are_answered() {
+fn fragmented_and_pipelined_health_checks_are_answered() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.connect();
     let probe = encode_frame(r#"{"msg":"probe"}"#);
@@ -29,17 +30,17 @@
 }
 
 fn assert_closed(stream: &mut TcpStream, what: &str) {
-    // An `error` may come before the close, and a close with unread bytes is a reset.
+    // An error frame may precede the close, and a close with unread bytes resets the connection.
     let mut rest = Vec::new();
-    let end = stream.read_to_end(&mut rest);
-    let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-    assert!(!timed_out && rest.len() < 512, "still open: {what}");
+    let result = stream.read_to_end(&mut rest);
+    let timed_out = result.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
+    assert!(!timed_out && rest.len() < 512, "connection not closed: {what}");
 }
 
 #[test]
-fn a_peer_that_does_not_identify_itself_is_disconnected_whatever_it_sends_and_no_other_is() {
+fn only_peers_that_do_not_identify_themselves_are_disconnected_whatever_they_send() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
-    let mut good = control_plane.connect_collector();
+    let mut identified = control_plane.connect_collector();
     let report = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
     for sent in [
         &[] as &[u8],
@@ -56,20 +57,20 @@
         b"GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n",
         b"POST /v3/kv/batches HTTP/1.1\r\nhost: x\r\ncontent-length: 99999\r\n\r\n{",
     ] {
-        let mut bad = control_plane.connect();
-        bad.write_all(sent).unwrap();
-        assert_closed(&mut bad, &String::from_utf8_lossy(sent));
+        let mut unidentified = control_plane.connect();
+        unidentified.write_all(sent).unwrap();
+        assert_closed(&mut unidentified, &String::from_utf8_lossy(sent));
     }
-    assert_answers_health_check(&mut good);
+    assert_answers_health_check(&mut identified);
 }
 
 #[test]
 fn health_checks_do_not_keep_a_connection_open() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.connect();
-    wait_for("the end of who only asks", || {
-        let asked = stream.write_all(&encode_frame(r#"{"msg":"probe"}"#));
-        asked.and_then(|()| read_frame(&mut stream)).err()
+    wait_for("the connection to close", || {
+        let sent = stream.write_all(&encode_frame(r#"{"msg":"probe"}"#));
+        sent.and_then(|()| read_frame(&mut stream)).err()
     });
 }
 
@@ -87,11 +88,11 @@
 }
 
 #[test]
-fn a_zone_whose_collector_reconnects_again_and_again_keeps_the_newest_connections() {
+fn a_zone_whose_collector_reconnects_repeatedly_keeps_the_newest_connections() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
-    let mut most_silent = control_plane.connect_collector();
+    let mut longest_silent = control_plane.connect_collector();
     let mut newest: Vec<TcpStream> = (0..8).map(|_| control_plane.connect_collector()).collect();
-    assert_closed(&mut most_silent, "the connection that was silent for longest");
+    assert_closed(&mut longest_silent, "the collector that has been silent for the longest time");
     newest.iter_mut().for_each(assert_answers_health_check);
 }
 
@@ -99,19 +100,19 @@
 fn a_collector_that_sends_unreadable_frames_is_disconnected() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     for unreadable in [encode_frame("{\"msg\":"), vec![255; 64], encode_frame(&"x".repeat(70_000))] {
-        let mut bad = control_plane.connect_collector();
-        let _ = bad.write_all(&unreadable);
-        assert_closed(&mut bad, "unreadable");
+        let mut collector = control_plane.connect_collector();
+        let _ = collector.write_all(&unreadable);
+        assert_closed(&mut collector, "collector that sent an unreadable frame");
     }
 }
 
 #[test]
-fn a_peer_that_leaves_within_a_frame_does_not_affect_others() {
+fn a_peer_that_disconnects_within_a_frame_does_not_affect_others() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     control_plane.connect().write_all(&encode_frame(r#"{"msg":"probe"}"#)[..9]).unwrap();
     control_plane.wait_for_log("connection failed");
-    let mut good = control_plane.connect();
-    assert_answers_health_check(&mut good);
+    let mut other = control_plane.connect();
+    assert_answers_health_check(&mut other);
 }
 
 #[test]
@@ -125,9 +126,9 @@
             "errors": errors, "rtt": 41.7, "interval": 1000.0, "metrics": {"util": 0.5}});
         stream.write_all(&encode_frame(&report.to_string())).unwrap();
     }
-    let line = relay.next_command("put");
-    assert_eq!(line["endpoint"], "a");
-    assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
+    let command = relay.next_command("put");
+    assert_eq!(command["endpoint"], "a");
+    assert!(command["w"].as_f64().unwrap() < 0.5, "{command}");
 }
 
 #[test]
@@ -137,16 +138,17 @@
     assert!(control_plane.http_get("/other").starts_with("HTTP/1.1 404"));
 }
 
-/// A zone's ninth connection ends the one that was silent for longest, which has just sent reports that are not read yet.
+/// A ninth collector of a zone closes the connection that has been silent for the longest time. Here that
+/// connection has sent reports that have not been read yet.
 #[test]
 fn reports_sent_before_a_collector_is_disconnected_are_read_to_the_end() {
     let Testbed { relay, control_plane, .. } = Testbed::start(&["a", "b", "c", "d"]);
     relay.join_proxy(7);
     relay.next_command("attach");
-    let mut most_silent = control_plane.connect_collector();
+    let mut longest_silent = control_plane.connect_collector();
     let _others: Vec<TcpStream> = (0..7).map(|_| control_plane.connect_collector()).collect();
-    let dull = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
-    let mut sent = encode_frame(dull).repeat(900);
+    let demand_report = r#"{"msg":"demand","node":1,"route":"quote","total":4,"errors":0,"interval":1000.0}"#;
+    let mut sent = encode_frame(demand_report).repeat(900);
     for (id, errors) in [("b", 0), ("c", 0), ("d", 0), ("a", 40)] {
         let report = json!({"msg": "outcomes", "locality": "north", "endpoint": id, "total": 40,
             "errors": errors, "rtt": 41.7, "interval": 1000.0});
@@ -155,20 +157,24 @@
     let mut ninth = control_plane.connect();
     assert_answers_health_check(&mut ninth);
     control_plane.while_suspended(|| {
-        // Read first, as it comes first.
+        // This is sent first and therefore read first.
         ninth.write_all(&encode_frame(r#"{"msg":"agent","locality":"north"}"#)).unwrap();
-        most_silent.write_all(&sent).unwrap();
+        longest_silent.write_all(&sent).unwrap();
     });
     control_plane.wait_for_log("collector connected");
-    let line =
-        wait_for("a line of a's", || relay.next_call_with("put").into_iter().find(|o| o["endpoint"] == "a"));
-    assert!(line["w"].as_f64().unwrap() < 0.5, "{line}");
+    let command = wait_for("a weight of endpoint a", || {
+        relay.next_call_with("put").into_iter().find(|command| command["endpoint"] == "a")
+    });
+    assert!(command["w"].as_f64().unwrap() < 0.5, "{command}");
     let mut rest = Vec::new();
-    assert!(most_silent.read_to_end(&mut rest).is_ok_and(|n| n == 0), "closed, not reset");
+    assert!(
+        longest_silent.read_to_end(&mut rest).is_ok_and(|n| n == 0),
+        "expected a close, got a reset or data"
+    );
 }
 
 #[test]
-fn a_half_closed_http_client_gets_its_answer() {
+fn a_half_closed_http_client_gets_its_response() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.while_suspended(|| {
         let mut stream = control_plane.connect();
@@ -182,7 +188,7 @@
 }
 
 #[test]
-fn a_half_closed_health_check_gets_its_answer() {
+fn a_half_closed_health_check_gets_its_response() {
     let Testbed { control_plane, .. } = Testbed::start(&["a"]);
     let mut stream = control_plane.while_suspended(|| {
         let mut stream = control_plane.connect();
