--- a/control-plane/tests/sockets/config_reload.rs
+++ b/control-plane/tests/sockets/config_reload.rs
@@ -1,4 +1,4 @@
-//! Reloads of the configuration at SIGHUP.
+//! Reloading the configuration on SIGHUP.
 
 use crate::connections::assert_answers_health_check;
 use crate::support::{
@@ -7,8 +7,12 @@
 };
 use serde_json::json;
 
-/// Reloads a configuration that names another list and another relay.
-fn move_peers(control_plane: &ControlPlane, endpoints: &[&str], proxy: u32) -> (FakeEndpointList, FakeRelay) {
+/// Reloads a configuration with a new endpoint list and a new relay, which has `proxy` joined.
+fn reload_with_new_peers(
+    control_plane: &ControlPlane,
+    endpoints: &[&str],
+    proxy: u32,
+) -> (FakeEndpointList, FakeRelay) {
     let (list, relay) = (FakeEndpointList::start(endpoints), FakeRelay::start());
     relay.join_proxy(proxy);
     control_plane.reload_config(&config_with_peers(list.address, relay.address).to_string());
@@ -17,13 +21,15 @@
 }
 
 #[test]
-fn each_reload_moves_endpoint_watch_commands_and_proxy_stream() {
+fn each_reload_moves_the_endpoint_watch_the_commands_and_the_proxy_stream() {
     let Testbed { control_plane, .. } = Testbed::start_with_proxy();
     let mut collector = control_plane.connect_collector();
     for n in [8, 9] {
-        let (list, relay) = move_peers(&control_plane, &["a", "b"], n);
-        // A proxy that the new relay names gets its table there; one that it does not name has left.
-        wait_for("its bind", || (relay.next_command("attach")["node"] == n).then_some(()));
+        let (list, relay) = reload_with_new_peers(&control_plane, &["a", "b"], n);
+        // A proxy that the new relay lists is assigned its table there. One that it does not list has left.
+        wait_for("the assignment of the new proxy", || {
+            (relay.next_command("attach")["node"] == n).then_some(())
+        });
         control_plane.wait_for_status(r#""proxies":1,"#);
         list.wait_for_requests(2);
         list.publish_changes(&[endpoint_entry("a", "leaving")]);
@@ -35,13 +41,13 @@
 }
 
 #[test]
-fn commands_that_failed_at_the_old_relay_go_to_the_new_one_before_any_other() {
+fn commands_that_failed_at_the_old_relay_are_sent_to_the_new_one_first() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior_times(500, RelayBehavior::Throttles);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    let lost = relay.next_call_with("eject");
-    let (_list, relay) = move_peers(&control_plane, &["b"], 7);
-    assert_eq!(relay.next_call(), lost);
+    let failed = relay.next_call_with("eject");
+    let (_list, relay) = reload_with_new_peers(&control_plane, &["b"], 7);
+    assert_eq!(relay.next_call(), failed);
 }
 
 #[test]
@@ -49,10 +55,10 @@
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     control_plane.reload_config("{\"name\":");
     control_plane.wait_for_log("config rejected, keeping the current one");
-    let mut other = config_with_peers(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
-    other["settings"]["zones"] = json!(["elsewhere"]);
-    other["name"] = "n2".into();
-    control_plane.reload_config(&other.to_string());
+    let mut changed = config_with_peers(([127, 0, 0, 1], 1).into(), ([127, 0, 0, 1], 2).into());
+    changed["settings"]["zones"] = json!(["elsewhere"]);
+    changed["name"] = "n2".into();
+    control_plane.reload_config(&changed.to_string());
     for field in ["'name'", "'settings'"] {
         let why = control_plane.wait_for_log("config rejected, keeping the current one")["why"].to_string();
         assert!(why.contains(field), "{why}");
@@ -63,25 +69,25 @@
 }
 
 #[test]
-fn a_call_in_flight_when_the_relay_moves_goes_to_the_new_one_before_any_other() {
+fn a_call_in_flight_when_the_relay_moves_is_sent_to_the_new_one_first() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::WithholdsResponse);
-    // If the move comes late the call is repeated at the old relay, which must not accept it then.
+    // If the reload comes late, the call is first repeated at the old relay, which must not accept it.
     relay.queue_behavior_times(500, RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    let lost = relay.next_call_with("eject");
-    let (other, new) = (FakeEndpointList::start(&["b"]), FakeRelay::start());
-    new.join_proxy(7);
-    control_plane.reload_config(&config_with_peers(other.address, new.address).to_string());
+    let withheld = relay.next_call_with("eject");
+    let (new_list, new_relay) = (FakeEndpointList::start(&["b"]), FakeRelay::start());
+    new_relay.join_proxy(7);
+    control_plane.reload_config(&config_with_peers(new_list.address, new_relay.address).to_string());
     control_plane.wait_for_log("config reloaded");
-    let mut first = new.next_call();
+    let mut first = new_relay.next_call();
     first.retain(|command| command["op"] != "fence");
-    assert_eq!(first, lost);
+    assert_eq!(first, withheld);
     while let Some(mut repeated) = relay.try_next_call() {
         repeated.retain(|command| command["op"] != "fence");
-        assert_eq!(repeated, lost);
+        assert_eq!(repeated, withheld);
     }
     relay.release_response();
-    assert_eq!(new.next_command("attach")["node"], 7);
-    assert!(relay.try_next_call().is_none(), "nothing more goes to the old place");
+    assert_eq!(new_relay.next_command("attach")["node"], 7);
+    assert!(relay.try_next_call().is_none(), "a call was sent to the old relay after the move");
 }
