--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -1,5 +1,6 @@
-//! Answers of the endpoint list that are invalid, truncated, outdated or doubled: an invalid entry is left out alone and
-//! its endpoint keeps its last state, and an endpoint that is known to drain is ejected.
+//! Responses of the endpoint list that are invalid, truncated, outdated or sent twice. Only the invalid entries
+//! of a response are ignored, and their endpoints keep their last state. An endpoint that is known to be
+//! draining is ejected.
 
 use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListResponse, Testbed};
 use serde_json::{json, Value};
@@ -15,7 +16,7 @@
 }
 
 #[test]
-fn the_list_is_polled_call_after_call() {
+fn the_list_is_polled_repeatedly() {
     let Testbed { list, control_plane: _control_plane, .. } = Testbed::start(&["a"]);
     list.wait_for_requests(3);
 }
@@ -26,11 +27,11 @@
     entry
 }
 
-fn answer(version: u64, whole: bool, hosts: &[Value]) -> ListResponse {
+fn list_response(version: u64, whole: bool, hosts: &[Value]) -> ListResponse {
     ListResponse::Body(json!({"seq": version, "whole": whole, "hosts": hosts}).to_string())
 }
 
-fn wait_for_listed(control_plane: &ControlPlane, endpoints: usize) {
+fn wait_for_endpoint_count(control_plane: &ControlPlane, endpoints: usize) {
     control_plane.wait_for_status(&format!(r#""servers":{endpoints},"#));
 }
 
@@ -39,14 +40,14 @@
 }
 
 #[test]
-fn an_invalid_entry_does_not_affect_the_others_of_its_answer() {
+fn an_invalid_entry_does_not_affect_the_others_of_its_response() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     let invalid = [json!({}), json!("text"), invalid_entry("c", "active", "health", 7.into())];
     for (n, entry) in invalid.into_iter().enumerate() {
         list.publish(&[endpoint_entry("b", "active")], &[entry, endpoint_entry("a", "leaving")]);
         assert_next_ejected(&relay, "a");
-        let counted = format!(r#""dropped":{},"#, n + 1);
-        control_plane.wait_for_status(&counted);
+        let dropped_count = format!(r#""dropped":{},"#, n + 1);
+        control_plane.wait_for_status(&dropped_count);
         list.publish(
             &[endpoint_entry("a", "active"), endpoint_entry("b", "active")],
             &[endpoint_entry("a", "active")],
@@ -57,7 +58,7 @@
     assert!(why.contains("entry 0") && why.contains("'host'"), "{why}");
 }
 
-/// No later answer repeats a change.
+/// The whole list has to be read because no later response repeats a change.
 #[test]
 fn the_whole_list_is_read_after_an_invalid_change() {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
@@ -77,7 +78,7 @@
     ];
     list.publish_changes(&invalid);
     let call = relay.next_call_with("eject");
-    assert_eq!(call.iter().filter(|o| o["op"] == "eject").count(), 2, "{call:?}");
+    assert_eq!(call.iter().filter(|command| command["op"] == "eject").count(), 2, "{call:?}");
 }
 
 #[test]
@@ -85,27 +86,27 @@
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
     relay.join_proxy(7);
     relay.next_command("attach");
-    list.queue_response(answer(
+    list.queue_response(list_response(
         9,
         true,
         &[invalid_entry("a", "active", "share", json!(-1)), endpoint_entry("b", "active")],
     ));
-    // `c` is missing; `a` is not, since there is an entry for it, though an invalid one.
+    // `c` is missing from the list. `a` is not, because it has an entry, though an invalid one.
     assert_next_ejected(&relay, "c");
-    wait_for_listed(&control_plane, 2);
+    wait_for_endpoint_count(&control_plane, 2);
 }
 
 #[test]
-fn while_an_entry_has_no_name_no_endpoint_counts_as_removed() {
+fn while_an_entry_names_no_endpoint_none_counts_as_removed() {
     let Testbed { list, relay, control_plane } = Testbed::start(&["a", "b", "c"]);
     relay.join_proxy(7);
     relay.next_command("attach");
-    let nameless = [json!({"health": "active"}), endpoint_entry("b", "leaving")];
-    list.publish_with_response(&[endpoint_entry("a", "active")], &[], answer(9, true, &nameless));
+    let unidentified = [json!({"health": "active"}), endpoint_entry("b", "leaving")];
+    list.publish_with_response(&[endpoint_entry("a", "active")], &[], list_response(9, true, &unidentified));
     assert_next_ejected(&relay, "b");
-    // The whole list is read again: now it is certain that `c` is removed and `a` is not.
+    // The whole list is read again, and now shows that `c` has been removed and `a` has not.
     assert_next_ejected(&relay, "c");
-    wait_for_listed(&control_plane, 1);
+    wait_for_endpoint_count(&control_plane, 1);
 }
 
 #[test]
@@ -120,17 +121,18 @@
     list.publish_with_response(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "leaving")],
         &[],
-        answer(1, false, &[endpoint_entry("b", "active")]),
+        list_response(1, false, &[endpoint_entry("b", "active")]),
     );
     assert!(control_plane.wait_for_log("endpoint watch failed")["why"]
         .as_str()
         .unwrap()
         .contains("version 1"));
     let call = relay.next_call_with("eject");
-    assert!(call.iter().all(|o| o["op"] != "uneject"), "{call:?}");
-    assert!(call.iter().any(|o| o["op"] == "eject" && o["endpoint"] == "a"), "{call:?}");
+    assert!(call.iter().all(|command| command["op"] != "uneject"), "{call:?}");
+    assert!(call.iter().any(|command| command["op"] == "eject" && command["endpoint"] == "a"), "{call:?}");
 }
 
+/// Restarts the list at a lower version, and checks that a change published after that arrives.
 fn assert_restarted_list_is_followed(rejects_newer_versions: bool) {
     let Testbed { list, relay, control_plane: _control_plane } = Testbed::start_with_proxy();
     for _ in 0..5 {
@@ -146,60 +148,61 @@
 }
 
 #[test]
-fn a_list_whose_versions_restart_is_followed() {
+fn a_list_that_restarts_with_lower_versions_is_followed() {
     assert_restarted_list_is_followed(false);
 }
 
 #[test]
-fn a_list_whose_versions_restart_and_that_rejects_newer_ones_is_followed() {
+fn a_restarted_list_that_rejects_newer_versions_is_followed() {
     assert_restarted_list_is_followed(true);
 }
 
-fn assert_change_arrives_despite(answer: ListResponse) {
+/// Publishes a change but sends `response` instead of it, and checks that it and the next change arrive.
+fn assert_change_arrives_despite_response(response: ListResponse) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     list.publish_with_response(
         &[endpoint_entry("a", "leaving"), endpoint_entry("b", "active")],
         &[endpoint_entry("a", "leaving")],
-        answer,
+        response,
     );
     assert_next_ejected(&relay, "a");
     list.publish_changes(&[endpoint_entry("c", "active")]);
-    let weight = relay.next_command("put");
-    assert_eq!(weight["endpoint"], "c", "{weight}");
-    wait_for_listed(&control_plane, 3);
+    let command = relay.next_command("put");
+    assert_eq!(command["endpoint"], "c", "{command}");
+    wait_for_endpoint_count(&control_plane, 3);
 }
 
 #[test]
-fn a_change_arrives_when_its_answer_is_truncated_in_the_status() {
-    assert_change_arrives_despite(ListResponse::Truncated(12));
+fn a_change_arrives_when_its_response_is_truncated_in_the_status_line() {
+    assert_change_arrives_despite_response(ListResponse::Truncated(12));
 }
 
 #[test]
-fn a_change_arrives_when_its_answer_is_truncated_after_the_head() {
-    assert_change_arrives_despite(ListResponse::Truncated(60));
+fn a_change_arrives_when_its_response_is_truncated_after_the_head() {
+    assert_change_arrives_despite_response(ListResponse::Truncated(60));
 }
 
 #[test]
-fn a_change_arrives_when_its_answer_lacks_the_last_byte() {
-    assert_change_arrives_despite(ListResponse::Truncated(usize::MAX));
+fn a_change_arrives_when_its_response_lacks_the_last_byte() {
+    assert_change_arrives_despite_response(ListResponse::Truncated(usize::MAX));
 }
 
 #[test]
 fn a_change_arrives_when_the_poll_is_reset() {
-    assert_change_arrives_despite(ListResponse::ConnectionReset);
+    assert_change_arrives_despite_response(ListResponse::ConnectionReset);
 }
 
 #[test]
-fn a_change_arrives_when_its_answer_is_not_json() {
-    assert_change_arrives_despite(ListResponse::Body("{\"seq\":".into()));
+fn a_change_arrives_when_its_response_is_not_json() {
+    assert_change_arrives_despite_response(ListResponse::Body("{\"seq\":".into()));
 }
 
 #[test]
-fn a_change_arrives_when_its_answer_is_of_another_type() {
-    assert_change_arrives_despite(ListResponse::Body("[[]]".into()));
+fn a_change_arrives_when_its_response_has_another_json_type() {
+    assert_change_arrives_despite_response(ListResponse::Body("[[]]".into()));
 }
 
 #[test]
 fn a_change_arrives_when_it_is_answered_twice() {
-    assert_change_arrives_despite(ListResponse::SentTwice);
+    assert_change_arrives_despite_response(ListResponse::SentTwice);
 }
