--- a/control-plane/tests/sockets/commands.rs
+++ b/control-plane/tests/sockets/commands.rs
@@ -28,8 +28,8 @@
     assert!(call.iter().any(|command| command["op"] == "eject" && command["endpoint"] == "a"), "{call:?}");
 }
 
-/// Drains `a` while the relay handles the next call with `behavior`, and checks that exactly the same commands
-/// are resent.
+/// Drains `a` while the relay handles the next call with `behavior`, and checks that exactly the same
+/// commands are resent.
 fn assert_commands_are_resent_after(behavior: RelayBehavior) {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(behavior);
@@ -173,8 +173,8 @@
     assert!(next.iter().all(|command| command["op"] != "eject"), "{next:?}");
 }
 
-/// The response to a call that timed out arrives after the commands were resent. It counts as the response to
-/// neither call.
+/// The response to a call that timed out arrives after the commands were resent. It counts as the response
+/// to neither call.
 #[test]
 fn a_late_response_is_ignored() {
     let Testbed { list, relay, control_plane } = Testbed::start_with_proxy();
@@ -182,8 +182,8 @@
     relay.queue_behavior(RelayBehavior::ClosesConnection);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
     let withheld = relay.next_call_with("eject");
-    // The first call timed out, and the call that resent its commands failed, so the outcome is still unknown.
-    // Only now the response to the first call arrives.
+    // The first call timed out, and the call that resent its commands failed, so the outcome is still
+    // unknown. Only now the response to the first call arrives.
     relay.next_call_with("eject");
     relay.release_response();
     let mut third = relay.next_call();
--- a/control-plane/tests/sockets/endpoint_list.rs
+++ b/control-plane/tests/sockets/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! Responses of the endpoint list that are invalid, truncated, outdated or sent twice. Only the invalid entries
-//! of a response are ignored, and their endpoints keep their last state. An endpoint that is known to be
-//! draining is ejected.
+//! Responses of the endpoint list that are invalid, truncated, outdated or sent twice. Only the invalid
+//! entries of a response are ignored, and their endpoints keep their last state. An endpoint that is known to
+//! be draining is ejected.
 
 use crate::support::{endpoint_entry, ControlPlane, FakeRelay, ListResponse, Testbed};
 use serde_json::{json, Value};
--- a/control-plane/tests/sockets/proxy_stream.rs
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -1,4 +1,4 @@
-//! The event stream of the relay: which proxies have joined.
+//! The relay's event stream, which tells the control plane which proxies have joined.
 
 use crate::support::Testbed;
 use serde_json::{json, Value};
@@ -10,12 +10,13 @@
     relay.next_command("attach");
     relay.reopen_event_stream_with_last_proxy();
     control_plane.wait_for_log("proxy stream lost");
-    // The proxy that is named may have left and joined again meanwhile, so its table is assigned again.
+    // The listed proxy may have left and rejoined in the meantime, so its table is assigned again.
     assert_eq!(relay.next_command("attach")["node"], 8);
     control_plane.wait_for_status(r#""proxies":1,"#);
 }
 
-/// A silence that passes costs no assignment, and no proxy that joined during it is missed.
+/// A stream that was silent for a while and resumes needs no repeated assignments, and no proxy that joined
+/// during the silence is missed.
 #[test]
 fn a_silent_stream_is_kept_until_another_one_opens() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
@@ -28,17 +29,17 @@
     control_plane.wait_for_status(r#""proxies":2,"#);
 }
 
-fn hello(proxy: u32, rate: Value) -> Value {
+fn joined_event(proxy: u32, rate: Value) -> Value {
     json!({"type": "hello", "object": {"node": proxy, "locality": "north", "w": rate, "cold": false}})
 }
 
 #[test]
-fn a_proxy_with_an_unreadable_line_in_a_reopened_stream_has_not_left() {
-    for invalid in [hello(8, json!("x")), json!({"type": "hello", "object": {"node": []}})] {
+fn a_proxy_with_an_invalid_event_in_a_reopened_stream_has_not_left() {
+    for invalid in [joined_event(8, json!("x")), json!({"type": "hello", "object": {"node": []}})] {
         let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
         relay.join_proxy(8);
         relay.next_command("attach");
-        relay.reopen_event_stream_with(&[hello(7, json!(20.5)), invalid]);
+        relay.reopen_event_stream_with(&[joined_event(7, json!(20.5)), invalid]);
         control_plane.wait_for_log("proxy stream connected");
         control_plane.wait_for_log("proxy stream event skipped");
         // Proxy 7 is assigned its table again once the lines that the stream begins with have been read.
--- a/control-plane/tests/sockets/shutdown.rs
+++ b/control-plane/tests/sockets/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of the process: what has to be finished before it. Each race is forced, by an answer that the relay withholds
-//! or by a process that is suspended while everything arrives.
+//! Shutdown: the work that has to be completed before the process exits. Each race is forced, either by a
+//! response that the relay withholds or by suspending the process while signals and requests arrive.
 
 use crate::support::{
     config_with_peers, encode_frame, endpoint_entry, read_frame, wait_for, ControlPlane, FakeEndpointList,
@@ -16,11 +16,12 @@
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
-/// `a` drains, and the relay withholds its answer to the call that ejects it; then `b` drains, and the control loop knows.
+/// Drains `a`, with the relay withholding its response to the call that ejects it, and then drains `b`.
+/// Returns once the control loop has received the change of `b`.
 pub fn drain_during_a_call(relay: &FakeRelay, list: &FakeEndpointList) {
     relay.queue_behavior(RelayBehavior::WithholdsResponse);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
-    assert!(relay.next_call_with("eject").iter().any(|o| o["endpoint"] == "a"));
+    assert!(relay.next_call_with("eject").iter().any(|command| command["endpoint"] == "a"));
     list.wait_until_up_to_date();
     list.publish_changes(&[endpoint_entry("b", "leaving")]);
     // The list is polled again once the control loop has the change.
@@ -37,10 +38,13 @@
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
-/// Waits for the ejection. A call whose answer was withheld for too long is repeated before it.
+/// Waits for the ejection of an endpoint. Before it, a call whose response was withheld for too long may be
+/// repeated.
 pub fn wait_for_ejection(relay: &FakeRelay, endpoint: &str) {
     let ejects = |command: &Value| command["op"] == "eject" && command["endpoint"] == endpoint;
-    wait_for(endpoint, || relay.next_call().iter().any(ejects).then_some(()));
+    wait_for(&format!("the ejection of endpoint {endpoint}"), || {
+        relay.next_call().iter().any(ejects).then_some(())
+    });
 }
 
 #[test]
@@ -54,7 +58,7 @@
 }
 
 #[test]
-fn an_unanswered_call_is_repeated_once_before_exit() {
+fn a_call_without_response_is_repeated_once_before_exit() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::DoesNotRespond);
     list.publish_changes(&[endpoint_entry("a", "leaving")]);
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn requests_before_the_signal_are_answered_and_a_silent_connection_delays_nothing() {
+fn requests_before_the_signal_are_answered_and_a_silent_connection_does_not_delay_exit() {
     let Testbed { mut control_plane, .. } = Testbed::start_with_proxy();
     let _silent = control_plane.connect();
     let (mut probe, mut page) = control_plane.while_suspended(|| {
@@ -99,16 +103,16 @@
     control_plane.send_signal("TERM");
     assert_eq!(control_plane.wait_for_log("shutting down")["signal"], "SIGTERM");
     let refused = || TcpStream::connect(control_plane.address).err();
-    assert_eq!(wait_for("a closed address", refused).kind(), ErrorKind::ConnectionRefused);
+    assert_eq!(wait_for("a refused connection", refused).kind(), ErrorKind::ConnectionRefused);
     relay.release_response();
-    // The process had not ended yet when it refused the connection.
+    // The process was still running when the connection was refused.
     wait_for_ejection(&relay, "b");
     assert_eq!(control_plane.wait_for_exit(), Some(0));
 }
 
-/// Nothing can be finished then: the next start makes up for it.
+/// A killed process can't complete its work, so the next start has to.
 #[test]
-fn a_restart_after_a_kill_ejects_what_only_its_outdated_config_lists() {
+fn a_restart_after_a_kill_ejects_an_endpoint_that_only_the_outdated_config_lists() {
     let Testbed { list, relay, mut control_plane } = Testbed::start_with_proxy();
     relay.queue_behavior(RelayBehavior::WithholdsResponse);
     list.publish(&[endpoint_entry("b", "active")], &[endpoint_entry("a", "leaving")]);
@@ -116,16 +120,23 @@
     control_plane.child.kill().unwrap();
     control_plane.child.wait().unwrap();
     relay.release_response();
-    let mut old = config_with_peers(list.address, relay.address);
-    old["known"]["hosts"] = json!([endpoint_entry("a", "active"), endpoint_entry("b", "active")]);
-    let _restarted = ControlPlane::start_with(&old);
-    let mut lines = Vec::new();
-    wait_for("a ejected and 7 assigned", || {
-        lines.extend(relay.next_call());
-        let has = |op, field, to: Value| lines.iter().any(|o| o["op"] == op && o[field] == to);
+    let mut outdated = config_with_peers(list.address, relay.address);
+    outdated["known"]["hosts"] = json!([endpoint_entry("a", "active"), endpoint_entry("b", "active")]);
+    let _restarted = ControlPlane::start_with(&outdated);
+    let mut commands = Vec::new();
+    wait_for("the ejection of endpoint a and the assignment of proxy 7", || {
+        commands.extend(relay.next_call());
+        let has = |op, field, value: Value| {
+            commands.iter().any(|command| command["op"] == op && command[field] == value)
+        };
         (has("eject", "endpoint", "a".into()) && has("attach", "node", 7.into())).then_some(())
     });
-    let stands = |id: &str| lines.iter().rfind(|o| o["op"] == "put" && o["endpoint"] == id).map(|o| &o["w"]);
-    assert!(stands("a").is_none_or(|w| *w == 0.0), "{lines:?}");
-    assert!(stands("b").is_some_and(|w| w.as_f64() > Some(0.0)), "{lines:?}");
+    let last_weight = |id: &str| {
+        commands
+            .iter()
+            .rfind(|command| command["op"] == "put" && command["endpoint"] == id)
+            .map(|command| &command["w"])
+    };
+    assert!(last_weight("a").is_none_or(|w| *w == 0.0), "{commands:?}");
+    assert!(last_weight("b").is_some_and(|w| w.as_f64() > Some(0.0)), "{commands:?}");
 }
