--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Decodes the endpoint list. Its names on the wire are mapped here and nowhere else.
+//! Decodes the endpoint list. This is the only module that knows its wire names.
 
 use crate::deployment_names::DeploymentNames;
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -7,54 +7,54 @@
 use serde_json::Value;
 
 const ENTRY: &str = "list entry";
-/// The zone of an endpoint whose zone the settings do not name: it is far from all that they do.
+/// Zone number of an endpoint whose zone is not in the settings: the endpoint is in no proxy's zone.
 const UNKNOWN_ZONE: u32 = u32::MAX;
 const DEFAULT_ZONE: u32 = 0;
 const DEFAULT_WEIGHT: f64 = 1.0;
 const US_PER_MS: i64 = 1000;
 
-/// An answer of the endpoint list.
+/// A response of the endpoint list.
 pub struct EndpointList {
-    /// Grows with each change.
+    /// Version of the list, which increases with each change.
     pub version: u64,
-    /// Whether it names all endpoints; else only those that changed.
+    /// Whether the response contains all endpoints, rather than only those that changed.
     pub whole: bool,
-    /// The valid entries.
+    /// The changes from the valid entries.
     pub updates: Vec<EndpointUpdate>,
-    /// The others.
+    /// The invalid entries.
     pub invalid: Vec<InvalidEntry>,
 }
 
-/// An entry that can't be used.
+/// An entry that is invalid.
 #[derive(Debug, thiserror::Error)]
 #[error("entry {position}: {reason}")]
 pub struct InvalidEntry {
-    /// Its position in the answer.
+    /// Position of the entry in the response.
     pub position: usize,
-    /// Which endpoint it describes, where that much can be read.
+    /// The endpoint of the entry, if the entry has a readable name of it.
     pub id: Option<EndpointId>,
-    /// What is wrong with it.
-    pub reason: InvalidEndpoint,
+    /// Why the entry is invalid.
+    pub reason: InvalidEntryReason,
 }
 
-/// What is wrong with an entry.
+/// Why an entry is invalid.
 #[derive(Debug, thiserror::Error)]
-pub enum InvalidEndpoint {
+pub enum InvalidEntryReason {
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// The endpoint is in a state that does not exist.
-    #[error("{ENTRY}: field 'health' is unknown: '{0}'")]
+    /// There is no such endpoint state.
+    #[error("{ENTRY}: field 'health' is not 'active', 'leaving' or 'left': '{0}'")]
     UnknownState(String),
 }
 
 impl EndpointList {
-    /// Decodes an answer. Invalid entries are left out one by one.
+    /// Decodes a response. Invalid entries are skipped and do not affect the others.
     ///
     /// # Errors
-    /// The answer as a whole is malformed.
-    pub fn decode(answer: &Value, names: &DeploymentNames) -> Result<Self, JsonFieldError> {
-        let fields = JsonFields::from_object(answer, "list")?;
+    /// The response as a whole is malformed.
+    pub fn decode(response: &Value, names: &DeploymentNames) -> Result<Self, JsonFieldError> {
+        let fields = JsonFields::from_object(response, "list")?;
         let version = fields.u64("seq")?;
         let whole = fields.bool("whole");
         let mut updates = Vec::new();
@@ -62,28 +62,28 @@
         for (position, entry) in fields.array("hosts")?.iter().enumerate() {
             match decode_entry(entry, names) {
                 Ok(update) => updates.push(update),
-                Err(reason) => invalid.push(InvalidEntry { position, id: endpoint_id(entry), reason }),
+                Err(reason) => invalid.push(InvalidEntry { position, id: decode_id(entry), reason }),
             }
         }
         Ok(EndpointList { version, whole, updates, invalid })
     }
 }
 
-fn endpoint_id(entry: &Value) -> Option<EndpointId> {
+fn decode_id(entry: &Value) -> Option<EndpointId> {
     entry.get("host")?.as_str().map(EndpointId::from)
 }
 
-fn decode_entry(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, InvalidEndpoint> {
+fn decode_entry(entry: &Value, names: &DeploymentNames) -> Result<EndpointUpdate, InvalidEntryReason> {
     let fields = JsonFields::from_object(entry, ENTRY)?;
     let id = fields.string("host")?.into();
-    let state = endpoint_state(fields.string("health")?)?;
-    let zone = zone(&fields, names);
-    let weight = weight(&fields);
-    let started = started(&fields);
+    let state = decode_state(fields.string("health")?)?;
+    let zone = decode_zone(&fields, names);
+    let weight = decode_weight(&fields);
+    let started = decode_start_time(&fields);
     if state == EndpointState::Ready {
         return Ok(EndpointUpdate { id, zone: zone?, weight: weight?, state, started: started? });
     }
-    // An endpoint that drains or is removed has to be left, whatever else is wrong with its entry.
+    // Traffic has to leave a draining or removed endpoint, even if other fields of its entry are invalid.
     Ok(EndpointUpdate {
         id,
         zone: zone.unwrap_or(DEFAULT_ZONE),
@@ -93,16 +93,16 @@
     })
 }
 
-fn endpoint_state(health: &str) -> Result<EndpointState, InvalidEndpoint> {
+fn decode_state(health: &str) -> Result<EndpointState, InvalidEntryReason> {
     match health {
         "active" => Ok(EndpointState::Ready),
         "leaving" => Ok(EndpointState::Draining),
         "left" => Ok(EndpointState::Removed),
-        other => Err(InvalidEndpoint::UnknownState(other.to_owned())),
+        other => Err(InvalidEntryReason::UnknownState(other.to_owned())),
     }
 }
 
-fn zone(fields: &JsonFields, names: &DeploymentNames) -> Result<u32, JsonFieldError> {
+fn decode_zone(fields: &JsonFields, names: &DeploymentNames) -> Result<u32, JsonFieldError> {
     if !fields.has("site") {
         return Ok(DEFAULT_ZONE);
     }
@@ -110,15 +110,15 @@
     Ok(names.zone(name).unwrap_or(UNKNOWN_ZONE))
 }
 
-fn weight(fields: &JsonFields) -> Result<f64, JsonFieldError> {
+fn decode_weight(fields: &JsonFields) -> Result<f64, JsonFieldError> {
     if !fields.has("share") {
         return Ok(DEFAULT_WEIGHT);
     }
     fields.non_negative("share")
 }
 
-/// When the endpoint started; nothing where the list does not say, which it does not of a start long past.
-fn started(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
+/// When the endpoint started, or `None` if the list does not say, as for endpoints that started long ago.
+fn decode_start_time(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
     let started_ms = fields.i64_or("born_ms", 0)?;
     if started_ms <= 0 {
         return Ok(None);
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,5 +1,6 @@
-//! Watches the endpoint list: reads it whole once, then polls for changes. The controller says when a watch begins, at
-//! the start and after a call that failed. An invalid entry is left out alone: the endpoint stays in its last state.
+//! Watches the endpoint list: reads the whole list once, then polls for changes. The controller requests the
+//! watch at the start and again after each failed call. An invalid entry is skipped, and its endpoint keeps
+//! its last state.
 
 use crate::call_error::CallError;
 use crate::client::PeerClient;
@@ -15,56 +16,58 @@
 use std::time::Duration;
 use tokio::sync::{watch, Notify};
 
-const PATH: &str = "/v1/servers";
-/// How long a poll may wait for a change: a list that has fallen silent is noticed this late.
+const LIST_PATH: &str = "/v1/servers";
+/// How long the server may hold a poll that finds no change. A list that stops answering is noticed only
+/// after this time.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What a watch needs.
+/// The parameters and channels of a watch.
 #[derive(Clone)]
 pub struct EndpointWatch {
-    /// Where the list is. At a new address it is read whole at once.
+    /// Address of the list. When it changes, the whole list is read from the new address at once.
     pub address: watch::Receiver<SocketAddr>,
-    /// The longest answer, in bytes.
-    pub max_answer_bytes: usize,
-    /// The names of the settings.
+    /// Size limit of a response, in bytes.
+    pub max_response_bytes: usize,
+    /// Zones, request classes and proxies of the settings.
     pub names: Rc<DeploymentNames>,
-    /// Notified when the controller wants the list to be watched.
-    pub requests: Rc<Notify>,
-    /// Where the answers go.
+    /// Notified when the controller requests the watch.
+    pub watch_requests: Rc<Notify>,
+    /// Passes changes and failures on to the control loop.
     pub events: EventSender,
     /// Where to log.
     pub log: Logger,
 }
 
 impl EndpointWatch {
-    /// Watches for ever.
+    /// Watches the list and never returns.
     pub async fn run(self) {
-        // The controller does not know of a watch that panicked, so its successor does not wait for a request.
-        self.requests.notify_one();
+        // A watch that is restarted after a panic gets no request from the controller, so it starts without
+        // one.
+        self.watch_requests.notify_one();
         Watcher::new(self).run().await;
     }
 }
 
-/// A watch that runs.
+/// A watch in progress.
 struct Watcher {
     context: EndpointWatch,
-    peer: PeerClient,
-    /// The version that changes are polled for since; without one the list is read whole.
+    client: PeerClient,
+    /// The version since which changes are polled. If there is none, the whole list is read.
     version: Option<u64>,
-    /// Whether to poll; else the controller is to request it.
+    /// Whether to poll. If not, the controller has to request the watch first.
     polling: bool,
-    /// The latest call failed.
+    /// Whether the latest call failed.
     failing: bool,
     invalid_entry_log: LogRateLimit,
 }
 
 impl Watcher {
     fn new(mut context: EndpointWatch) -> Self {
-        let peer = PeerClient::new(*context.address.borrow_and_update());
+        let client = PeerClient::new(*context.address.borrow_and_update());
         Watcher {
             context,
-            peer,
+            client,
             version: None,
             polling: false,
             failing: false,
@@ -74,18 +77,23 @@
 
     async fn run(mut self) {
         loop {
-            let answer = tokio::select! {
-                () = self.context.requests.notified(), if !self.polling => {
+            let response = tokio::select! {
+                () = self.context.watch_requests.notified(), if !self.polling => {
                     self.polling = true;
                     continue;
                 }
-                answer = poll(&self.peer, self.version, &self.context.names, self.context.max_answer_bytes), if self.polling => answer,
+                response = poll(
+                    &self.client,
+                    self.version,
+                    &self.context.names,
+                    self.context.max_response_bytes,
+                ), if self.polling => response,
                 Ok(()) = self.context.address.changed() => {
                     self.move_to_new_address();
                     continue;
                 }
             };
-            match answer {
+            match response {
                 Ok(list) => self.list_received(list).await,
                 Err(error) => self.call_failed(&error).await,
             }
@@ -93,24 +101,25 @@
     }
 
     fn move_to_new_address(&mut self) {
-        self.peer = PeerClient::new(*self.context.address.borrow_and_update());
+        self.client = PeerClient::new(*self.context.address.borrow_and_update());
         self.version = None;
         self.polling = true;
     }
 
     async fn list_received(&mut self, list: EndpointList) {
         if self.failing || self.version.is_none() {
-            info!(self.context.log, "endpoint watch established"; "version" => list.version, "endpoints" => list.updates.len());
+            info!(self.context.log, "endpoint watch established";
+                "version" => list.version, "endpoints" => list.updates.len());
         }
         self.failing = false;
         self.version = Some(list.version);
-        self.report_invalid(&list.invalid);
-        let missed_a_change = misses_a_change(&list);
+        self.record_invalid_entries(&list.invalid);
+        let missed_change = may_miss_change(&list);
         if list.whole || !list.updates.is_empty() {
-            self.context.events.send(event_of(list)).await;
+            self.context.events.send(into_event(list)).await;
         }
-        if missed_a_change {
-            self.read_whole_on_request().await;
+        if missed_change {
+            self.stop_polling_and_discard_version().await;
         }
     }
 
@@ -119,26 +128,26 @@
             warn!(self.context.log, "endpoint watch failed"; "why" => #error, "version" => self.version);
         }
         self.failing = true;
-        // An unreadable answer may have held a change, which no later one repeats; a list that has lost its state may
-        // reject a poll since a version that it does not know.
+        // An invalid response may have contained a change, which no later response repeats. A server that has
+        // lost its state may reject a poll since a version that it does not know.
         if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
-            self.wait_for_request().await;
+            self.stop_polling().await;
         } else {
-            self.read_whole_on_request().await;
+            self.stop_polling_and_discard_version().await;
         }
     }
 
-    async fn read_whole_on_request(&mut self) {
+    async fn stop_polling_and_discard_version(&mut self) {
         self.version = None;
-        self.wait_for_request().await;
+        self.stop_polling().await;
     }
 
-    async fn wait_for_request(&mut self) {
+    async fn stop_polling(&mut self) {
         self.polling = false;
         self.context.events.send(Event::EndpointWatchFailed).await;
     }
 
-    fn report_invalid(&mut self, entries: &[InvalidEntry]) {
+    fn record_invalid_entries(&mut self, entries: &[InvalidEntry]) {
         for entry in entries {
             self.context.events.metrics.invalid_inputs.increment();
             if let Some(times) = self.invalid_entry_log.record() {
@@ -148,8 +157,9 @@
     }
 }
 
-/// Whether an invalid entry hides something that no later answer repeats: any change, or which endpoint it was about.
-fn misses_a_change(list: &EndpointList) -> bool {
+/// Whether information that no later response repeats was lost with an invalid entry: a change, or the
+/// endpoint's name.
+fn may_miss_change(list: &EndpointList) -> bool {
     has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
 }
 
@@ -157,9 +167,9 @@
     list.invalid.iter().any(|entry| entry.id.is_none())
 }
 
-/// An endpoint whose entry is invalid is not missing from the list. Where an entry does not even name its endpoint, no
-/// endpoint is taken as missing.
-fn event_of(list: EndpointList) -> Event {
+/// Converts a response to an event. An endpoint with an invalid entry does not count as removed from the
+/// list. If an entry does not even name its endpoint, no endpoint counts as removed.
+fn into_event(list: EndpointList) -> Event {
     if list.whole && !has_unidentified_entry(&list) {
         let invalid = list.invalid.into_iter().filter_map(|entry| entry.id).collect();
         Event::EndpointListReplaced { updates: list.updates, invalid }
@@ -168,42 +178,44 @@
     }
 }
 
-/// Reads the whole list, or waits for what has changed since a version.
+/// Reads the whole list, or waits for the changes since a version.
 async fn poll(
-    peer: &PeerClient,
+    client: &PeerClient,
     version: Option<u64>,
     names: &DeploymentNames,
     max_bytes: usize,
 ) -> Result<EndpointList, CallError> {
     let (path, timeout) = match version {
-        None => (PATH.to_owned(), ANSWER_TIMEOUT),
+        None => (LIST_PATH.to_owned(), RESPONSE_TIMEOUT),
         Some(version) => {
             let wait_ms = POLL_WAIT.as_millis();
-            (format!("{PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + ANSWER_TIMEOUT)
+            (format!("{LIST_PATH}?since={version}&timeout_ms={wait_ms}"), POLL_WAIT + RESPONSE_TIMEOUT)
         }
     };
-    let (status, body) = peer.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
+    let (status, body) = client.call(Method::GET, &path, Bytes::new(), timeout, max_bytes).await?;
     if status != StatusCode::OK {
-        return Err(CallError::Rejected(format!("status {status}").into()));
+        return Err(CallError::Rejected(format!("expected status 200, got {status}").into()));
     }
     let value = serde_json::from_slice(&body).map_err(|error| CallError::InvalidData(error.into()))?;
     let list = EndpointList::decode(&value, names).map_err(|error| CallError::InvalidData(error.into()))?;
-    check_continues(&list, version)?;
+    check_version(&list, version)?;
     Ok(list)
 }
 
-/// Checks that an answer goes on from the version that was asked for.
+/// Checks that a response follows the requested version.
 ///
-/// A change older than that was delayed on its way, or the list has lost its state and its versions begin again: only the
-/// whole list shows which. Where the whole list was requested, a part would be mistaken for it.
-fn check_continues(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
+/// If it is older, either the response was delayed, or the server has lost its state and counts versions from
+/// the start again. Only the whole list shows which. If the whole list was requested, a response with changes
+/// only is an error, as it would be mistaken for the whole list.
+fn check_version(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
         return Ok(());
     }
     match version {
-        None => Err(CallError::InvalidData("a part where the whole list was asked for".into())),
-        Some(known) if list.version < known => {
-            Err(CallError::InvalidData(format!("a change of version {}", list.version).into()))
+        None => Err(CallError::InvalidData("expected the whole list, got changes only".into())),
+        Some(polled) if list.version < polled => {
+            let reason = format!("expected changes since version {polled}, got version {}", list.version);
+            Err(CallError::InvalidData(reason.into()))
         }
         Some(_) => Ok(()),
     }
