--- a/control-plane/tests/sockets/config_reload.rs
+++ b/control-plane/tests/sockets/config_reload.rs
@@ -7,7 +7,7 @@
 };
 use serde_json::json;
 
-/// Reloads a configuration with a new endpoint list and a new relay, which has `proxy` joined.
+/// Reloads a configuration with a new endpoint list and a new relay, which lists `proxy` as joined.
 fn reload_with_new_peers(
     control_plane: &ControlPlane,
     endpoints: &[&str],
--- a/control-plane/tests/sockets/support/control_plane.rs
+++ b/control-plane/tests/sockets/support/control_plane.rs
@@ -131,7 +131,7 @@
         self.send_signal("STOP");
         let stat_path = format!("/proc/{}/stat", self.child.id());
         let stat = || std::fs::read_to_string(&stat_path).ok();
-        wait_for("suspension", || stat().filter(|stat| stat.contains(") T ")));
+        wait_for("the process to be suspended", || stat().filter(|stat| stat.contains(") T ")));
         let result = action();
         self.send_signal("CONT");
         result
