--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -1,5 +1,5 @@
-//! The state of the process: the instances of the controller, the clock and the pages of the endpoint list. It hands
-//! each message to the instance that it names and gathers the reply to a batch.
+//! The state of the process: the controller instances, the simulated time and the pages of the endpoint list.
+//! Passes each message to the instance that it names and collects the reply to a batch.
 
 use crate::decode::{decode_event, EndpointPages, Event, Message, MessageError};
 use crate::encode;
@@ -10,29 +10,30 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Whether more lines of a batch are to come before it is answered.
+/// Whether the current batch is complete and can be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// The batch goes on.
+    /// More lines of the batch follow.
     Open,
-    /// The batch has ended: the simulator waits for the reply.
+    /// The batch is complete, and the simulator waits for the reply.
     Complete,
 }
 
-/// All instances that run in this process. They share the clock and the pages, and nothing else.
+/// All controller instances in this process. They share the simulated time and the pages of the endpoint
+/// list, and nothing else.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Controller<WireHost>>,
     pages: EndpointPages,
     now: Moment,
-    /// The number of the current batch, which its reply repeats.
+    /// The number of the current batch, which the reply repeats.
     batch_serial: u64,
-    /// Encoded reports of instances that panicked in the current batch.
+    /// The encoded failure reports of instances that panicked during the current batch.
     failure_reports: Vec<u8>,
 }
 
 impl Adapter {
-    /// Handles one line of a batch. A line that returns an error has changed nothing.
+    /// Handles one line of a batch. Returns an error, and changes nothing, if the line is invalid.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<BatchState, MessageError> {
         let value: Value = serde_json::from_slice(line)?;
         match Message::decode(&value)? {
@@ -76,7 +77,8 @@
         Ok(())
     }
 
-    /// Runs a call on behalf of an instance. A panic stops that instance alone and is reported to the simulator.
+    /// Runs a call on behalf of an instance. If it panics, only that instance is stopped, and the panic is
+    /// reported to the simulator.
     fn guard_instance(&mut self, instance: u64, call: impl FnOnce(&mut Self)) {
         if let Err(panic) = catch_panic(|| call(self)) {
             self.instances.remove(&instance);
@@ -87,7 +89,8 @@
         }
     }
 
-    /// The reply to the batch: reports of failed instances, the commands of each instance, the number of the batch.
+    /// Returns the reply to the batch: the reports of failed instances, the commands of each instance and the
+    /// number of the batch.
     pub fn take_reply(&mut self) -> Vec<u8> {
         let mut reply = std::mem::take(&mut self.failure_reports);
         for controller in self.instances.values_mut() {
@@ -98,7 +101,8 @@
     }
 }
 
-/// Calls the method of the controller that an event is for, and tells the validator what the controller may name.
+/// Passes an event to the controller, after updating the endpoints, proxies and shards that the validator
+/// allows in commands.
 fn dispatch(controller: &mut Controller<WireHost>, now: Moment, event: Event) {
     match event {
         Event::EndpointsUpdated(entries) => {
--- a/simulator-adapter/src/adapter/tests.rs
+++ b/simulator-adapter/src/adapter/tests.rs
@@ -1,4 +1,4 @@
-//! Odd input at the adapter, one kind a test.
+//! Valid, unusual and invalid input lines, panics of a controller, and commands that must not be sent.
 
 use super::*;
 
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -1,5 +1,5 @@
-//! Decodes the simulator's messages. This is the one place where the words of its wire are mapped to the field's terms;
-//! the commands that go back are encoded by `encode` and `wire_host`.
+//! Decodes the simulator's messages. Their wire names appear only in this module; those of replies and
+//! commands appear only in `encode` and `wire_host`.
 
 use otterwinch::config::ControllerConfig;
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate, Timer};
@@ -8,10 +8,10 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The pages of the endpoint list that were received, by number. Events refer to them.
+/// The pages of the endpoint list received so far, by page number.
 pub type EndpointPages = BTreeMap<u64, Vec<EndpointUpdate>>;
 
-/// Why a line can't be used.
+/// Why a line is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The line is not JSON.
@@ -20,89 +20,89 @@
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// No message is of this kind.
+    /// The message's kind is unknown.
     #[error("message {kind} is unknown")]
     UnknownKind {
-        /// The kind that the message states.
+        /// The message's kind.
         kind: String,
     },
-    /// An event is for an instance that does not run.
+    /// The event is for an instance that is not running.
     #[error("{kind}: no instance {instance} is up")]
     UnknownInstance {
-        /// The kind of the message.
+        /// The event's kind.
         kind: String,
-        /// The instance that it names.
+        /// The instance's number.
         instance: u64,
     },
-    /// An entry of the endpoint list is in no known state.
+    /// The state of an endpoint list entry is unknown.
     #[error("PAGE entry: health {health} is unknown")]
     UnknownHealth {
-        /// The number of the state.
+        /// The number that should identify a state.
         health: u64,
     },
-    /// A change of the endpoint list is of no known form.
+    /// The form of an endpoint list event is unknown.
     #[error("TOPOLOGY: form {form} is unknown")]
     UnknownListForm {
-        /// The number of the form.
+        /// The number that should identify a form.
         form: u64,
     },
-    /// A change of the endpoint list refers to a page that was not received.
+    /// An endpoint list event refers to a page that was not received.
     #[error("TOPOLOGY: page {page} never came")]
     UnknownPage {
-        /// The number of the page.
+        /// The page's number.
         page: u64,
     },
-    /// No timer has this number.
+    /// The timer is unknown.
     #[error("BELL: timer {label} is unknown")]
     UnknownTimer {
-        /// The number of the timer.
+        /// The number that should identify a timer.
         label: u64,
     },
 }
 
-/// One message of the wire.
+/// One message from the simulator.
 pub enum Message<'a> {
-    /// A batch begins.
+    /// The start of a batch.
     Tick {
         /// The simulated time of the batch.
         now: Moment,
-        /// The number of the batch.
+        /// The batch's number, which the reply repeats.
         serial: u64,
     },
-    /// The batch has ended and waits for its reply.
+    /// The end of a batch. The simulator waits for the reply.
     EndOfBatch,
-    /// A page of the endpoint list, which later events refer to.
+    /// A page of the endpoint list. Later events refer to it by its number.
     EndpointPage {
-        /// The number of the page.
+        /// The page's number.
         page: u64,
-        /// Its entries.
+        /// The page's entries.
         entries: Vec<EndpointUpdate>,
     },
-    /// An instance of the controller is to start.
+    /// Starts a controller instance.
     StartInstance {
-        /// The number of the instance.
+        /// The instance's number.
         instance: u64,
-        /// Its configuration.
+        /// The controller's configuration.
         config: ControllerConfig,
-        /// The seed of all its chance.
+        /// The seed of the controller's random number generator.
         seed: u64,
     },
-    /// An instance is to stop.
+    /// Stops a controller instance.
     StopInstance {
-        /// The number of the instance.
+        /// The instance's number.
         instance: u64,
     },
     /// An event for an instance, to be decoded by [`decode_event`].
     ForInstance {
-        /// The number of the instance.
+        /// The instance's number.
         instance: u64,
-        /// The fields of the message.
+        /// The message's fields.
         fields: JsonFields<'a>,
     },
 }
 
 impl<'a> Message<'a> {
-    /// Decodes a line. What is for an instance is left undecoded, since that needs the pages.
+    /// Decodes a message. Events for an instance are left to [`decode_event`], since that needs the pages.
     pub fn decode(value: &'a Value) -> Result<Self, MessageError> {
         let fields = JsonFields::from_message(value, "kind")?;
         let message = match fields.kind {
@@ -125,81 +125,81 @@
     }
 }
 
-/// What happened to one instance.
+/// One decoded input for the controller of an instance.
 pub enum Event<'a> {
-    /// Some endpoints changed; the others stay as they are.
+    /// Some entries of the endpoint list changed.
     EndpointsUpdated(Vec<EndpointUpdate>),
-    /// These are all endpoints of the list.
+    /// The complete endpoint list.
     EndpointListReplaced(Vec<EndpointUpdate>),
-    /// The watch on the endpoint list failed.
+    /// Watching the endpoint list failed.
     EndpointWatchFailed,
     /// A proxy joined the instance.
     ProxyJoined {
-        /// The proxy.
+        /// The proxy's number.
         proxy: u32,
-        /// The position of its zone.
+        /// The position of the proxy's zone in the configuration.
         zone: u32,
-        /// It has just started and holds only the table that it drew itself.
+        /// Whether the proxy has just started, so that it still holds its initial table.
         fresh: bool,
-        /// The requests a second that it usually gets.
+        /// The proxy's usual rate, in requests per second.
         rate: f64,
     },
     /// A proxy left the instance.
     ProxyLeft {
-        /// The proxy.
+        /// The proxy's number.
         proxy: u32,
     },
-    /// A load report: what proxies met at one endpoint.
+    /// A load report about one endpoint.
     EndpointOutcomes {
-        /// The endpoint.
+        /// The endpoint's identifier. The endpoint list may not contain it.
         endpoint: &'a str,
-        /// Attempts that ended within the period.
+        /// The number of attempts that ended in the interval.
         attempts: f64,
-        /// Attempts that failed without an answer.
+        /// The number of those attempts that failed without an answer.
         failures: f64,
-        /// The latency of those that were answered.
+        /// The latency of the answered attempts.
         latency: Span,
-        /// The period of the report.
+        /// The length of time that the report covers.
         period: Span,
     },
-    /// Requests of one class that arrived.
+    /// A load report about one request class.
     Demand {
-        /// The position of the class.
+        /// The position of the class in the configuration.
         request_class: u32,
-        /// How many arrived.
+        /// The number of requests that arrived.
         requests: f64,
     },
     /// A timer of the instance fired.
     TimerFired(Timer),
-    /// The instance is to publish for a shard.
+    /// The instance becomes responsible for publishing a shard.
     ShardAssigned {
-        /// The shard.
+        /// The shard's number.
         shard: u32,
     },
-    /// The instance is not to publish for a shard any more.
+    /// The instance must stop publishing a shard.
     ShardRevoked {
-        /// The shard.
+        /// The shard's number.
         shard: u32,
     },
-    /// A weight that stands in the table of a shard that was just assigned.
+    /// A weight that was already published for an assigned shard.
     ShardWeightRestored {
-        /// The shard.
+        /// The shard's number.
         shard: u32,
-        /// The endpoint.
+        /// The endpoint's identifier.
         endpoint: EndpointId,
-        /// Its weight.
+        /// The published weight.
         weight: f64,
     },
-    /// A proxy applied the commands up to an acknowledgement that the instance requested.
+    /// A proxy acknowledged commands.
     Acknowledged {
-        /// The number of the request.
+        /// The number of the acknowledgement request.
         number: u32,
-        /// The proxy.
+        /// The proxy's number.
         proxy: u32,
     },
 }
 
-/// Decodes an event for an instance; `None` for kinds that no decision needs.
+/// Decodes an event for an instance. Returns `None` for kinds that the controller does not use.
 pub fn decode_event<'a>(
     fields: &JsonFields<'a>,
     pages: &EndpointPages,
@@ -231,7 +231,7 @@
             weight: fields.non_negative("weight")?,
         },
         "IN_FORCE" => Event::Acknowledged { number: fields.u32("epoch")?, proxy: fields.u32("px")? },
-        // Health check results, demand by shard and gossip.
+        // Health check results, demand per shard, and messages from other instances.
         "STATUS_BACK" | "KEY_LOAD" | "INBOX" => return Ok(None),
         kind => return Err(MessageError::UnknownKind { kind: kind.to_owned() }),
     };
@@ -287,7 +287,7 @@
         zone: if fields.has("campus") { fields.u32("campus")? } else { 0 },
         weight: if fields.has("weight") { fields.non_negative("weight")? } else { 1.0 },
         state,
-        // The wire leaves the start out, or says 0, where it is long past.
+        // The field is missing or 0 if the endpoint started long ago.
         started: (started_us > 0).then(|| Moment::from_us(started_us)),
     })
 }
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts instances of the controller on the simulator's wire: one JSON message a line, in batches. Each batch is read
-//! from standard input and answered with one reply on standard output; a line that can't be used is logged and skipped.
+//! Runs controller instances for the simulator. The protocol is one JSON message per line: a batch of
+//! messages is read from standard input and answered with one reply on standard output. An invalid line is
+//! logged to standard error and skipped.
 
 mod adapter;
 mod decode;
--- a/simulator-adapter/src/wire_host.rs
+++ b/simulator-adapter/src/wire_host.rs
@@ -1,5 +1,6 @@
-//! The host of one instance: encodes the commands of its controller for the simulator's wire. A command that the wire
-//! would refuse is logged and not sent, so that a fault in the controller costs one command and not the process.
+//! The host of one instance: encodes the commands of its controller for the simulator. A command that the
+//! simulator would reject is logged and not sent, so that a bug in the controller costs one command and not
+//! the process.
 
 use crate::encode;
 use otterwinch::config::ControllerConfig;
@@ -8,23 +9,23 @@
 use otterwinch_adapter_support::{CommandValidator, InvalidCommand};
 use serde_json::{json, Value};
 
-/// The wire refuses timers that are further off.
+/// The longest timer delay that the simulator accepts.
 const MAX_TIMER_DELAY: Span = Span::from_us(70 * 60 * 1_000_000);
 
-/// The shortest timer that the wire knows.
+/// The shortest timer delay that the simulator accepts.
 const MIN_TIMER_DELAY: Span = Span::from_us(1);
 
 /// Encodes the commands of one instance.
 pub struct WireHost {
     instance: u64,
-    /// What the instance may name in a command.
+    /// Validates commands before they are sent.
     pub validator: CommandValidator,
-    /// Commands since the last reply, one JSON message a line.
+    /// The commands issued since the last reply, as one JSON message per line.
     pub encoded_commands: Vec<u8>,
 }
 
 impl WireHost {
-    /// The host of an instance that was just started.
+    /// Creates the host of a new instance.
     pub fn new(instance: u64, config: &ControllerConfig) -> Self {
         WireHost { instance, validator: CommandValidator::new(config), encoded_commands: Vec::new() }
     }
