--- a/simulator-adapter/src/adapter/tests.rs
+++ b/simulator-adapter/src/adapter/tests.rs
@@ -63,14 +63,14 @@
         .handle_line(b"{\"kind\":")
         .unwrap_err()
         .to_string()
-        .starts_with("not a JSON value"));
+        .starts_with("not valid JSON: "));
 }
 
 #[test]
 fn an_event_for_an_instance_that_is_not_up_is_refused() {
     let error =
         Adapter::default().handle_line(br#"{"kind":"BELL","who":8,"label":1}"#).unwrap_err().to_string();
-    assert_eq!(error, "BELL: no instance 8 is up");
+    assert_eq!(error, "BELL: instance 8 is not running");
 }
 
 #[test]
@@ -79,7 +79,7 @@
         .handle_line(br#"{"kind":"TOPOLOGY","who":3,"form":1,"page":7}"#)
         .unwrap_err()
         .to_string();
-    assert_eq!(error, "TOPOLOGY: page 7 never came");
+    assert_eq!(error, "TOPOLOGY: page 7 was not received");
 }
 
 #[test]
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -15,19 +15,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
     /// The line is not JSON.
-    #[error("not a JSON value: {0}")]
+    #[error("not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
     /// The message's kind is unknown.
-    #[error("message {kind} is unknown")]
+    #[error("unknown message kind '{kind}'")]
     UnknownKind {
         /// The message's kind.
         kind: String,
     },
     /// The event is for an instance that is not running.
-    #[error("{kind}: no instance {instance} is up")]
+    #[error("{kind}: instance {instance} is not running")]
     UnknownInstance {
         /// The event's kind.
         kind: String,
@@ -35,25 +35,25 @@
         instance: u64,
     },
     /// The state of an endpoint list entry is unknown.
-    #[error("PAGE entry: health {health} is unknown")]
+    #[error("PAGE entry: field 'health' is not 0, 1 or 2: {health}")]
     UnknownHealth {
         /// The number that should identify a state.
         health: u64,
     },
     /// The form of an endpoint list event is unknown.
-    #[error("TOPOLOGY: form {form} is unknown")]
+    #[error("TOPOLOGY: field 'form' is not an integer from 0 to 3: {form}")]
     UnknownListForm {
         /// The number that should identify a form.
         form: u64,
     },
     /// An endpoint list event refers to a page that was not received.
-    #[error("TOPOLOGY: page {page} never came")]
+    #[error("TOPOLOGY: page {page} was not received")]
     UnknownPage {
         /// The page's number.
         page: u64,
     },
     /// The timer is unknown.
-    #[error("BELL: timer {label} is unknown")]
+    #[error("BELL: field 'label' is not the number of a timer: {label}")]
     UnknownTimer {
         /// The number that should identify a timer.
         label: u64,
