--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a contributor needs; CI runs .ci/run, which checks the same.
+# Shortcuts for development. CI runs .ci/run, which performs the same checks.
 .PHONY: build test lint run check
 
 build:
@@ -11,7 +11,7 @@
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
 
-# CONFIG is the file that the control plane reads at its start: make run CONFIG=config.json
+# CONFIG is the configuration file that the control plane reads on startup: make run CONFIG=config.json
 run: build
 	GW_CONFIG=$(CONFIG) target/release/otterwinch serve
 
