--- a/emulator/src/error.rs
+++ b/emulator/src/error.rs
@@ -1,52 +1,56 @@
-//! The errors of a testbed.
+//! The error type of the testbed.
 
 use std::io;
 use std::path::PathBuf;
 use tokio::task::JoinError;
 
-/// Why a testbed could not be started or a run failed.
+/// An error that prevents a testbed from starting or makes a run fail.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// An emulated party can't listen on its address.
-    #[error("an emulated party can't listen: {0}")]
+    /// An emulated server cannot listen on its address.
+    #[error("an emulated server cannot listen on its address: {0}")]
     Listen(#[from] io::Error),
-    /// The configuration or the log of a control-plane process can't be written.
-    #[error("{} can't be written: {source}", path.display())]
+    /// The configuration or log file of a control-plane process cannot be written.
+    #[error("cannot write control-plane file {}: {source}", path.display())]
     WriteFile {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The program of the control plane can't be started.
-    #[error("{} can't be started: {source}; build it first", path.display())]
+    /// The control-plane program cannot be started.
+    #[error("cannot start control-plane program {} (has it been built?): {source}", path.display())]
     StartProgram {
-        /// The program.
+        /// The path of the program.
         path: PathBuf,
-        /// The cause.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A control-plane process was started but doesn't answer health checks.
-    #[error("{} does not answer at {address}; its log: {}", path.display(), log.display())]
+    /// A control-plane process was started but did not answer a health check in time.
+    #[error(
+        "control-plane program {} does not answer health checks at {address}; see its log {}",
+        path.display(),
+        log.display()
+    )]
     Unresponsive {
-        /// The program.
+        /// The path of the program.
         path: PathBuf,
-        /// Where it should listen.
+        /// The address on which it is configured to listen.
         address: String,
-        /// Its log file.
+        /// The path of its log file.
         log: PathBuf,
     },
-    /// Some proxies were assigned no route table in time.
-    #[error("{waiting} of {proxies} proxies were assigned no route table within {limit_seconds} s")]
+    /// Some proxies were not assigned a route table in time.
+    #[error("{waiting} of {proxies} proxies were not assigned a route table within {limit_seconds} s")]
     NoRouteTable {
-        /// Proxies without a table.
+        /// The number of proxies without an assigned table.
         waiting: usize,
-        /// All proxies.
+        /// The number of all proxies.
         proxies: usize,
-        /// How long they were waited for.
+        /// The time limit in seconds.
         limit_seconds: u64,
     },
-    /// A task that injects a fault panicked.
-    #[error("a fault injection failed: {0}")]
+    /// A task that injects a fault panicked or was cancelled.
+    #[error("fault injection task failed: {0}")]
     FaultInjection(#[from] JoinError),
 }
