--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -1,7 +1,7 @@
-//! The emulated clients, an open loop: each request is sent when it is due, regardless of the others, and its latency
-//! counts from then.
+//! The emulated clients. They generate an open-loop load: each request is sent at its scheduled time,
+//! independent of the other requests, and its latency is measured from that time.
 //!
-//! `request.rs` has the life of one request, with its retries.
+//! `request.rs` sends one request, including its retries.
 
 mod request;
 
@@ -23,39 +23,39 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// Requests in flight at a time; one beyond them isn't sent, and counts as failed.
+/// The maximum number of requests in flight. A request that exceeds it is not sent and counts as failed.
 const MAX_IN_FLIGHT: usize = 20_000;
 
-/// The results as the clients measured them, and how well they kept their schedule.
+/// The results as measured by the clients, and how closely the clients kept to their schedule.
 #[derive(Clone, Debug)]
 pub struct ClientResults {
-    /// Counts and latencies of the requests.
+    /// Request counts and latencies.
     pub results: Results,
-    /// The longest time between the moment when a request was due and when it was sent.
+    /// The longest delay between the time at which a request was due and the time at which it was sent.
     pub max_lateness: Duration,
-    /// The mean of these times.
+    /// The mean of these delays.
     pub mean_lateness: Duration,
-    /// Requests that were not sent, since too many were in flight.
+    /// Requests that were not sent because too many were in flight.
     pub unsent: u64,
 }
 
-/// A view of the results while a load is sent.
+/// A handle that reads the results while the load is being sent.
 #[derive(Clone)]
 pub struct Progress(Arc<ClientState>);
 
 impl Progress {
-    /// Reads the results so far. Requests wait until the function returns.
+    /// Calls `read` with the results so far. Requests that record a result block until it returns.
     pub fn read<T>(&self, read: impl FnOnce(&Results) -> T) -> T {
         read(&lock(&self.0.results))
     }
 }
 
-/// What all requests share.
+/// State shared by all requests.
 struct ClientState {
     fleet: Fleet,
     http: Client<NetworkConnector, Empty<Bytes>>,
     live_proxies: Arc<LiveProxies>,
-    /// When the load begins.
+    /// The start of the load.
     begin: Instant,
     results: Mutex<Results>,
     rng: Mutex<Pcg64Mcg>,
@@ -70,7 +70,7 @@
     load_seconds: f64,
 }
 
-/// How late requests were sent.
+/// Statistics of the delay with which requests were sent.
 #[derive(Default)]
 struct Lateness {
     max: Duration,
@@ -91,7 +91,7 @@
 }
 
 impl Clients {
-    /// The clients for a load that begins at `begin`.
+    /// Creates the clients for a load that starts at `begin`.
     pub(crate) fn new(
         fleet: &Fleet,
         network: &Network,
@@ -117,12 +117,13 @@
         }
     }
 
-    /// A view of the results.
+    /// Returns a handle that reads the results so far.
     pub(crate) fn progress(&self) -> Progress {
         Progress(self.state.clone())
     }
 
-    /// Sends the requests of a load, each when it is due; returns after the last was sent.
+    /// Sends each request of a load at its scheduled time. Returns when the last one is sent, without waiting
+    /// for responses.
     pub(crate) async fn send(&mut self, load: impl Iterator<Item = ScheduledRequest>) {
         for request in load {
             self.load_seconds = self.load_seconds.max(request.at);
@@ -139,12 +140,12 @@
         }
     }
 
-    /// The time from the load's begin to its last request, in seconds.
+    /// The time from the start of the load to its last request, in seconds.
     pub(crate) fn load_seconds(&self) -> f64 {
         self.load_seconds
     }
 
-    /// Waits until all requests have ended.
+    /// Waits until all requests have ended, and returns the results.
     pub(crate) async fn finish(mut self) -> ClientResults {
         while self.in_flight.join_next().await.is_some() {}
         let results = lock(&self.state.results).clone();
--- a/emulator/src/clients/request.rs
+++ b/emulator/src/clients/request.rs
@@ -1,4 +1,5 @@
-//! The life of a request at its client: attempts and the waits between them, until it is answered or given up.
+//! One request of a client: its attempts and the waits between them, until it is answered or the client gives
+//! up.
 
 use super::ClientState;
 use crate::http::{NOT_EXECUTED_HEADER, REJECTED_HEADER, REQUEST_CLASS_HEADER, REQUEST_PATH, WORK_US_HEADER};
@@ -14,34 +15,38 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// The outcome of an attempt.
+/// The outcome of an attempt, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
+    /// A successful response arrived in time.
     Answered,
-    /// A proxy rejected it.
+    /// A proxy rejected the request.
     Rejected,
-    /// No endpoint began to execute it.
+    /// No endpoint started to execute the request.
     NotExecuted,
-    /// It failed, or the client gave up; it may have been executed.
+    /// The attempt failed or timed out; the request may have been executed.
     Failed,
 }
 
 impl AttemptOutcome {
-    /// Whether the request certainly had no effect.
+    /// Whether it is certain that no endpoint executed the request.
     fn is_not_executed(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::NotExecuted)
     }
 }
 
-/// The random choices for one attempt, each from 0 to 1.
+/// The random numbers for one attempt, each uniformly distributed from 0 to 1.
 struct AttemptSamples {
+    /// Selects the proxy.
     proxy: f64,
+    /// Selects the timeout of the attempt.
     timeout: f64,
-    /// For the wait before the next attempt.
+    /// Selects the wait before the next attempt.
     wait: f64,
 }
 
-/// Sends a request, which is due now, and records its attempts and its end.
+/// Sends a request that is due at `due`, retries it where allowed, and records its attempts and its final
+/// outcome.
 pub(super) async fn run(state: Arc<ClientState>, request: ScheduledRequest, due: Instant) {
     let client = RequestClient { state: &state, request: &request, due };
     let end = client.run().await;
@@ -82,7 +87,7 @@
         &self.state.fleet.request_classes[self.request.request_class]
     }
 
-    /// Sends the request once, to a proxy that is drawn anew.
+    /// Sends the request once, to a randomly selected proxy.
     async fn attempt(&self, samples: &AttemptSamples, expires: Instant) -> AttemptOutcome {
         let now = Instant::now();
         let gives_up_at = (now + self.attempt_timeout(samples)).min(expires);
@@ -94,20 +99,20 @@
         timeout_at(gives_up_at, attempt).await.unwrap_or(AttemptOutcome::Failed)
     }
 
-    /// How long the client waits for an answer: a part of the class's timeout.
+    /// The timeout of one attempt: a random fraction of the timeout of the request class.
     fn attempt_timeout(&self, samples: &AttemptSamples) -> Duration {
         let (min, max) = self.state.fleet.clients.attempt_timeout_fraction;
         duration(self.class().timeout).mul_f64(min + (max - min) * samples.timeout)
     }
 
-    /// How long the client waits before it retries.
+    /// The random wait before a retry.
     fn retry_wait(&self, samples: &AttemptSamples) -> Duration {
         let (min, max) = self.state.fleet.clients.retry_wait;
         let (min, max) = (duration(min), duration(max));
         min + (max - min).mul_f64(samples.wait)
     }
 
-    /// Whether a retry can't have the request executed twice.
+    /// Whether the request can be retried without the risk that it takes effect twice.
     fn is_safe_to_retry(&self, outcome: AttemptOutcome) -> bool {
         let class = self.class();
         match class.idempotency {
@@ -121,7 +126,8 @@
 }
 
 impl ClientState {
-    /// Draws all samples of an attempt at once, whether they are used or not, so that each attempt takes the same number.
+    /// Draws all random numbers of an attempt at once, so that each attempt takes the same number from the
+    /// generator whether they are used or not.
     fn draw_samples(&self) -> AttemptSamples {
         let mut rng = lock(&self.rng);
         let proxy = rng.random();
@@ -130,7 +136,7 @@
         AttemptSamples { proxy, timeout, wait }
     }
 
-    /// Sends a request to a proxy and waits for the answer.
+    /// Sends a request to a proxy and waits for the response.
     async fn send(&self, address: &str, request: &ScheduledRequest) -> AttemptOutcome {
         let message = Request::builder()
             .method("POST")
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -1,8 +1,9 @@
-//! An emulated endpoint: an HTTP/1.1 server that holds each request for as long as its work takes, with a number of
-//! cores, a bounded queue, a limit on connections, a warm-up during which overload makes it collapse, and faults.
+//! An emulated endpoint: an HTTP/1.1 server that holds each request for its execution time. It has a number
+//! of cores, a bounded queue, a connection limit, a warm-up during which overload makes it collapse, and
+//! injectable faults.
 //!
-//! `server.rs` accepts connections and answers requests, `executor.rs` has the cores and the queue, `condition.rs` the
-//! warm-up, the collapse and the faults, `counters.rs` what is counted.
+//! `server.rs` accepts connections and answers requests, `executor.rs` models the cores and the queue,
+//! `condition.rs` the warm-up, the collapse and the faults; `counters.rs` has the counters.
 
 mod condition;
 mod counters;
@@ -23,41 +24,40 @@
 use std::sync::{Arc, Mutex};
 use tokio::time::Instant;
 
-/// What an endpoint is started with.
+/// The parameters of a new endpoint.
 pub(crate) struct EndpointSpec<'a> {
-    /// Its group.
     pub(crate) group: &'a EndpointGroup,
     /// The index of the group in the fleet.
     pub(crate) group_index: usize,
-    /// Its index in the group.
+    /// The index of the endpoint in the group.
     pub(crate) index: u32,
-    /// Seconds of work that one of its cores does in a second.
+    /// The speed of one core: seconds of work that it completes per second.
     pub(crate) speed: f64,
-    /// When its warm-up began; `None` if that is long ago.
+    /// When the warm-up started; `None` if that was long ago.
     pub(crate) started: Option<Instant>,
-    /// The seed of the whole testbed.
+    /// The seed of the testbed.
     pub(crate) seed: u64,
 }
 
 /// A running endpoint. It stops when it is dropped.
 pub(crate) struct Endpoint {
-    /// Its identifier in the endpoint list.
+    /// The identifier in the endpoint list.
     pub(crate) name: String,
-    /// The index of its zone in the fleet.
+    /// The index of the zone in the fleet.
     pub(crate) zone: usize,
-    /// The index of its group in the fleet.
+    /// The index of the group in the fleet.
     pub(crate) group: usize,
-    /// Where it listens, before and after a restart.
+    /// The listen address. A restart keeps it.
     pub(crate) address: String,
     cores: u32,
     network: Network,
     server: Arc<EndpointServer>,
-    /// Accepts connections.
+    /// Runs the server.
     task: ServerTask,
 }
 
 impl Endpoint {
-    /// Starts an endpoint on an address of its own.
+    /// Starts an endpoint on a new address.
     pub(crate) fn start(network: &Network, spec: EndpointSpec) -> io::Result<Endpoint> {
         let EndpointSpec { group, group_index, index, seed, .. } = spec;
         let name = format!("{}-{index}", group.name);
@@ -85,42 +85,41 @@
         })
     }
 
-    /// The number of its cores.
     pub(crate) fn cores(&self) -> u32 {
         self.cores
     }
 
-    /// Requests that were executed.
+    /// Requests whose execution was started.
     pub(crate) fn accepted(&self) -> u64 {
         self.server.counters.accepted.load(Ordering::Relaxed)
     }
 
-    /// Requests that found the queue full.
+    /// Requests that were rejected because the queue was full.
     pub(crate) fn rejected(&self) -> u64 {
         self.server.counters.rejected.load(Ordering::Relaxed)
     }
 
-    /// Requests on connections above the limit.
+    /// Requests that were refused because they came on a connection above the limit.
     pub(crate) fn refused_connections(&self) -> u64 {
         self.server.counters.refused_connections.load(Ordering::Relaxed)
     }
 
-    /// Core time in use so far, in microseconds.
+    /// Core time used so far, in microseconds.
     pub(crate) fn used_core_us(&self) -> u64 {
         self.server.counters.used_core_us.load(Ordering::Relaxed)
     }
 
-    /// Whether it collapsed, and wasn't started again since.
+    /// Whether the endpoint has collapsed since its last start.
     pub(crate) fn collapsed(&self) -> bool {
         lock(&self.server.condition).collapsed
     }
 
-    /// Stops it at once: connections break, and new ones are refused.
+    /// Stops the endpoint at once: open connections break, and new ones are refused.
     pub(crate) fn crash(&self) {
         self.task.abort();
     }
 
-    /// Starts it again on its old address, without faults, at the beginning of its warm-up.
+    /// Restarts the endpoint on its address, without faults and at the start of its warm-up.
     pub(crate) fn restart(&self) -> io::Result<()> {
         self.crash();
         let listener = self.network.listen_again(&self.address)?;
@@ -129,17 +128,17 @@
         Ok(())
     }
 
-    /// Multiplies the execution time of requests; 1 ends the fault.
+    /// Multiplies the execution time of requests by a factor; 1 ends the fault.
     pub(crate) fn set_slowdown(&self, factor: f64) {
         lock(&self.server.condition).slowdown = factor;
     }
 
-    /// Makes this fraction of the requests fail at once; 0 ends the fault.
+    /// Makes a fraction of the requests fail at once; 0 ends the fault.
     pub(crate) fn set_failure_fraction(&self, fraction: f64) {
         lock(&self.server.condition).failure_fraction = fraction;
     }
 
-    /// Leaves requests without an answer, or ends the fault.
+    /// Leaves requests unanswered while `hanging` is set.
     pub(crate) fn set_hanging(&self, hanging: bool) {
         lock(&self.server.condition).hanging = hanging;
     }
--- a/emulator/src/endpoint/condition.rs
+++ b/emulator/src/endpoint/condition.rs
@@ -1,4 +1,5 @@
-//! The condition of an endpoint: its warm-up, its collapse under overload while it warms up, and its faults.
+//! The condition of an endpoint: its warm-up, its collapse under overload during the warm-up, and injected
+//! faults.
 
 use otterwinch::time::Span;
 use otterwinch_fleet::model::{EndpointGroup, OverloadCollapse, WarmUp};
@@ -8,44 +9,45 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What decides how an endpoint treats the next request.
+/// The state that determines how an endpoint handles the next request.
 pub(super) struct Condition {
-    /// The factor by which execution takes longer.
+    /// The factor by which the execution time is multiplied; 1 without a fault.
     pub(super) slowdown: f64,
     /// The fraction of requests that fail at once.
     pub(super) failure_fraction: f64,
-    /// Whether requests are left without an answer.
+    /// Whether requests are left unanswered.
     pub(super) hanging: bool,
-    /// Whether it collapsed since it was started.
+    /// Whether the endpoint has collapsed since its last start.
     pub(super) collapsed: bool,
     cores: u32,
     speed: f64,
     warm_up: Option<WarmUp>,
     overload_collapse: Option<OverloadCollapse>,
-    /// When the warm-up began; `None` if that is long ago.
+    /// When the warm-up started; `None` if that was long ago.
     started: Option<Instant>,
-    /// Work that arrived during the warm-up, within the window of the overload collapse.
+    /// The work that arrived during the warm-up within the time window of the overload collapse, oldest
+    /// first.
     recent_work: VecDeque<ArrivedWork>,
     rng: Pcg64Mcg,
 }
 
-/// The work of a request on arrival.
+/// The work of an arrived request.
 struct ArrivedWork {
     at: Instant,
     /// Seconds on a core of speed 1.
     work: f64,
 }
 
-/// How an arriving request is treated.
+/// How an arriving request is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestAction {
-    /// It is executed, or queued.
+    /// The request is executed, or queued.
     Execute,
-    /// It fails at once.
+    /// The request fails at once.
     Fail,
-    /// It is never answered.
+    /// The request is never answered.
     Hang,
-    /// It overloads the endpoint, which collapses.
+    /// The request overloads the endpoint, which collapses.
     Collapse,
 }
 
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Ends all faults, and begins the warm-up now.
+    /// Ends all faults and starts the warm-up.
     pub(super) fn restart(&mut self) {
         self.slowdown = 1.0;
         self.failure_fraction = 0.0;
@@ -76,9 +78,10 @@
         self.recent_work.clear();
     }
 
-    /// Decides how to treat a request that arrives now. Its work is in seconds on a core of speed 1.
+    /// Decides how to handle a request that arrives now. `work` is in seconds on a core of speed 1.
     pub(super) fn action_for(&mut self, work: f64) -> RequestAction {
-        // Drawn even while it hangs, so that hanging doesn't shift the draws of later requests.
+        // Drawn even while the endpoint hangs, so that hanging doesn't change the random numbers of later
+        // requests.
         let fails = self.failure_fraction > 0.0 && self.rng.random::<f64>() < self.failure_fraction;
         if self.hanging {
             return RequestAction::Hang;
@@ -93,12 +96,12 @@
         RequestAction::Execute
     }
 
-    /// The seconds that a core needs at the present speed for work in seconds on a core of speed 1.
+    /// The execution time at the current speed, in seconds. `work` is in seconds on a core of speed 1.
     pub(super) fn execution_seconds(&self, work: f64) -> f64 {
         work / (self.speed * self.warm_up_fraction() / self.slowdown)
     }
 
-    /// The fraction of its full speed that it has reached in its warm-up.
+    /// The fraction of its full speed that the endpoint has reached in its warm-up.
     fn warm_up_fraction(&self) -> f64 {
         match (self.started, self.warm_up) {
             (Some(started), Some(warm_up)) => {
@@ -109,7 +112,8 @@
         }
     }
 
-    /// Records work that arrives now; returns whether it is more than the endpoint survives during its warm-up.
+    /// Records work that arrives now, and returns whether the work within the time window exceeds what the
+    /// endpoint withstands during its warm-up. Once warm, it withstands any load.
     fn is_overloaded_by(&mut self, work: f64) -> bool {
         let warm_up_fraction = self.warm_up_fraction();
         let Some(collapse) = self.overload_collapse.filter(|_| warm_up_fraction < 1.0) else {
--- a/emulator/src/endpoint/counters.rs
+++ b/emulator/src/endpoint/counters.rs
@@ -1,18 +1,19 @@
-//! What an endpoint counts, and guards that keep the counts right when a request or connection is dropped half-way.
+//! The counters of an endpoint, and guards that keep them correct when the future of a request or connection
+//! is dropped before it completes.
 
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use tokio::time::Instant;
 
-/// Totals since the endpoint was first started; they survive a restart.
+/// Totals since the first start of the endpoint. A restart keeps them.
 #[derive(Default)]
 pub(super) struct Counters {
-    /// Requests that were executed.
+    /// Requests whose execution was started.
     pub(super) accepted: AtomicU64,
-    /// Requests that found the queue full.
+    /// Requests that were rejected because the queue was full.
     pub(super) rejected: AtomicU64,
-    /// Requests on connections above the limit.
+    /// Requests that were refused because they came on a connection above the limit.
     pub(super) refused_connections: AtomicU64,
-    /// Core time in use, in microseconds.
+    /// Core time used, in microseconds.
     pub(super) used_core_us: AtomicU64,
 }
 
@@ -21,12 +22,12 @@
 
 impl Drop for GaugeGuard<'_> {
     fn drop(&mut self) {
-        // A restart resets the gauge while guards of the former incarnation may still exist.
+        // A restart resets the gauge to 0 while guards from before the restart may still exist.
         let _ = self.0.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |count| count.checked_sub(1));
     }
 }
 
-/// Adds the time from its creation to its drop to the core time in use.
+/// Adds the time between its creation and its drop to the used core time.
 pub(super) struct CoreTimeGuard<'a> {
     counters: &'a Counters,
     began: Instant,
--- a/emulator/src/endpoint/executor.rs
+++ b/emulator/src/endpoint/executor.rs
@@ -1,4 +1,5 @@
-//! The cores of an endpoint and the queue before them. Execution is a sleep for as long as the work takes.
+//! The cores of an endpoint and the queue in front of them. Executing a request is a sleep for its execution
+//! time.
 
 use super::counters::GaugeGuard;
 use crate::sync::lock;
@@ -8,21 +9,22 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, Instant};
 
-/// The most that one late timer adds to the timer debt, in seconds. A longer delay is the machine's load, not the
-/// timer's granularity.
+/// The most that one sleep adds to the accumulated overshoot, in seconds. A longer delay is caused by the
+/// load of the machine, not by the granularity of its timers.
 const MAX_TIMER_DEBT_STEP_SECS: f64 = 0.01;
 
-/// Executes requests on a number of cores.
+/// Executes requests on a fixed number of cores.
 pub(super) struct Executor {
     cores: Arc<Semaphore>,
     queued: AtomicU32,
     max_queued: u32,
-    /// Seconds by which sleeps were too long. Timers have a granularity of a millisecond; later sleeps are shortened by
-    /// the debt, so that the core time in use is right on average.
+    /// Seconds by which earlier sleeps were too long, less what has been deducted since. Timers have a
+    /// granularity of one millisecond; deducting the overshoot from later sleeps keeps the used core time
+    /// correct on average.
     timer_debt: Mutex<f64>,
 }
 
-/// The queue is full.
+/// The error of a request that arrives while the queue is full.
 pub(super) struct QueueFull;
 
 impl Executor {
@@ -35,12 +37,12 @@
         }
     }
 
-    /// Forgets the queue of a former incarnation.
+    /// Resets the queue length at a restart.
     pub(super) fn reset_queue(&self) {
         self.queued.store(0, Ordering::SeqCst);
     }
 
-    /// Takes a free core, or queues for one.
+    /// Takes a free core, or waits in the queue for one.
     pub(super) async fn acquire_core(&self) -> Result<OwnedSemaphorePermit, QueueFull> {
         if let Ok(core) = self.cores.clone().try_acquire_owned() {
             return Ok(core);
@@ -53,7 +55,7 @@
         Ok(self.cores.clone().acquire_owned().await.expect("the semaphore is never closed"))
     }
 
-    /// Sleeps for a number of seconds, less the timer debt.
+    /// Sleeps for the execution time of a request, less the accumulated overshoot.
     pub(super) async fn occupy(&self, seconds: f64) {
         let requested = self.repay_timer_debt(seconds);
         let began = Instant::now();
@@ -62,7 +64,8 @@
         *lock(&self.timer_debt) += excess.clamp(0.0, MAX_TIMER_DEBT_STEP_SECS);
     }
 
-    /// Shortens a sleep by the timer debt, as far as it goes; returns what remains to sleep.
+    /// Deducts the accumulated overshoot from a sleep, at most its whole length. Returns the remaining sleep
+    /// in seconds.
     fn repay_timer_debt(&self, seconds: f64) -> f64 {
         let mut timer_debt = lock(&self.timer_debt);
         let remaining = (seconds - *timer_debt).max(0.0);
--- a/emulator/src/endpoint/server.rs
+++ b/emulator/src/endpoint/server.rs
@@ -18,15 +18,15 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit};
 use tokio::task::JoinSet;
 
-/// The largest work that a request may state, in microseconds.
+/// The largest accepted value of the work header, in microseconds.
 const MAX_WORK_US: f64 = 1e12;
 
-/// The state of an endpoint that its connections share. It survives a restart.
+/// The state that the connections of an endpoint share. A restart keeps it.
 pub(super) struct EndpointServer {
     pub(super) max_connections: u32,
     /// The work of a new connection, in seconds on a core of speed 1.
     pub(super) connection_work: f64,
-    /// Whether a request is executed to its end when its client has gone.
+    /// Whether execution of a request continues after its client has disconnected.
     pub(super) finishes_abandoned: bool,
     pub(super) open_connections: AtomicU32,
     pub(super) condition: Mutex<Condition>,
@@ -34,7 +34,8 @@
     pub(super) counters: Counters,
 }
 
-/// Accepts connections until the endpoint collapses or the task is aborted; all connections end with it.
+/// Accepts connections until the endpoint collapses or the task is aborted, which also closes all
+/// connections.
 pub(super) async fn run(mut listener: Listener, server: Arc<EndpointServer>) {
     let mut connections = JoinSet::new();
     server.open_connections.store(0, Ordering::SeqCst);
@@ -74,7 +75,8 @@
 }
 
 impl EndpointServer {
-    /// Says that the request wasn't executed: if the connection were just closed, the client couldn't know.
+    /// Answers that the request was not executed, and closes the connection. Without the response the client
+    /// could not know whether the request was executed.
     fn refuse_connection(&self) -> Response<Full<Bytes>> {
         self.counters.refused_connections.fetch_add(1, Ordering::Relaxed);
         let mut response = not_executed();
@@ -82,7 +84,7 @@
         response
     }
 
-    /// Answers one request. The future is dropped when the client closes the connection.
+    /// Handles one request. The future is dropped when the client closes the connection.
     async fn handle(
         self: &Arc<Self>,
         request: &Request<Incoming>,
@@ -109,7 +111,7 @@
         };
         self.counters.accepted.fetch_add(1, Ordering::Relaxed);
         if self.finishes_abandoned {
-            // A task of its own goes on when this future is dropped.
+            // A separate task continues when this future is dropped.
             let server = self.clone();
             let _ = tokio::spawn(async move { server.execute(core, work).await }).await;
         } else {
@@ -118,7 +120,7 @@
         empty_response(StatusCode::OK)
     }
 
-    /// Occupies a core for as long as the work takes.
+    /// Executes a request on an acquired core, which is released at the end.
     async fn execute(&self, _core: OwnedSemaphorePermit, work: f64) {
         let _core_time = CoreTimeGuard::new(&self.counters);
         let seconds = lock(&self.condition).execution_seconds(work);
@@ -126,7 +128,8 @@
     }
 }
 
-/// The work that a request states, in seconds on a core of speed 1; `None` if there is none or it is out of bounds.
+/// Parses the work header of a request, in seconds on a core of speed 1. `None` if it is missing, invalid or
+/// out of range.
 fn stated_work(request: &Request<Incoming>) -> Option<f64> {
     let work_us: f64 = header_text(request, WORK_US_HEADER)?.parse().ok()?;
     (0.0..=MAX_WORK_US).contains(&work_us).then_some(work_us / 1e6)
--- a/emulator/src/endpoint_status.rs
+++ b/emulator/src/endpoint_status.rs
@@ -1,18 +1,18 @@
-//! What the endpoint list says of an endpoint.
+//! The state of an endpoint according to the endpoint list.
 
 use otterwinch::host::EndpointState;
 use tokio::time::Instant;
 
-/// The present entry of an endpoint, on the clock of this process.
+/// The current endpoint list entry of an endpoint, with times on the clock of this process.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointStatus {
-    /// Its identifier.
+    /// The identifier of the endpoint.
     pub(crate) name: String,
-    /// The index of its zone in the fleet.
+    /// The index of the zone in the fleet.
     pub(crate) zone: u32,
-    /// Its weight among the fleet's endpoints.
+    /// The weight relative to the fleet's other endpoints.
     pub(crate) weight: f64,
     pub(crate) state: EndpointState,
-    /// When it was started; `None` if that is long ago.
+    /// When the endpoint was started; `None` if that was long ago.
     pub(crate) started: Option<Instant>,
 }
--- a/emulator/src/http_connector.rs
+++ b/emulator/src/http_connector.rs
@@ -1,4 +1,4 @@
-//! The connector through which hyper's pooling client reaches a [`Network`].
+//! The connector with which hyper's pooling HTTP client opens connections on a [`Network`].
 
 use crate::network::{Network, Stream};
 use hyper::rt;
@@ -10,7 +10,7 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// A [`Stream`] with the traits that hyper's client needs.
+/// A [`Stream`] that implements the traits required by hyper's client.
 pub(crate) struct HyperStream(TokioIo<Stream>);
 
 impl rt::Read for HyperStream {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Connects hyper's client through a [`Network`].
+/// Opens connections on a [`Network`] for hyper's client.
 #[derive(Clone)]
 pub(crate) struct NetworkConnector(pub Network);
 
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -1,5 +1,5 @@
-//! The network between the emulated parties: loopback sockets in real time, or streams in memory under a clock that may
-//! be paused. A party runs unchanged on either.
+//! The network between the emulated clients and servers: loopback sockets in real time, or in-memory streams,
+//! which also work on a paused clock. Clients and servers run unchanged on either.
 
 use crate::sync::lock;
 use std::collections::HashMap;
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 
-/// Unread bytes that an in-memory stream buffers.
+/// The buffer size of each direction of an in-memory stream.
 const MEMORY_STREAM_BUFFER_BYTES: usize = 64 << 10;
-/// Connections that wait to be accepted, per listener.
+/// The maximum number of connections that wait to be accepted, per listener.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// A network on which parties listen and connect. Clones share the same network.
+/// A network on which servers listen and to which clients connect. Clones share the same network.
 #[derive(Clone, Default)]
 pub enum Network {
     /// TCP sockets on 127.0.0.1.
@@ -33,7 +33,7 @@
     listeners: Mutex<HashMap<String, mpsc::Sender<DuplexStream>>>,
 }
 
-/// A connection between two parties.
+/// One end of a connection.
 pub(crate) enum Stream {
     Tcp(TcpStream),
     Memory(DuplexStream),
@@ -46,12 +46,13 @@
 }
 
 impl Network {
-    /// A new in-memory network without listeners.
+    /// Creates an in-memory network without listeners.
     pub fn memory() -> Network {
         Network::Memory(Arc::default())
     }
 
-    /// Listens on a new address, which is returned with the listener. `name` has to be unique within the network.
+    /// Listens on a new address. Returns the listener and its address. `name` has to be unique within the
+    /// network.
     pub(crate) fn listen(&self, name: &str) -> io::Result<(Listener, String)> {
         match self {
             Network::Loopback => {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Listens again on an address that an earlier listener had.
+    /// Listens on the address of an earlier listener, for a server that restarts.
     pub(crate) fn listen_again(&self, address: &str) -> io::Result<Listener> {
         match self {
             Network::Loopback => {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Connects to a listener.
+    /// Connects to the listener at an address.
     pub(crate) async fn connect(&self, address: &str) -> io::Result<Stream> {
         match self {
             Network::Loopback => {
@@ -93,7 +94,7 @@
 
 fn listen_tcp(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
-    // Lets a restarted party listen on its old address while connections to it are still closing.
+    // Lets a restarted server listen on its address while old connections are still closing.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
@@ -116,7 +117,8 @@
 }
 
 impl Listener {
-    /// Waits for the next connection. Fails when no more can come.
+    /// Waits for the next connection. An in-memory listener fails once it has been replaced or its network
+    /// dropped.
     pub(crate) async fn accept(&mut self) -> io::Result<Stream> {
         match self {
             Listener::Tcp(listener) => {
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -1,8 +1,8 @@
-//! An emulated proxy: admits requests by its route table, picks an endpoint by weight, keeps connections to endpoints, and
-//! counts what it met for the load reports.
+//! An emulated proxy: admits or rejects requests by its route table, picks an endpoint by weight, pools
+//! connections to endpoints, and counts requests and attempts for the load reports.
 //!
-//! `request_handler.rs` serves the clients, `routing.rs` holds the route table and picks from it, `connection_pool.rs`
-//! owns the connections to endpoints, `load_counters.rs` the counts.
+//! `request_handler.rs` serves the clients, `routing.rs` holds the route table and picks endpoints from it,
+//! `connection_pool.rs` keeps the connections to endpoints, `load_counters.rs` has the counters.
 
 mod connection_pool;
 mod load_counters;
@@ -27,68 +27,68 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Where the endpoints are. Both lists are by endpoint index.
+/// The addresses and zones of all endpoints, by endpoint index.
 pub(crate) struct EndpointDirectory {
     pub(crate) addresses: Vec<String>,
-    /// The index of each endpoint's zone.
+    /// The index of the zone of each endpoint.
     pub(crate) zones: Vec<usize>,
 }
 
 impl EndpointDirectory {
-    /// The endpoints of a zone.
+    /// The indices of the endpoints in a zone.
     pub(crate) fn in_zone(&self, zone: usize) -> Vec<u32> {
         (0..).zip(&self.zones).filter(|(_, z)| **z == zone).map(|(endpoint, _)| endpoint).collect()
     }
 }
 
-/// What a proxy is started with.
+/// The parameters of a new proxy.
 pub(crate) struct ProxySpec {
-    /// Its index in the fleet, which is also its number in messages of the control plane.
+    /// The index of the proxy in the fleet, which also identifies it in the control plane's protocols.
     pub(crate) number: u32,
-    /// The index of its zone.
+    /// The index of the zone in the fleet.
     pub(crate) zone: usize,
     /// The number of request classes.
     pub(crate) request_classes: usize,
-    /// The number of endpoints of its zone that its initial table has.
+    /// The number of endpoints in the initial table, all in the proxy's own zone.
     pub(crate) initial_table_size: usize,
-    /// The table that it holds from its start, in place of the initial table.
+    /// The table that the proxy uses from its start instead of the initial table.
     pub(crate) assigned_table: Option<Arc<TableSnapshot>>,
-    /// When it retries requests of classes without an admission level.
+    /// The retry policy for request classes without an admission level.
     pub(crate) default_retry: RetryPolicy,
-    /// How long it keeps an idle connection.
+    /// How long an idle connection to an endpoint is kept open.
     pub(crate) idle_timeout: Duration,
-    /// How long each line of a message keeps it from forwarding requests.
+    /// How long the proxy stops forwarding requests for each line of a message that it applies.
     pub(crate) apply_time_per_line: Duration,
-    /// One-way latency to each zone.
+    /// The one-way latency to each zone.
     pub(crate) zone_latency: Vec<Duration>,
-    /// The seed of the whole testbed.
+    /// The seed of the testbed.
     pub(crate) seed: u64,
 }
 
-/// Attempts of a proxy at endpoints since its start.
+/// The number of attempts that a proxy has sent to endpoints.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptCounts {
     pub(crate) total: u64,
-    /// Those at endpoints of another zone.
+    /// Attempts at endpoints in other zones than the proxy's.
     pub(crate) cross_zone: u64,
 }
 
 /// A running proxy. It stops when it is dropped.
 pub(crate) struct Proxy {
-    /// Its number in messages of the control plane.
+    /// The index of the proxy in the fleet, which also identifies it in the control plane's protocols.
     pub(crate) number: u32,
-    /// The index of its zone.
+    /// The index of the zone in the fleet.
     pub(crate) zone: usize,
-    /// Where it listens, before and after a restart.
+    /// The listen address. A restart keeps it.
     pub(crate) address: String,
     network: Network,
     server: Arc<ProxyServer>,
-    /// Accepts connections.
+    /// Runs the server.
     task: ServerTask,
 }
 
 impl Proxy {
-    /// Starts a proxy on an address of its own.
+    /// Starts a proxy on a new address.
     pub(crate) fn start(
         network: &Network,
         spec: ProxySpec,
@@ -114,8 +114,9 @@
         Ok(Proxy { number, zone, address, network: network.clone(), server, task })
     }
 
-    /// Applies a message of a number of lines: a new state of the assigned table, or, before the first assignment, the
-    /// ejected endpoints, which are left out of the initial table. Returns when the proxy has applied it.
+    /// Applies a message of `lines` lines from the control plane. `assigned_table` is the new content of the
+    /// assigned table. Without one, and before the first assignment, the endpoints in `ejected` are left out
+    /// of the initial table. Returns the time at which the proxy will have applied the message.
     pub(crate) fn apply(
         &self,
         assigned_table: Option<Arc<TableSnapshot>>,
@@ -125,37 +126,37 @@
         lock(&self.server.routing).apply(assigned_table, ejected, lines)
     }
 
-    /// The index of the control-plane instance that it joins, given their number.
+    /// The index of the control-plane instance that the proxy joins, out of `instances`.
     pub(crate) fn instance(&self, instances: u32) -> u32 {
         self.number % instances
     }
 
-    /// The load since it was taken last.
+    /// Returns the load since the last call, and resets it.
     pub(crate) fn take_load(&self) -> Load {
         self.server.load.take()
     }
 
-    /// Its attempts at endpoints so far.
+    /// The attempts since the proxy was first started.
     pub(crate) fn attempts(&self) -> AttemptCounts {
         self.server.load.attempts()
     }
 
-    /// Whether it was assigned a table since its start.
+    /// Whether the proxy has been assigned a table since its last start.
     pub(crate) fn has_assigned_table(&self) -> bool {
         lock(&self.server.routing).is_assigned()
     }
 
-    /// Whether its initial table has an endpoint.
+    /// Whether an endpoint is in the initial table.
     pub(crate) fn in_initial_table(&self, endpoint: u32) -> bool {
         lock(&self.server.routing).in_initial_table(endpoint)
     }
 
-    /// Stops it at once: connections break, and new ones are refused.
+    /// Stops the proxy at once: open connections break, and new ones are refused.
     pub(crate) fn crash(&self) {
         self.task.abort();
     }
 
-    /// Starts it again on its old address, with its initial table and without connections.
+    /// Restarts the proxy on its address, with its initial table and without connections to endpoints.
     pub(crate) fn restart(&self) -> io::Result<()> {
         self.crash();
         let listener = self.network.listen_again(&self.address)?;
--- a/emulator/src/proxy/connection_pool.rs
+++ b/emulator/src/proxy/connection_pool.rs
@@ -1,4 +1,5 @@
-//! The connections of a proxy to endpoints. A connection carries one request at a time and is kept for the next.
+//! The pool of connections from a proxy to endpoints. A connection carries one request at a time and is
+//! reused for later requests.
 
 use super::EndpointDirectory;
 use crate::http::{NOT_EXECUTED_HEADER, REQUEST_PATH, WORK_US_HEADER};
@@ -14,33 +15,34 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// How long an endpoint may take to accept a connection.
+/// The timeout for opening a connection to an endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// How an attempt at an endpoint ended.
+/// The outcome of an attempt at an endpoint, as the proxy sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptOutcome {
-    /// Answered with success.
+    /// The endpoint sent a complete, successful response.
     Answered,
-    /// The endpoint certainly didn't execute the request.
+    /// It is certain that the endpoint did not execute the request.
     NotExecuted,
-    /// Failed; the request may have been executed.
+    /// The attempt failed; the request may have been executed.
     Failed,
 }
 
-/// An open connection that no request uses.
+/// An open connection that carries no request.
 struct IdleConnection {
     connection: Connection,
     since: Instant,
 }
 
-/// The idle connections of a proxy, by endpoint.
+/// The connections of a proxy to endpoints. Only idle connections are stored.
 pub(super) struct ConnectionPool {
     network: Network,
     idle_timeout: Duration,
     directory: Arc<EndpointDirectory>,
+    /// By endpoint index; the most recently used connection is last.
     idle: Mutex<BTreeMap<u32, Vec<IdleConnection>>>,
 }
 
@@ -49,7 +51,7 @@
         ConnectionPool { network, idle_timeout, directory, idle: Mutex::default() }
     }
 
-    /// The index of an endpoint's zone.
+    /// The index of the zone of an endpoint.
     pub(super) fn zone_of(&self, endpoint: u32) -> usize {
         self.directory.zones[endpoint as usize]
     }
@@ -59,7 +61,8 @@
         lock(&self.idle).clear();
     }
 
-    /// Closes connections that have been idle for too long or that the endpoint closed.
+    /// Drops connections that have been idle for longer than the idle timeout or that the endpoint has
+    /// closed.
     pub(super) fn close_expired(&self) {
         let now = Instant::now();
         for connections in lock(&self.idle).values_mut() {
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Sends a request with this work, as header text, to an endpoint.
+    /// Sends a request to an endpoint. `work_us` is the value of the work header.
     pub(super) async fn send(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
         let Some(mut connection) = self.connection(endpoint).await else {
             return AttemptOutcome::NotExecuted;
@@ -81,7 +84,7 @@
             .expect("the request's parts are valid");
         let response = match connection.send_request(request).await {
             Ok(response) => response,
-            // Hyper cancels a request only before it has written a byte of it.
+            // Hyper reports a request as cancelled only if it has not written any byte of it.
             Err(error) if error.is_canceled() => return AttemptOutcome::NotExecuted,
             Err(_) => return AttemptOutcome::Failed,
         };
@@ -100,7 +103,7 @@
         }
     }
 
-    /// The connection that became idle last, or a new one; `None` if the endpoint accepts none.
+    /// Takes the most recently used idle connection or opens a new one; `None` if none can be opened.
     async fn connection(&self, endpoint: u32) -> Option<Connection> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Some(connection);
--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -1,4 +1,4 @@
-//! What a proxy counts: the load since the last report, and its attempts since its start.
+//! The counters of a proxy: the load since the last report, and all attempts since its first start.
 
 use super::AttemptCounts;
 use crate::sync::lock;
@@ -7,12 +7,12 @@
 use std::sync::Mutex;
 use tokio::time::Instant;
 
-/// The load of one report interval.
+/// The load of a proxy in one report interval.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Load {
-    /// Attempts by endpoint.
+    /// Attempts, by endpoint.
     pub(crate) attempts: BTreeMap<u32, AttemptSums>,
-    /// Requests of clients by request class.
+    /// Requests that clients sent to the proxy, by request class.
     pub(crate) requests: Vec<u64>,
 }
 
@@ -21,21 +21,21 @@
 pub(crate) struct AttemptSums {
     /// All attempts.
     pub(crate) attempts: u64,
-    /// Those that failed.
+    /// Attempts that failed.
     pub(crate) failed: u64,
-    /// The durations of the others together, in microseconds.
+    /// The total duration of the attempts that did not fail, in microseconds.
     pub(crate) answered_us: u64,
 }
 
 impl AttemptSums {
-    /// Adds the attempts of another sum.
+    /// Adds the sums over other attempts.
     pub(crate) fn add(&mut self, other: AttemptSums) {
         self.attempts += other.attempts;
         self.failed += other.failed;
         self.answered_us += other.answered_us;
     }
 
-    /// Those that were answered.
+    /// Attempts that did not fail.
     pub(crate) fn answered(&self) -> u64 {
         self.attempts - self.failed
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the load since the last call.
+    /// Returns the load since the last call, and resets it.
     pub(super) fn take(&self) -> Load {
         std::mem::replace(&mut *lock(&self.since_report), Load::empty(self.request_classes))
     }
@@ -71,14 +71,15 @@
         }
     }
 
-    /// Counts a request of a client. A class that doesn't exist is ignored.
+    /// Counts a request from a client. A request class that doesn't exist is ignored.
     pub(super) fn count_request(&self, request_class: usize) {
         if let Some(requests) = lock(&self.since_report).requests.get_mut(request_class) {
             *requests += 1;
         }
     }
 
-    /// Begins an attempt at an endpoint, which is counted when the guard is dropped.
+    /// Starts an attempt at an endpoint. Its outcome and duration are added to the load when the guard is
+    /// dropped.
     pub(super) fn begin_attempt(&self, endpoint: u32, is_cross_zone: bool) -> AttemptGuard<'_> {
         self.attempts.fetch_add(1, Ordering::Relaxed);
         if is_cross_zone {
@@ -94,8 +95,8 @@
     }
 }
 
-/// An attempt in flight. One that is dropped before it was answered, for instance because the client went away, counts
-/// as failed.
+/// An attempt in flight. It counts as failed if the guard is dropped before the attempt is answered, for
+/// example because the client disconnected.
 pub(super) struct AttemptGuard<'a> {
     counters: &'a LoadCounters,
     endpoint: u32,
@@ -104,7 +105,7 @@
 }
 
 impl AttemptGuard<'_> {
-    /// Marks the attempt as answered.
+    /// Marks the attempt as answered, so that it does not count as failed.
     pub(super) fn set_answered(&mut self) {
         self.answered = true;
     }
--- a/emulator/src/proxy/request_handler.rs
+++ b/emulator/src/proxy/request_handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of a proxy, and the life of a request in it.
+//! The HTTP server of a proxy, and how it handles a request.
 
 use super::connection_pool::{AttemptOutcome, ConnectionPool};
 use super::load_counters::LoadCounters;
@@ -18,23 +18,23 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, sleep, sleep_until};
 
-/// Latencies below the granularity of timers aren't emulated.
+/// The shortest latency that is emulated. Timers are too coarse for shorter ones.
 const MIN_EMULATED_LATENCY: Duration = Duration::from_millis(1);
-/// How often expired connections are closed.
+/// How often the pool is checked for expired connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state of a proxy that its connections share. It survives a restart.
+/// The state that the connections of a proxy share. A restart keeps it.
 pub(super) struct ProxyServer {
     pub(super) zone: usize,
     pub(super) default_retry: RetryPolicy,
-    /// One-way latency to each zone.
+    /// The one-way latency to each zone.
     pub(super) zone_latency: Vec<Duration>,
     pub(super) routing: Mutex<RoutingState>,
     pub(super) load: LoadCounters,
     pub(super) connections: ConnectionPool,
 }
 
-/// Accepts connections until the task is aborted; all connections of clients end with it.
+/// Accepts connections until the task is aborted, which also closes all connections from clients.
 pub(super) async fn run(mut listener: Listener, server: Arc<ProxyServer>) {
     let mut connections = JoinSet::new();
     let mut idle_check = interval(IDLE_CHECK_INTERVAL);
@@ -54,14 +54,15 @@
     }
 }
 
-/// Serves one connection of a client.
+/// Serves one connection from a client.
 async fn serve(stream: Stream, server: Arc<ProxyServer>) {
     let server = &server;
     serve_connection(stream, |request| async move { server.handle(&request).await }).await;
 }
 
 impl ProxyServer {
-    /// Forwards a request, if it is admitted, to the endpoint that is picked for it, and perhaps to a second one.
+    /// Handles one request: if it is admitted, forwards it to an endpoint and, if that did not execute it and
+    /// the retry policy allows, to a second one.
     async fn handle(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let class = header_text(request, REQUEST_CLASS_HEADER).and_then(|text| text.parse().ok());
         let (Some(class), Some(work_us)) = (class, header_text(request, WORK_US_HEADER)) else {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// One attempt at an endpoint, after and before the latency between the zones.
+    /// Makes one attempt at an endpoint, with the latency between the zones before and after it.
     async fn attempt(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
         let zone = self.connections.zone_of(endpoint);
         let mut attempt = self.load.begin_attempt(endpoint, zone != self.zone);
--- a/emulator/src/proxy/routing.rs
+++ b/emulator/src/proxy/routing.rs
@@ -1,4 +1,4 @@
-//! The route table that a proxy holds, and the choices that it makes by it.
+//! The route table of a proxy, and how the proxy admits requests and picks endpoints by it.
 
 use super::ProxySpec;
 use otterwinch::host::RetryPolicy;
@@ -14,25 +14,25 @@
 #[cfg(test)]
 mod tests;
 
-/// The present route table of a proxy.
+/// The current route table of a proxy.
 pub(super) struct RoutingState {
     table: Arc<TableSnapshot>,
-    /// Whether the control plane assigned the table; otherwise it is the initial table.
+    /// Whether the table was assigned by the control plane; otherwise it is the initial table.
     assigned: bool,
     /// The endpoints of the initial table.
     initial_endpoints: Vec<u32>,
     request_classes: usize,
     apply_time_per_line: Duration,
-    /// No request is forwarded before this moment, since messages are still being applied.
+    /// When all messages received so far are applied. No request is forwarded before.
     applied_at: Instant,
     rng: Pcg64Mcg,
 }
 
-/// The choice for a request.
+/// The routing decision for a request.
 pub(super) struct Route {
     /// The endpoint to send it to; `None` if it is rejected.
     pub(super) endpoint: Option<u32>,
-    /// When to retry; `None` if its class has no admission level.
+    /// The retry policy; `None` if the request class has no admission level.
     pub(super) retry: Option<RetryPolicy>,
 }
 
@@ -68,7 +68,7 @@
         self.applied_at
     }
 
-    /// Goes back to the initial table.
+    /// Returns to the initial table.
     pub(super) fn reset(&mut self) {
         self.table = initial_table(&self.initial_endpoints, &BTreeSet::new(), self.request_classes);
         self.assigned = false;
@@ -82,7 +82,7 @@
         self.initial_endpoints.contains(&endpoint)
     }
 
-    /// When all messages so far are applied.
+    /// When all messages received so far are applied.
     pub(super) fn applied_at(&self) -> Instant {
         self.applied_at
     }
@@ -90,7 +90,8 @@
     /// Admits or rejects a request, and picks its endpoint.
     pub(super) fn route(&mut self, request_class: usize) -> Route {
         let level = self.table.admission.get(request_class).copied().flatten();
-        // Both are drawn for every request, so that a rejection doesn't shift the draws of later requests.
+        // Both are drawn for every request, so that a rejection doesn't change the random numbers of later
+        // requests.
         let admission_sample = self.rng.random::<f64>();
         let endpoint_sample = self.rng.random::<f64>();
         let is_admitted = level.is_none_or(|level| admission_sample < level.admitted);
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Picks an endpoint for a retry, other than that of the first attempt.
+    /// Picks an endpoint for a retry, excluding the endpoint of the first attempt.
     pub(super) fn pick_other(&mut self, first: u32) -> Option<u32> {
         let others = self.table.endpoints.iter().filter(|(endpoint, _)| *endpoint != first);
         let others = WeightedEndpoints::new(others);
@@ -108,7 +109,8 @@
     }
 }
 
-/// The table that a proxy uses before its first assignment: all endpoints alike, and all requests admitted.
+/// The table that a proxy uses before its first assignment: equal weights for all endpoints that are not
+/// ejected, and no admission levels.
 fn initial_table(endpoints: &[u32], ejected: &BTreeSet<u32>, request_classes: usize) -> Arc<TableSnapshot> {
     let usable = endpoints.iter().filter(|endpoint| !ejected.contains(endpoint));
     Arc::new(TableSnapshot {
--- a/emulator/src/proxy/routing/tests.rs
+++ b/emulator/src/proxy/routing/tests.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A proxy with the initial endpoints 1 and 2, and one request class.
+/// The routing state of a proxy with endpoints 1 and 2 in its initial table, and one request class.
 fn routing() -> RoutingState {
     let spec = ProxySpec {
         number: 0,
--- a/emulator/src/task.rs
+++ b/emulator/src/task.rs
@@ -1,15 +1,14 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use crate::sync::lock;
 use std::future::Future;
 use std::sync::Mutex;
 use tokio::task::JoinHandle;
 
-/// A task that is aborted when this is dropped.
+/// The handle of a task that is aborted when the handle is dropped.
 pub(crate) struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Starts the task.
     pub(crate) fn spawn(task: impl Future<Output = ()> + Send + 'static) -> Self {
         AbortOnDrop(tokio::spawn(task))
     }
@@ -21,21 +20,20 @@
     }
 }
 
-/// The task of a server that can crash and be started again.
+/// The task of an emulated server that can crash and restart.
 pub(crate) struct ServerTask(Mutex<Option<AbortOnDrop>>);
 
 impl ServerTask {
-    /// Starts the server.
     pub(crate) fn spawn(server: impl Future<Output = ()> + Send + 'static) -> Self {
         ServerTask(Mutex::new(Some(AbortOnDrop::spawn(server))))
     }
 
-    /// Stops it at once: its connections break, and new ones are refused.
+    /// Stops the server at once: open connections break, and new ones are refused.
     pub(crate) fn abort(&self) {
         lock(&self.0).take();
     }
 
-    /// Starts it again after [`ServerTask::abort`].
+    /// Starts the server again after [`ServerTask::abort`].
     pub(crate) fn restart(&self, server: impl Future<Output = ()> + Send + 'static) {
         *lock(&self.0) = Some(AbortOnDrop::spawn(server));
     }
--- a/emulator/src/time.rs
+++ b/emulator/src/time.rs
@@ -1,9 +1,9 @@
-//! Conversion of the fleet's times to those of the runtime.
+//! Conversion of the fleet's time spans to durations of the runtime.
 
 use otterwinch::time::Span;
 use std::time::Duration;
 
-/// A span as a duration; a negative span is zero.
+/// Converts a span to a duration; a negative span becomes zero.
 pub(crate) fn duration(span: Span) -> Duration {
     Duration::from_micros(span.as_us().max(0) as u64)
 }
