--- a/emulator/src/clients.rs
+++ b/emulator/src/clients.rs
@@ -56,7 +56,7 @@
     http: Client<NetworkConnector, Empty<Bytes>>,
     live_proxies: Arc<LiveProxies>,
     /// The start of the load.
-    begin: Instant,
+    load_start: Instant,
     results: Mutex<Results>,
     rng: Mutex<Pcg64Mcg>,
 }
@@ -65,20 +65,20 @@
 pub(crate) struct Clients {
     state: Arc<ClientState>,
     in_flight: JoinSet<()>,
-    lateness: Lateness,
+    lateness: LatenessStats,
     unsent: u64,
     load_seconds: f64,
 }
 
 /// Statistics of the delay with which requests were sent.
 #[derive(Default)]
-struct Lateness {
+struct LatenessStats {
     max: Duration,
     sum: Duration,
     requests: u32,
 }
 
-impl Lateness {
+impl LatenessStats {
     fn record(&mut self, lateness: Duration) {
         self.max = self.max.max(lateness);
         self.sum += lateness;
@@ -91,12 +91,12 @@
 }
 
 impl Clients {
-    /// Creates the clients for a load that starts at `begin`.
+    /// Creates the clients for a load that starts at `load_start`.
     pub(crate) fn new(
         fleet: &Fleet,
         network: &Network,
         live_proxies: Arc<LiveProxies>,
-        begin: Instant,
+        load_start: Instant,
         seed: u64,
     ) -> Self {
         let http = Client::builder(TokioExecutor::new()).build(NetworkConnector(network.clone()));
@@ -104,14 +104,14 @@
             fleet: fleet.clone(),
             http,
             live_proxies,
-            begin,
+            load_start,
             results: Mutex::new(Results::new(fleet)),
             rng: Mutex::new(random_stream(seed, "clients", 0)),
         };
         Clients {
             state: Arc::new(state),
             in_flight: JoinSet::new(),
-            lateness: Lateness::default(),
+            lateness: LatenessStats::default(),
             unsent: 0,
             load_seconds: 0.0,
         }
@@ -127,7 +127,7 @@
     pub(crate) async fn send(&mut self, load: impl Iterator<Item = ScheduledRequest>) {
         for request in load {
             self.load_seconds = self.load_seconds.max(request.at);
-            let due = self.state.begin + Duration::from_secs_f64(request.at.max(0.0));
+            let due = self.state.load_start + Duration::from_secs_f64(request.at.max(0.0));
             sleep_until(due).await;
             while self.in_flight.try_join_next().is_some() {}
             if self.in_flight.len() >= MAX_IN_FLIGHT {
@@ -164,7 +164,7 @@
     }
 
     fn record_attempt(&self, request: &ScheduledRequest, at: Instant) {
-        let seconds = (at - self.begin).as_secs_f64();
+        let seconds = (at - self.load_start).as_secs_f64();
         lock(&self.results).record_attempt(request.request_class, request.zone, seconds);
     }
 }
--- a/emulator/src/clients/request.rs
+++ b/emulator/src/clients/request.rs
@@ -42,30 +42,30 @@
     /// Selects the timeout of the attempt.
     timeout: f64,
     /// Selects the wait before the next attempt.
-    wait: f64,
+    retry_wait: f64,
 }
 
 /// Sends a request that is due at `due`, retries it where allowed, and records its attempts and its final
 /// outcome.
 pub(super) async fn run(state: Arc<ClientState>, request: ScheduledRequest, due: Instant) {
-    let client = RequestClient { state: &state, request: &request, due };
-    let end = client.run().await;
+    let in_flight = InFlightRequest { state: &state, request: &request, due };
+    let end = in_flight.run().await;
     state.record_end(&request, end);
 }
 
-struct RequestClient<'a> {
+struct InFlightRequest<'a> {
     state: &'a ClientState,
     request: &'a ScheduledRequest,
     due: Instant,
 }
 
-impl RequestClient<'_> {
+impl InFlightRequest<'_> {
     async fn run(&self) -> RequestEnd {
-        let expires = self.due + duration(self.class().timeout);
+        let deadline = self.due + duration(self.class().timeout);
         let mut retries = 0;
         loop {
             let samples = self.state.draw_samples();
-            let outcome = self.attempt(&samples, expires).await;
+            let outcome = self.attempt(&samples, deadline).await;
             let end = match outcome {
                 AttemptOutcome::Answered => {
                     return RequestEnd::Answered(self.due.elapsed().as_micros() as u64)
@@ -75,7 +75,7 @@
             };
             let may_retry = self.is_safe_to_retry(outcome);
             let retry_at = Instant::now() + self.retry_wait(&samples);
-            if !may_retry || retries >= self.state.fleet.clients.max_retries || retry_at >= expires {
+            if !may_retry || retries >= self.state.fleet.clients.max_retries || retry_at >= deadline {
                 return end;
             }
             sleep_until(retry_at).await;
@@ -88,15 +88,15 @@
     }
 
     /// Sends the request once, to a randomly selected proxy.
-    async fn attempt(&self, samples: &AttemptSamples, expires: Instant) -> AttemptOutcome {
+    async fn attempt(&self, samples: &AttemptSamples, deadline: Instant) -> AttemptOutcome {
         let now = Instant::now();
-        let gives_up_at = (now + self.attempt_timeout(samples)).min(expires);
+        let attempt_deadline = (now + self.attempt_timeout(samples)).min(deadline);
         self.state.record_attempt(self.request, now);
         let Some(address) = self.state.live_proxies.pick(self.request.zone, samples.proxy) else {
             return AttemptOutcome::NotExecuted;
         };
         let attempt = self.state.send(&address, self.request);
-        timeout_at(gives_up_at, attempt).await.unwrap_or(AttemptOutcome::Failed)
+        timeout_at(attempt_deadline, attempt).await.unwrap_or(AttemptOutcome::Failed)
     }
 
     /// The timeout of one attempt: a random fraction of the timeout of the request class.
@@ -109,7 +109,7 @@
     fn retry_wait(&self, samples: &AttemptSamples) -> Duration {
         let (min, max) = self.state.fleet.clients.retry_wait;
         let (min, max) = (duration(min), duration(max));
-        min + (max - min).mul_f64(samples.wait)
+        min + (max - min).mul_f64(samples.retry_wait)
     }
 
     /// Whether the request can be retried without the risk that it takes effect twice.
@@ -132,20 +132,20 @@
         let mut rng = lock(&self.rng);
         let proxy = rng.random();
         let timeout = rng.random();
-        let wait = rng.random();
-        AttemptSamples { proxy, timeout, wait }
+        let retry_wait = rng.random();
+        AttemptSamples { proxy, timeout, retry_wait }
     }
 
     /// Sends a request to a proxy and waits for the response.
     async fn send(&self, address: &str, request: &ScheduledRequest) -> AttemptOutcome {
-        let message = Request::builder()
+        let http_request = Request::builder()
             .method("POST")
             .uri(format!("http://{address}{REQUEST_PATH}"))
             .header(REQUEST_CLASS_HEADER, request.request_class)
             .header(WORK_US_HEADER, format!("{:.0}", request.work * 1e6))
             .body(Empty::new())
             .expect("the request's parts are valid");
-        let response = match self.http.request(message).await {
+        let response = match self.http.request(http_request).await {
             Ok(response) => response,
             Err(error) if error.is_connect() => return AttemptOutcome::NotExecuted,
             Err(_) => return AttemptOutcome::Failed,
--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -122,7 +122,7 @@
     /// Restarts the endpoint on its address, without faults and at the start of its warm-up.
     pub(crate) fn restart(&self) -> io::Result<()> {
         self.crash();
-        let listener = self.network.listen_again(&self.address)?;
+        let listener = self.network.rebind(&self.address)?;
         lock(&self.server.condition).restart();
         self.task.restart(server::run(listener, self.server.clone()));
         Ok(())
--- a/emulator/src/endpoint/condition.rs
+++ b/emulator/src/endpoint/condition.rs
@@ -33,7 +33,7 @@
 
 /// The work of an arrived request.
 struct ArrivedWork {
-    at: Instant,
+    arrived_at: Instant,
     /// Seconds on a core of speed 1.
     work: f64,
 }
@@ -89,7 +89,7 @@
         if fails {
             return RequestAction::Fail;
         }
-        if self.is_overloaded_by(work) {
+        if self.record_and_check_overload(work) {
             self.collapsed = true;
             return RequestAction::Collapse;
         }
@@ -98,11 +98,11 @@
 
     /// The execution time at the current speed, in seconds. `work` is in seconds on a core of speed 1.
     pub(super) fn execution_seconds(&self, work: f64) -> f64 {
-        work / (self.speed * self.warm_up_fraction() / self.slowdown)
+        work / (self.speed * self.speed_fraction() / self.slowdown)
     }
 
     /// The fraction of its full speed that the endpoint has reached in its warm-up.
-    fn warm_up_fraction(&self) -> f64 {
+    fn speed_fraction(&self) -> f64 {
         match (self.started, self.warm_up) {
             (Some(started), Some(warm_up)) => {
                 let age_us = started.elapsed().as_micros() as i64;
@@ -114,20 +114,20 @@
 
     /// Records work that arrives now, and returns whether the work within the time window exceeds what the
     /// endpoint withstands during its warm-up. Once warm, it withstands any load.
-    fn is_overloaded_by(&mut self, work: f64) -> bool {
-        let warm_up_fraction = self.warm_up_fraction();
-        let Some(collapse) = self.overload_collapse.filter(|_| warm_up_fraction < 1.0) else {
+    fn record_and_check_overload(&mut self, work: f64) -> bool {
+        let speed_fraction = self.speed_fraction();
+        let Some(collapse) = self.overload_collapse.filter(|_| speed_fraction < 1.0) else {
             return false;
         };
         let window = collapse.window.as_secs();
         let now = Instant::now();
-        self.recent_work.push_back(ArrivedWork { at: now, work });
-        let oldest = Duration::from_secs_f64(window);
-        while self.recent_work.front().is_some_and(|arrived| now - arrived.at > oldest) {
+        self.recent_work.push_back(ArrivedWork { arrived_at: now, work });
+        let max_age = Duration::from_secs_f64(window);
+        while self.recent_work.front().is_some_and(|arrived| now - arrived.arrived_at > max_age) {
             self.recent_work.pop_front();
         }
-        let speed = f64::from(self.cores) * self.speed * warm_up_fraction / self.slowdown;
-        let survivable_work = speed * window * collapse.overload_factor;
-        self.recent_work.iter().map(|arrived| arrived.work).sum::<f64>() > survivable_work
+        let speed = f64::from(self.cores) * self.speed * speed_fraction / self.slowdown;
+        let collapse_threshold = speed * window * collapse.overload_factor;
+        self.recent_work.iter().map(|arrived| arrived.work).sum::<f64>() > collapse_threshold
     }
 }
--- a/emulator/src/endpoint/counters.rs
+++ b/emulator/src/endpoint/counters.rs
@@ -30,18 +30,18 @@
 /// Adds the time between its creation and its drop to the used core time.
 pub(super) struct CoreTimeGuard<'a> {
     counters: &'a Counters,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl<'a> CoreTimeGuard<'a> {
     pub(super) fn new(counters: &'a Counters) -> Self {
-        CoreTimeGuard { counters, began: Instant::now() }
+        CoreTimeGuard { counters, started_at: Instant::now() }
     }
 }
 
 impl Drop for CoreTimeGuard<'_> {
     fn drop(&mut self) {
-        let used_us = self.began.elapsed().as_micros() as u64;
+        let used_us = self.started_at.elapsed().as_micros() as u64;
         self.counters.used_core_us.fetch_add(used_us, Ordering::Relaxed);
     }
 }
--- a/emulator/src/endpoint/executor.rs
+++ b/emulator/src/endpoint/executor.rs
@@ -11,7 +11,7 @@
 
 /// The most that one sleep adds to the accumulated overshoot, in seconds. A longer delay is caused by the
 /// load of the machine, not by the granularity of its timers.
-const MAX_TIMER_DEBT_STEP_SECS: f64 = 0.01;
+const MAX_RECORDED_OVERSHOOT_SECS: f64 = 0.01;
 
 /// Executes requests on a fixed number of cores.
 pub(super) struct Executor {
@@ -21,7 +21,7 @@
     /// Seconds by which earlier sleeps were too long, less what has been deducted since. Timers have a
     /// granularity of one millisecond; deducting the overshoot from later sleeps keeps the used core time
     /// correct on average.
-    timer_debt: Mutex<f64>,
+    overshoot: Mutex<f64>,
 }
 
 /// The error of a request that arrives while the queue is full.
@@ -33,7 +33,7 @@
             cores: Arc::new(Semaphore::new(cores as usize)),
             queued: AtomicU32::new(0),
             max_queued,
-            timer_debt: Mutex::new(0.0),
+            overshoot: Mutex::new(0.0),
         }
     }
 
@@ -56,20 +56,20 @@
     }
 
     /// Sleeps for the execution time of a request, less the accumulated overshoot.
-    pub(super) async fn occupy(&self, seconds: f64) {
-        let requested = self.repay_timer_debt(seconds);
-        let began = Instant::now();
+    pub(super) async fn occupy_core(&self, seconds: f64) {
+        let requested = self.deduct_overshoot(seconds);
+        let started_at = Instant::now();
         sleep(Duration::from_secs_f64(requested)).await;
-        let excess = began.elapsed().as_secs_f64() - requested;
-        *lock(&self.timer_debt) += excess.clamp(0.0, MAX_TIMER_DEBT_STEP_SECS);
+        let excess = started_at.elapsed().as_secs_f64() - requested;
+        *lock(&self.overshoot) += excess.clamp(0.0, MAX_RECORDED_OVERSHOOT_SECS);
     }
 
     /// Deducts the accumulated overshoot from a sleep, at most its whole length. Returns the remaining sleep
     /// in seconds.
-    fn repay_timer_debt(&self, seconds: f64) -> f64 {
-        let mut timer_debt = lock(&self.timer_debt);
-        let remaining = (seconds - *timer_debt).max(0.0);
-        *timer_debt -= seconds - remaining;
+    fn deduct_overshoot(&self, seconds: f64) -> f64 {
+        let mut overshoot = lock(&self.overshoot);
+        let remaining = (seconds - *overshoot).max(0.0);
+        *overshoot -= seconds - remaining;
         remaining
     }
 }
--- a/emulator/src/endpoint/server.rs
+++ b/emulator/src/endpoint/server.rs
@@ -40,7 +40,7 @@
     let mut connections = JoinSet::new();
     server.open_connections.store(0, Ordering::SeqCst);
     server.executor.reset_queue();
-    let collapse = Arc::new(Notify::new());
+    let collapse_signal = Arc::new(Notify::new());
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -48,27 +48,27 @@
                 Err(_) => return,
             },
             Some(_) = connections.join_next() => continue,
-            () = collapse.notified() => return,
+            () = collapse_signal.notified() => return,
         };
         let open_connections = server.open_connections.fetch_add(1, Ordering::SeqCst);
         let above_limit = open_connections >= server.max_connections;
-        connections.spawn(serve(stream, server.clone(), collapse.clone(), above_limit));
+        connections.spawn(serve(stream, server.clone(), collapse_signal.clone(), above_limit));
     }
 }
 
 /// Serves one connection.
-async fn serve(stream: Stream, server: Arc<EndpointServer>, collapse: Arc<Notify>, above_limit: bool) {
+async fn serve(stream: Stream, server: Arc<EndpointServer>, collapse_signal: Arc<Notify>, above_limit: bool) {
     let _open = GaugeGuard(&server.open_connections);
     let is_new = AtomicBool::new(true);
     let handler = |request: Request<Incoming>| {
-        let (server, collapse, is_new) = (&server, &collapse, &is_new);
+        let (server, collapse_signal, is_new) = (&server, &collapse_signal, &is_new);
         async move {
             if above_limit {
                 return server.refuse_connection();
             }
             let is_first_request = is_new.swap(false, Ordering::SeqCst);
             let connection_work = if is_first_request { server.connection_work } else { 0.0 };
-            server.handle(&request, connection_work, collapse).await
+            server.handle(&request, connection_work, collapse_signal).await
         }
     };
     serve_connection(stream, handler).await;
@@ -79,7 +79,7 @@
     /// could not know whether the request was executed.
     fn refuse_connection(&self) -> Response<Full<Bytes>> {
         self.counters.refused_connections.fetch_add(1, Ordering::Relaxed);
-        let mut response = not_executed();
+        let mut response = not_executed_response();
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         response
     }
@@ -89,9 +89,9 @@
         self: &Arc<Self>,
         request: &Request<Incoming>,
         connection_work: f64,
-        collapse: &Notify,
+        collapse_signal: &Notify,
     ) -> Response<Full<Bytes>> {
-        let Some(request_work) = stated_work(request) else {
+        let Some(request_work) = parse_work(request) else {
             return empty_response(StatusCode::BAD_REQUEST);
         };
         let work = request_work + connection_work;
@@ -101,13 +101,13 @@
             RequestAction::Fail => return empty_response(StatusCode::INTERNAL_SERVER_ERROR),
             RequestAction::Hang => return pending().await,
             RequestAction::Collapse => {
-                collapse.notify_one();
+                collapse_signal.notify_one();
                 return pending().await;
             }
         }
         let Ok(core) = self.executor.acquire_core().await else {
             self.counters.rejected.fetch_add(1, Ordering::Relaxed);
-            return not_executed();
+            return not_executed_response();
         };
         self.counters.accepted.fetch_add(1, Ordering::Relaxed);
         if self.finishes_abandoned {
@@ -124,17 +124,17 @@
     async fn execute(&self, _core: OwnedSemaphorePermit, work: f64) {
         let _core_time = CoreTimeGuard::new(&self.counters);
         let seconds = lock(&self.condition).execution_seconds(work);
-        self.executor.occupy(seconds).await;
+        self.executor.occupy_core(seconds).await;
     }
 }
 
 /// Parses the work header of a request, in seconds on a core of speed 1. `None` if it is missing, invalid or
 /// out of range.
-fn stated_work(request: &Request<Incoming>) -> Option<f64> {
+fn parse_work(request: &Request<Incoming>) -> Option<f64> {
     let work_us: f64 = header_text(request, WORK_US_HEADER)?.parse().ok()?;
     (0.0..=MAX_WORK_US).contains(&work_us).then_some(work_us / 1e6)
 }
 
-fn not_executed() -> Response<Full<Bytes>> {
+fn not_executed_response() -> Response<Full<Bytes>> {
     flagged_response(StatusCode::SERVICE_UNAVAILABLE, NOT_EXECUTED_HEADER)
 }
--- a/emulator/src/http.rs
+++ b/emulator/src/http.rs
@@ -25,7 +25,7 @@
 pub(crate) const NOT_EXECUTED_HEADER: &str = "x-never-ran";
 
 /// The value of headers that are only checked for presence.
-const FLAG_SET: HeaderValue = HeaderValue::from_static("1");
+const FLAG_VALUE: HeaderValue = HeaderValue::from_static("1");
 
 /// Builds a response without a body.
 pub(crate) fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
@@ -37,7 +37,7 @@
 /// Builds a response without a body, marked by a header.
 pub(crate) fn flagged_response(status: StatusCode, header: &'static str) -> Response<Full<Bytes>> {
     let mut response = empty_response(status);
-    response.headers_mut().insert(header, FLAG_SET);
+    response.headers_mut().insert(header, FLAG_VALUE);
     response
 }
 
--- a/emulator/src/network.rs
+++ b/emulator/src/network.rs
@@ -68,7 +68,7 @@
     }
 
     /// Listens on the address of an earlier listener, for a server that restarts.
-    pub(crate) fn listen_again(&self, address: &str) -> io::Result<Listener> {
+    pub(crate) fn rebind(&self, address: &str) -> io::Result<Listener> {
         match self {
             Network::Loopback => {
                 let invalid = |e| io::Error::new(io::ErrorKind::InvalidInput, e);
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -14,7 +14,7 @@
 use crate::task::ServerTask;
 use connection_pool::ConnectionPool;
 use load_counters::LoadCounters;
-pub(crate) use load_counters::{AttemptSums, Load};
+pub(crate) use load_counters::{AttemptSums, IntervalLoad};
 use otterwinch::host::RetryPolicy;
 use otterwinch_fleet::sampling::random_stream;
 use otterwinch_simulation::route_table::TableSnapshot;
@@ -107,8 +107,8 @@
             default_retry: spec.default_retry,
             zone_latency: spec.zone_latency,
             routing: Mutex::new(routing),
-            load: LoadCounters::new(spec.request_classes),
-            connections: ConnectionPool::new(network.clone(), spec.idle_timeout, directory),
+            load_counters: LoadCounters::new(spec.request_classes),
+            connection_pool: ConnectionPool::new(network.clone(), spec.idle_timeout, directory),
         });
         let task = ServerTask::spawn(request_handler::run(listener, server.clone()));
         Ok(Proxy { number, zone, address, network: network.clone(), server, task })
@@ -132,13 +132,13 @@
     }
 
     /// Returns the load since the last call, and resets it.
-    pub(crate) fn take_load(&self) -> Load {
-        self.server.load.take()
+    pub(crate) fn take_load(&self) -> IntervalLoad {
+        self.server.load_counters.take()
     }
 
     /// The attempts since the proxy was first started.
     pub(crate) fn attempts(&self) -> AttemptCounts {
-        self.server.load.attempts()
+        self.server.load_counters.attempts()
     }
 
     /// Whether the proxy has been assigned a table since its last start.
@@ -159,9 +159,9 @@
     /// Restarts the proxy on its address, with its initial table and without connections to endpoints.
     pub(crate) fn restart(&self) -> io::Result<()> {
         self.crash();
-        let listener = self.network.listen_again(&self.address)?;
+        let listener = self.network.rebind(&self.address)?;
         lock(&self.server.routing).reset();
-        self.server.connections.clear();
+        self.server.connection_pool.clear();
         self.task.restart(request_handler::run(listener, self.server.clone()));
         Ok(())
     }
--- a/emulator/src/proxy/connection_pool.rs
+++ b/emulator/src/proxy/connection_pool.rs
@@ -34,7 +34,7 @@
 /// An open connection that carries no request.
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// The connections of a proxy to endpoints. Only idle connections are stored.
@@ -66,13 +66,14 @@
     pub(super) fn close_expired(&self) {
         let now = Instant::now();
         for connections in lock(&self.idle).values_mut() {
-            connections.retain(|idle| now - idle.since < self.idle_timeout && !idle.connection.is_closed());
+            connections
+                .retain(|idle| now - idle.idle_since < self.idle_timeout && !idle.connection.is_closed());
         }
     }
 
     /// Sends a request to an endpoint. `work_us` is the value of the work header.
     pub(super) async fn send(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
-        let Some(mut connection) = self.connection(endpoint).await else {
+        let Some(mut connection) = self.acquire_connection(endpoint).await else {
             return AttemptOutcome::NotExecuted;
         };
         let request = Request::builder()
@@ -92,7 +93,7 @@
         let is_not_executed = response.headers().contains_key(NOT_EXECUTED_HEADER);
         let is_complete = response.into_body().collect().await.is_ok();
         if is_complete && connection.ready().await.is_ok() {
-            self.put_back(endpoint, connection);
+            self.put_idle(endpoint, connection);
         }
         if status == StatusCode::OK && is_complete {
             AttemptOutcome::Answered
@@ -104,7 +105,7 @@
     }
 
     /// Takes the most recently used idle connection or opens a new one; `None` if none can be opened.
-    async fn connection(&self, endpoint: u32) -> Option<Connection> {
+    async fn acquire_connection(&self, endpoint: u32) -> Option<Connection> {
         if let Some(connection) = self.take_idle(endpoint) {
             return Some(connection);
         }
@@ -126,8 +127,8 @@
         None
     }
 
-    fn put_back(&self, endpoint: u32, connection: Connection) {
-        let idle = IdleConnection { connection, since: Instant::now() };
+    fn put_idle(&self, endpoint: u32, connection: Connection) {
+        let idle = IdleConnection { connection, idle_since: Instant::now() };
         lock(&self.idle).entry(endpoint).or_default().push(idle);
     }
 }
--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -9,7 +9,7 @@
 
 /// The load of a proxy in one report interval.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Load {
+pub(crate) struct IntervalLoad {
     /// Attempts, by endpoint.
     pub(crate) attempts: BTreeMap<u32, AttemptSums>,
     /// Requests that clients sent to the proxy, by request class.
@@ -44,7 +44,7 @@
 /// The counters of a proxy.
 pub(super) struct LoadCounters {
     request_classes: usize,
-    since_report: Mutex<Load>,
+    since_report: Mutex<IntervalLoad>,
     attempts: AtomicU64,
     cross_zone_attempts: AtomicU64,
 }
@@ -53,15 +53,15 @@
     pub(super) fn new(request_classes: usize) -> Self {
         LoadCounters {
             request_classes,
-            since_report: Mutex::new(Load::empty(request_classes)),
+            since_report: Mutex::new(IntervalLoad::empty(request_classes)),
             attempts: AtomicU64::new(0),
             cross_zone_attempts: AtomicU64::new(0),
         }
     }
 
     /// Returns the load since the last call, and resets it.
-    pub(super) fn take(&self) -> Load {
-        std::mem::replace(&mut *lock(&self.since_report), Load::empty(self.request_classes))
+    pub(super) fn take(&self) -> IntervalLoad {
+        std::mem::replace(&mut *lock(&self.since_report), IntervalLoad::empty(self.request_classes))
     }
 
     pub(super) fn attempts(&self) -> AttemptCounts {
@@ -85,13 +85,13 @@
         if is_cross_zone {
             self.cross_zone_attempts.fetch_add(1, Ordering::Relaxed);
         }
-        AttemptGuard { counters: self, endpoint, began: Instant::now(), answered: false }
+        AttemptGuard { counters: self, endpoint, started_at: Instant::now(), answered: false }
     }
 }
 
-impl Load {
+impl IntervalLoad {
     fn empty(request_classes: usize) -> Self {
-        Load { attempts: BTreeMap::new(), requests: vec![0; request_classes] }
+        IntervalLoad { attempts: BTreeMap::new(), requests: vec![0; request_classes] }
     }
 }
 
@@ -100,7 +100,7 @@
 pub(super) struct AttemptGuard<'a> {
     counters: &'a LoadCounters,
     endpoint: u32,
-    began: Instant,
+    started_at: Instant,
     answered: bool,
 }
 
@@ -117,7 +117,7 @@
         let sums = load.attempts.entry(self.endpoint).or_default();
         sums.attempts += 1;
         if self.answered {
-            sums.answered_us += self.began.elapsed().as_micros() as u64;
+            sums.answered_us += self.started_at.elapsed().as_micros() as u64;
         } else {
             sums.failed += 1;
         }
--- a/emulator/src/proxy/request_handler.rs
+++ b/emulator/src/proxy/request_handler.rs
@@ -30,8 +30,8 @@
     /// The one-way latency to each zone.
     pub(super) zone_latency: Vec<Duration>,
     pub(super) routing: Mutex<RoutingState>,
-    pub(super) load: LoadCounters,
-    pub(super) connections: ConnectionPool,
+    pub(super) load_counters: LoadCounters,
+    pub(super) connection_pool: ConnectionPool,
 }
 
 /// Accepts connections until the task is aborted, which also closes all connections from clients.
@@ -46,7 +46,7 @@
             },
             Some(_) = connections.join_next() => continue,
             _ = idle_check.tick() => {
-                server.connections.close_expired();
+                server.connection_pool.close_expired();
                 continue;
             }
         };
@@ -70,7 +70,7 @@
         };
         let applied_at = lock(&self.routing).applied_at();
         sleep_until(applied_at).await;
-        self.load.count_request(class);
+        self.load_counters.count_request(class);
         let route = lock(&self.routing).route(class);
         let Some(endpoint) = route.endpoint else {
             return flagged_response(StatusCode::TOO_MANY_REQUESTS, REJECTED_HEADER);
@@ -94,11 +94,11 @@
 
     /// Makes one attempt at an endpoint, with the latency between the zones before and after it.
     async fn attempt(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
-        let zone = self.connections.zone_of(endpoint);
-        let mut attempt = self.load.begin_attempt(endpoint, zone != self.zone);
+        let zone = self.connection_pool.zone_of(endpoint);
+        let mut attempt = self.load_counters.begin_attempt(endpoint, zone != self.zone);
         let latency = self.zone_latency[zone];
         emulate_latency(latency).await;
-        let outcome = self.connections.send(endpoint, work_us).await;
+        let outcome = self.connection_pool.send(endpoint, work_us).await;
         emulate_latency(latency).await;
         if outcome == AttemptOutcome::Answered {
             attempt.set_answered();
--- a/emulator/src/proxy/routing/tests.rs
+++ b/emulator/src/proxy/routing/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_admission_level_rejects_its_part_of_the_requests() {
+fn the_admission_level_sets_the_fraction_of_admitted_requests() {
     let mut routing = routing();
     routing.apply(Some(table(9, 0.0)), &BTreeSet::new(), 1.0);
     assert!((0..20).all(|_| routing.route(0).endpoint.is_none()));
@@ -70,9 +70,9 @@
 #[test]
 fn a_message_is_applied_after_the_time_for_its_lines_and_never_before_an_earlier_one() {
     let mut routing = routing();
-    let began = Instant::now();
-    let long = routing.apply(None, &BTreeSet::new(), 1000.0);
-    assert!(long >= began + Duration::from_secs(2));
-    let short = routing.apply(None, &BTreeSet::new(), 1.0);
-    assert_eq!((short, routing.applied_at()), (long, long));
+    let started_at = Instant::now();
+    let first_applied_at = routing.apply(None, &BTreeSet::new(), 1000.0);
+    assert!(first_applied_at >= started_at + Duration::from_secs(2));
+    let second_applied_at = routing.apply(None, &BTreeSet::new(), 1.0);
+    assert_eq!((second_applied_at, routing.applied_at()), (first_applied_at, first_applied_at));
 }
