--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -65,7 +65,7 @@
 
     fn outcomes_message(&self, outcomes: &EndpointOutcomes) -> Value {
         let sums = &outcomes.sums;
-        let mean_latency_ms = sums.answered_us as f64 / 1e3 / sums.answered().max(1) as f64;
+        let mean_latency_ms = sums.answered_latency_us as f64 / 1e3 / sums.answered().max(1) as f64;
         json!({
             "msg": "outcomes",
             "locality": self.fleet.zones[outcomes.zone].name,
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -202,7 +202,7 @@
         let interval = Span::from_us(self.report_interval.as_micros() as i64);
         for outcomes in &report.outcomes {
             let sums = &outcomes.sums;
-            let mean_latency_us = sums.answered_us / sums.answered().max(1);
+            let mean_latency_us = sums.answered_latency_us / sums.answered().max(1);
             self.controller.endpoint_outcomes(
                 now,
                 &self.endpoint_ids[outcomes.endpoint as usize],
--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -24,7 +24,7 @@
     /// Attempts that failed.
     pub(crate) failed: u64,
     /// The total duration of the attempts that did not fail, in microseconds.
-    pub(crate) answered_us: u64,
+    pub(crate) answered_latency_us: u64,
 }
 
 impl AttemptSums {
@@ -32,7 +32,7 @@
     pub(crate) fn add(&mut self, other: AttemptSums) {
         self.attempts += other.attempts;
         self.failed += other.failed;
-        self.answered_us += other.answered_us;
+        self.answered_latency_us += other.answered_latency_us;
     }
 
     /// Attempts that did not fail.
@@ -117,7 +117,7 @@
         let sums = load.attempts.entry(self.endpoint).or_default();
         sums.attempts += 1;
         if self.answered {
-            sums.answered_us += self.started_at.elapsed().as_micros() as u64;
+            sums.answered_latency_us += self.started_at.elapsed().as_micros() as u64;
         } else {
             sums.failed += 1;
         }
