--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -56,7 +56,7 @@
 
     fn own_proxies(&self) -> impl Iterator<Item = &Proxy> {
         let instances = self.fleet.control_plane.instances;
-        self.proxies.iter().filter(move |proxy| proxy.instance(instances) == self.instance)
+        self.proxies.iter().filter(move |proxy| proxy.instance_index(instances) == self.instance)
     }
 
     fn interval_ms(&self) -> f64 {
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -126,9 +126,9 @@
         lock(&self.server.routing).apply(assigned_table, ejected, lines)
     }
 
-    /// The index of the control-plane instance that the proxy joins, out of `instances`.
-    pub(crate) fn instance(&self, instances: u32) -> u32 {
-        self.number % instances
+    /// The index of the control-plane instance that the proxy joins, out of `instance_count`.
+    pub(crate) fn instance_index(&self, instance_count: u32) -> u32 {
+        self.number % instance_count
     }
 
     /// Returns the load since the last call, and resets it.
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -126,7 +126,7 @@
         if self.instances.is_empty() {
             return None;
         }
-        let index = proxy.instance(self.instances.len() as u32);
+        let index = proxy.instance_index(self.instances.len() as u32);
         Some(&self.instances[index as usize])
     }
 
