--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -137,8 +137,8 @@
     }
 
     /// The attempts since the proxy was first started.
-    pub(crate) fn attempts(&self) -> AttemptCounts {
-        self.server.load_counters.attempts()
+    pub(crate) fn attempt_counts(&self) -> AttemptCounts {
+        self.server.load_counters.attempt_counts()
     }
 
     /// Whether the proxy has been assigned a table since its last start.
--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -64,7 +64,7 @@
         std::mem::replace(&mut *lock(&self.since_report), IntervalLoad::empty(self.request_classes))
     }
 
-    pub(super) fn attempts(&self) -> AttemptCounts {
+    pub(super) fn attempt_counts(&self) -> AttemptCounts {
         AttemptCounts {
             total: self.attempts.load(Ordering::Relaxed),
             cross_zone: self.cross_zone_attempts.load(Ordering::Relaxed),
--- a/emulator/src/testbed/run.rs
+++ b/emulator/src/testbed/run.rs
@@ -61,8 +61,8 @@
         Ok(TestbedResult {
             clients: client_results,
             endpoints: self.endpoint_results(used_core_us, load_seconds),
-            cross_zone_attempts: self.proxies.iter().map(|proxy| proxy.attempts().cross_zone).sum(),
-            attempts: self.proxies.iter().map(|proxy| proxy.attempts().total).sum(),
+            cross_zone_attempts: self.proxies.iter().map(|proxy| proxy.attempt_counts().cross_zone).sum(),
+            attempts: self.proxies.iter().map(|proxy| proxy.attempt_counts().total).sum(),
             max_queued_lines: self.max_queued_lines(),
             load_seconds,
         })
