--- a/emulator/src/error.rs
+++ b/emulator/src/error.rs
@@ -41,10 +41,10 @@
         log: PathBuf,
     },
     /// Some proxies were not assigned a route table in time.
-    #[error("{waiting} of {proxies} proxies were not assigned a route table within {limit_seconds} s")]
+    #[error("{unassigned} of {proxies} proxies were not assigned a route table within {limit_seconds} s")]
     NoRouteTable {
         /// The number of proxies without an assigned table.
-        waiting: usize,
+        unassigned: usize,
         /// The number of all proxies.
         proxies: usize,
         /// The time limit in seconds.
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -105,14 +105,14 @@
         }
         let deadline = Instant::now() + ASSIGNMENT_TIMEOUT;
         loop {
-            let waiting = self.proxies.iter().filter(|proxy| !proxy.has_assigned_table()).count();
-            if waiting == 0 {
+            let unassigned = self.proxies.iter().filter(|proxy| !proxy.has_assigned_table()).count();
+            if unassigned == 0 {
                 return Ok(());
             }
             if Instant::now() >= deadline {
                 let limit_seconds = ASSIGNMENT_TIMEOUT.as_secs();
                 return Err(TestbedError::NoRouteTable {
-                    waiting,
+                    unassigned,
                     proxies: self.proxies.len(),
                     limit_seconds,
                 });
