--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -151,7 +151,8 @@
         lock(&self.server.routing).in_initial_table(endpoint)
     }
 
-    /// Stops the proxy at once: open connections break, and new ones are refused.
+    /// Stops the proxy at once: connections from clients break, and new ones are refused. Idle connections to
+    /// endpoints stay open until the restart.
     pub(crate) fn crash(&self) {
         self.task.abort();
     }
--- a/emulator/src/proxy/routing.rs
+++ b/emulator/src/proxy/routing.rs
@@ -17,7 +17,7 @@
 /// The current route table of a proxy.
 pub(super) struct RoutingState {
     table: Arc<TableSnapshot>,
-    /// Whether the table was assigned by the control plane; otherwise it is the initial table.
+    /// Whether the table is an assigned table; otherwise it is the initial table.
     assigned: bool,
     /// The endpoints of the initial table.
     initial_endpoints: Vec<u32>,
