--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -1,5 +1,5 @@
-//! The emulated collectors, one a zone: each connects to a control-plane process and sends it the load reports of the
-//! process's proxies in that zone, by the published protocol.
+//! The emulated collectors, one per zone. Each connects to a control-plane process and sends it the load
+//! reports of the process's proxies in that zone, in the published protocol.
 
 use crate::frame::write_frame;
 use crate::load_report::{EndpointOutcomes, LoadReport, ProxyDemand};
@@ -20,19 +20,19 @@
     pub(crate) endpoint_names: Vec<String>,
     /// The proxies of all instances.
     pub(crate) proxies: Arc<Vec<Proxy>>,
-    /// The index of the instance.
+    /// The index of the instance in the fleet's control plane.
     pub(crate) instance: u32,
 }
 
-/// The connection of the collector of one zone.
+/// The collector of one zone, with its connection to the control plane.
 struct ZoneCollector {
     zone: usize,
-    /// `None` before the first report and after an error.
+    /// `None` before the first report and after a failed one.
     stream: Option<TcpStream>,
 }
 
 impl Collectors {
-    /// Sends reports at the fleet's interval, each late by the fleet's delay, until the task is aborted.
+    /// Takes a report in each report interval and sends it after the report delay, until the task is aborted.
     pub(crate) async fn run(self) {
         let report_interval = duration(self.fleet.control_plane.report_interval);
         let report_delay = duration(self.fleet.control_plane.report_delay);
@@ -47,7 +47,8 @@
             for collector in &mut collectors {
                 let sent = collector.send(&self, &report).await;
                 if sent.is_err() {
-                    // The report is lost, as with a real collector; the next one opens a new connection.
+                    // The rest of the report is lost, as with a real collector. The next report opens a new
+                    // connection.
                     collector.stream = None;
                 }
             }
@@ -90,7 +91,7 @@
 }
 
 impl ZoneCollector {
-    /// Sends this zone's part of a report, on a new connection if there is none.
+    /// Sends this zone's part of a report; connects first if there is no connection.
     async fn send(&mut self, collectors: &Collectors, report: &LoadReport) -> io::Result<()> {
         let stream = match &mut self.stream {
             Some(stream) => stream,
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// Connects, and says for which zone it reports.
+    /// Connects and announces the zone that the reports are for.
     async fn connect(&self, collectors: &Collectors) -> io::Result<TcpStream> {
         let mut stream = TcpStream::connect(&collectors.control_plane_address).await?;
         let zone = &collectors.fleet.zones[self.zone].name;
--- a/emulator/src/control_plane_config.rs
+++ b/emulator/src/control_plane_config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a control-plane process of a fleet, in the words of the published settings.
+//! The configuration of a fleet's control-plane process, with the field names and units of the published
+//! settings.
 
 use otterwinch::time::Span;
 use otterwinch_fleet::model::Fleet;
@@ -7,29 +8,29 @@
 #[cfg(test)]
 mod tests;
 
-/// The relative cost of a request that leaves its zone, in fleets where that costs.
+/// The relative cost of a request that leaves its zone, in fleets with cross-zone costs.
 const CROSS_ZONE_COST: f64 = 0.04;
 /// The control plane's limit on open sockets.
 const MAX_SOCKETS: u32 = 1024;
 /// The control plane's limit on memory, in megabytes.
 const MAX_MEMORY_MB: u32 = 192;
 
-/// What the configuration of a control-plane process states.
+/// The values from which the configuration of a control-plane process is built.
 pub(crate) struct ControlPlaneConfig<'a> {
     pub(crate) fleet: &'a Fleet,
     /// The name of the instance.
     pub(crate) name: &'a str,
-    /// Where the instance is to listen.
+    /// The address that the instance listens on.
     pub(crate) listen_address: &'a str,
     pub(crate) endpoint_list_address: &'a str,
     pub(crate) relay_address: &'a str,
-    /// The endpoint list at the start.
+    /// The endpoint list at the start, in the protocol's JSON form.
     pub(crate) known_endpoints: Value,
     pub(crate) seed: u64,
 }
 
 impl ControlPlaneConfig<'_> {
-    /// The configuration file's content.
+    /// The content of the configuration file.
     pub(crate) fn to_json(&self) -> Value {
         json!({
             "name": self.name,
@@ -74,7 +75,7 @@
     classes
 }
 
-/// The proxies and the channel to them.
+/// The settings of the proxies and of the channel to them.
 fn channel_json(fleet: &Fleet) -> Value {
     let control_plane = &fleet.control_plane;
     let proxy_count: u32 = fleet.zones.iter().map(|zone| zone.proxy_count).sum();
@@ -90,8 +91,8 @@
     })
 }
 
-/// The bound that the control plane may rely on for the transit of a message: twice the emulated delay, since the machine
-/// adds to it.
+/// The upper bound on the transit time of a message that the control plane is configured with. It is twice
+/// the emulated delay, because the machine that runs the emulation adds to the delay.
 fn max_transit(message_delay: Span) -> Span {
     Span::from_us(message_delay.as_us() * 2)
 }
--- a/emulator/src/control_plane_config/tests.rs
+++ b/emulator/src/control_plane_config/tests.rs
@@ -16,7 +16,7 @@
     config.to_json()
 }
 
-/// Compared as a whole text, since the published settings fix each name and unit.
+/// Compares the whole text, because the published settings define the name and the unit of each field.
 #[test]
 fn the_configuration_has_the_published_field_names() {
     let expected = concat!(
--- a/emulator/src/endpoint_list.rs
+++ b/emulator/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The emulated endpoint list, by its published protocol: returns the whole list, or waits for changes after a version.
+//! The emulated endpoint list. A request gets the whole list, or waits for changes since a version and gets
+//! those, as in the published protocol.
 
 use crate::http::serve_connection;
 use crate::network::{Listener, Network, Stream};
@@ -17,25 +18,25 @@
 #[cfg(test)]
 mod tests;
 
-/// Changes that are kept for watchers. A watcher that is further behind gets the whole list.
+/// The number of changes that are kept for watchers. A watcher that is further behind gets the whole list.
 const MAX_KEPT_CHANGES: usize = 256;
-/// The longest time that a watcher may wait for a change, in milliseconds.
+/// The longest time that a request may wait for a change, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
-/// The version of the list at its start.
+/// The version of the list when it is started.
 pub(crate) const FIRST_VERSION: u64 = 1;
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ListEntry {
-    /// The identifier of the endpoint.
+    /// The identifier of the endpoint, unique in the list.
     pub(crate) name: String,
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub(crate) address: String,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub(crate) zone: String,
     pub(crate) state: EndpointState,
     pub(crate) weight: f64,
-    /// When it was started, in milliseconds of Unix time; 0 is long ago.
+    /// When the endpoint was started, in milliseconds of Unix time; 0 if that was long ago.
     pub(crate) started_unix_ms: u64,
 }
 
@@ -59,7 +60,7 @@
     }
 }
 
-/// The protocol's form of a whole list.
+/// A response with the whole list, in the protocol's JSON form.
 pub(crate) fn whole_list_json(version: u64, entries: &[ListEntry]) -> Value {
     list_json(version, true, entries.iter())
 }
@@ -69,9 +70,9 @@
     json!({"seq": version, "whole": is_whole, "hosts": hosts})
 }
 
-/// A change of the list.
+/// A change of one entry.
 struct Change {
-    /// The version of the list that has it.
+    /// The first version of the list that includes the change.
     version: u64,
     entry: ListEntry,
 }
@@ -97,7 +98,8 @@
         self.changes.drain(..excess);
     }
 
-    /// The changes after a version, or the whole list if there is no version or its changes aren't kept any more.
+    /// The changes since a version; the whole list if no version is given or some of the changes since it are
+    /// no longer kept.
     fn answer(&self, since: Option<u64>) -> Value {
         let Some(since) = since.filter(|since| self.has_changes_since(*since)) else {
             return whole_list_json(self.version, &self.entries);
@@ -114,19 +116,19 @@
 
 /// A running endpoint list.
 pub(crate) struct EndpointList {
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) address: String,
     server: Arc<ListServer>,
 }
 
 struct ListServer {
     state: Mutex<ListState>,
-    /// The version, for those who wait for a change.
+    /// The current version; notifies the requests that wait for a change.
     version: watch::Sender<u64>,
 }
 
 impl EndpointList {
-    /// Starts a list with these entries on an address of its own.
+    /// Starts a list with these entries on a new address.
     pub(crate) fn start(network: &Network, entries: Vec<ListEntry>) -> io::Result<EndpointList> {
         let (listener, address) = network.listen("list")?;
         let state = ListState { version: FIRST_VERSION, entries, changes: Vec::new() };
@@ -136,7 +138,7 @@
         Ok(EndpointList { address, server })
     }
 
-    /// Changes some entries, and notifies the watchers.
+    /// Changes or removes the given entries and notifies the watchers.
     pub(crate) fn update(&self, entries: Vec<ListEntry>) {
         let version = {
             let mut state = lock(&self.server.state);
@@ -159,7 +161,7 @@
 }
 
 impl ListServer {
-    /// Answers at once without `since`, and otherwise when there is a later version or the time has passed.
+    /// Responds at once without `since`; otherwise when there is a later version or `timeout_ms` has passed.
     async fn handle(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
         let query = request.uri().query().unwrap_or_default();
         let since = query_number(query, "since");
--- a/emulator/src/endpoint_list/tests.rs
+++ b/emulator/src/endpoint_list/tests.rs
@@ -18,7 +18,7 @@
     ListState { version: FIRST_VERSION, entries, changes: Vec::new() }
 }
 
-/// The names in an answer.
+/// The names of the endpoints in a response.
 fn hosts(answer: &Value) -> Vec<&str> {
     let hosts = answer["hosts"].as_array().unwrap();
     hosts.iter().map(|host| host["host"].as_str().unwrap()).collect()
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -1,5 +1,6 @@
-//! A control-plane instance in this process: the controller without sockets, for runs on a paused clock. It gets the same
-//! events and sends its commands through the same channel as an instance in a process of its own.
+//! A control-plane instance in this process: the controller without sockets, for runs on a paused clock. It
+//! gets the same events as an instance in a separate process, and sends its commands through the same kind of
+//! channel.
 
 use crate::endpoint_status::EndpointStatus;
 use crate::load_report::LoadReport;
@@ -20,13 +21,13 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep_until, Instant};
 
-/// The controller's clock at the start of the instance, in microseconds. It leaves room for moments before the start, at
-/// which endpoints may have been started.
+/// The controller's time at the start of the instance, in microseconds. It is well above 0 because endpoints
+/// may have been started before the instance.
 const CLOCK_ORIGIN_US: i64 = 1_000_000_000_000;
 
-/// What the testbed notifies an instance of.
+/// An event that the testbed reports to an instance.
 pub(crate) enum ControlPlaneEvent {
-    /// Entries of the endpoint list, new or changed.
+    /// Entries of the endpoint list were added or have changed.
     EndpointsUpdated(Vec<EndpointStatus>),
     /// A proxy has connected.
     ProxyJoined(JoinedProxy),
@@ -34,7 +35,7 @@
     ProxyLeft(u32),
 }
 
-/// What an instance is started with.
+/// The parameters of an instance.
 pub(crate) struct InstanceSpec {
     pub(crate) fleet: Fleet,
     /// By endpoint index.
@@ -54,7 +55,8 @@
     InProcessControlPlane::new(spec).run(events, acknowledgements).await;
 }
 
-/// A timer of the controller. Timers of the same moment fire in the order in which they were scheduled.
+/// A timer of the controller. Timers that are due at the same time fire in the order in which they were
+/// scheduled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledTimer {
     at: Instant,
@@ -76,7 +78,7 @@
     endpoint_ids: Vec<EndpointId>,
     clock: ControllerClock,
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// Timers that were scheduled so far.
+    /// The number of timers scheduled so far; gives each timer its sequence number.
     timer_count: u64,
     report_interval: Duration,
     report_delay: Duration,
@@ -119,7 +121,7 @@
             let next_timer = self.timers.peek().map_or(self.next_report, |timer| timer.0.at);
             let next_arrival =
                 self.pending_reports.front().map_or(self.next_report, |pending| pending.arrives_at);
-            // Biased, so that a run on a paused clock can be repeated.
+            // Biased, so that a run on a paused clock is reproducible.
             tokio::select! {
                 biased;
                 event = events.recv() => match event {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Takes over the timers that the controller has asked for.
+    /// Schedules the timers that the controller has requested since the last call.
     fn schedule_timers(&mut self) {
         let requested = std::mem::take(&mut self.controller.host().timers);
         for (after, timer) in requested {
@@ -155,6 +157,7 @@
         }
     }
 
+    /// Sends the commands that the controller has issued since the last call.
     fn send_commands(&mut self) {
         let commands = std::mem::take(&mut self.controller.host().commands);
         if !commands.is_empty() {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Takes the load of the connected proxies, which the controller gets after the report delay.
+    /// Takes the load of the connected proxies; the controller receives it after the report delay.
     fn take_report(&mut self) {
         self.next_report += self.report_interval;
         let connected = self.proxies.iter().filter(|proxy| self.channel.is_connected(proxy.number));
@@ -218,7 +221,7 @@
     }
 }
 
-/// The controller's clock.
+/// Converts the runtime's clock to that of the controller.
 #[derive(Clone, Copy)]
 struct ControllerClock {
     /// When the instance was started.
@@ -230,7 +233,7 @@
         self.moment(Instant::now())
     }
 
-    /// An instant before or after the start of the instance, on the controller's clock.
+    /// An instant on the controller's clock; it may lie before the start of the instance.
     fn moment(self, at: Instant) -> Moment {
         let offset_us = match at.checked_duration_since(self.began) {
             Some(since) => since.as_micros() as i64,
--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,19 +1,21 @@
-//! Emulation of a described fleet: endpoints, proxies, the endpoint list, the relay, collectors and clients, around the
-//! real control plane. The parties speak HTTP/1.1 and the published protocol on loopback sockets in real time, or over
-//! in-memory streams on a paused clock, so that what is measured in real time is tested in a fraction of it.
+//! Emulates a fleet from its description: endpoints, proxies, the endpoint list, the relay, collectors and
+//! clients, with the real controller or control-plane program. The parties speak HTTP/1.1 and the published
+//! protocol, either on loopback sockets in real time or over in-memory streams on a paused clock. On a paused
+//! clock, tests run the same code in a fraction of the emulated time.
 //!
-//! [`Testbed`] is the entry point: it starts a fleet from its description and plays a load and faults on it.
+//! [`Testbed`] is the entry point: it starts a fleet from its description, sends it a load and injects
+//! faults.
 //!
-//! | module | owns |
+//! | module | contents |
 //! | --- | --- |
-//! | `testbed` | the parties of a fleet, fault injection, the results |
+//! | `testbed` | start of a fleet, fault injection, results |
 //! | `network` | the connections between the parties |
 //! | `clients`, `proxy`, `endpoint` | one party of the request path each |
-//! | `endpoint_list`, `relay`, `collector` | one party of the control plane's protocol each |
+//! | `endpoint_list`, `relay`, `collector` | one peer of the control plane each |
 //! | `proxy_channel` | the messages from a control-plane instance to its proxies |
-//! | `load_report` | what the proxies report to a control-plane instance |
+//! | `load_report` | the load that the proxies report to a control-plane instance |
 //! | `in_process_control_plane` | a control-plane instance in this process |
-//! | `control_plane_config` | the configuration of an instance in a process of its own |
+//! | `control_plane_config` | the configuration of an instance that runs as a separate process |
 
 mod clients;
 mod collector;
--- a/emulator/src/live_proxies.rs
+++ b/emulator/src/live_proxies.rs
@@ -13,7 +13,8 @@
         LiveProxies { addresses: Mutex::new(addresses_by_zone) }
     }
 
-    /// The proxy for a client in a zone and a sample from 0 to 1: one of its zone or, if that has none, of all zones.
+    /// Picks the address of a proxy for a client in a zone: a proxy of that zone or, if it has none, of any
+    /// zone. `sample` is from 0 (included) to 1 (excluded) and selects the proxy.
     pub(crate) fn pick(&self, zone: usize, sample: f64) -> Option<String> {
         let addresses = lock(&self.addresses);
         if let Some(address) = pick_one(&addresses[zone], sample) {
@@ -22,12 +23,12 @@
         pick_one(&addresses.concat(), sample)
     }
 
-    /// Removes the proxies of a zone.
+    /// Removes all proxies of a zone.
     pub(crate) fn remove_zone(&self, zone: usize) {
         lock(&self.addresses)[zone].clear();
     }
 
-    /// Adds a proxy.
+    /// Adds a proxy to a zone.
     pub(crate) fn add(&self, zone: usize, address: String) {
         lock(&self.addresses)[zone].push(address);
     }
--- a/emulator/src/load_report.rs
+++ b/emulator/src/load_report.rs
@@ -1,17 +1,17 @@
-//! The load reports of an interval, as the control plane gets them.
+//! The load report of an interval, as a control-plane instance receives it.
 
 use crate::proxy::{AttemptSums, Proxy};
 use std::collections::BTreeMap;
 
-/// The load that proxies met in an interval.
+/// The load of some proxies in a report interval.
 pub(crate) struct LoadReport {
-    /// Attempts by zone of the proxies and endpoint, in this order.
+    /// Sorted by the zone of the proxies, then by endpoint.
     pub(crate) outcomes: Vec<EndpointOutcomes>,
-    /// Requests by proxy and request class, in this order; only those that had any.
+    /// Sorted by proxy, then by request class; without classes that had no requests.
     pub(crate) demand: Vec<ProxyDemand>,
 }
 
-/// What the proxies of one zone met at one endpoint.
+/// The outcomes of the attempts of one zone's proxies at one endpoint.
 pub(crate) struct EndpointOutcomes {
     /// The zone of the proxies.
     pub(crate) zone: usize,
@@ -19,7 +19,7 @@
     pub(crate) sums: AttemptSums,
 }
 
-/// Requests of one class that clients sent to one proxy.
+/// The number of requests of one class that clients sent to one proxy.
 pub(crate) struct ProxyDemand {
     /// The zone of the proxy.
     pub(crate) zone: usize,
@@ -29,7 +29,7 @@
 }
 
 impl LoadReport {
-    /// Takes the load of these proxies since it was taken last.
+    /// Takes the load of these proxies since it was last taken.
     pub(crate) fn take<'a>(proxies: impl Iterator<Item = &'a Proxy>) -> LoadReport {
         let mut outcomes = BTreeMap::<(usize, u32), AttemptSums>::new();
         let mut demand = Vec::new();
--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -1,6 +1,7 @@
-//! The channel between a control-plane instance and its proxies: takes the commands of an instant, sends the messages that
-//! they make at the channel's rate, and reports when a proxy has applied a message that asks for an acknowledgement. Both
-//! the emulated relay and the control plane in this process send their commands through it.
+//! The channel between a control-plane instance and its proxies. Combines commands that are sent together
+//! into one message per proxy, sends the messages at the channel's rate, and reports when a proxy has applied
+//! a message that requests an acknowledgement. Both the emulated relay and the in-process control plane send
+//! their commands through it.
 
 use crate::proxy::Proxy;
 use crate::sync::lock;
@@ -15,15 +16,16 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Messages in the channel, beyond which they are lost. No controller that keeps the channel's limits comes near.
+/// The number of messages that the channel holds; further ones are lost. A controller that respects the
+/// channel's limits stays far below it.
 const MAX_QUEUED_MESSAGES: usize = 1 << 20;
 
 /// A message to a proxy.
 struct Message {
-    /// When it reaches the proxy.
+    /// When the message reaches the proxy.
     arrives_at: Instant,
     proxy: u32,
-    /// The connection that it is sent on.
+    /// The number of the connection that the message is sent on.
     connection: u32,
     assigned_table: Option<Arc<TableSnapshot>>,
     ejected: Arc<BTreeSet<u32>>,
@@ -31,26 +33,26 @@
     acknowledgement: Option<u32>,
 }
 
-/// What a proxy states of itself when it connects.
+/// The properties that a proxy announces when it connects.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JoinedProxy {
     pub(crate) number: u32,
     /// The index of its zone.
     pub(crate) zone: u32,
-    /// The requests that it expects, per second.
+    /// The rate of requests that it expects, per second.
     pub(crate) expected_rate: f64,
-    /// Whether it holds the table that it drew at its start.
+    /// Whether it still uses the initial table, which it drew at random at its start.
     pub(crate) has_initial_table: bool,
 }
 
-/// A proxy's answer that it has applied all commands up to a number.
+/// A proxy's acknowledgement that it has applied all commands up to the one that requested it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledgement {
-    /// The number that the control plane asked for.
+    /// The number with which the control plane requested the acknowledgement.
     pub(crate) number: u32,
-    /// The proxy that answers.
+    /// The proxy that acknowledges.
     pub(crate) proxy: u32,
-    /// The delay of messages to it.
+    /// The delay of messages to the proxy.
     pub(crate) latency: Duration,
 }
 
@@ -65,13 +67,13 @@
 
 struct ChannelState {
     model: ChannelModel,
-    /// By proxy: the number of its present connection. It changes with each connect and disconnect, so that messages of
-    /// an earlier connection are recognized and dropped.
+    /// By proxy: the number of its current connection. It changes with each connect and disconnect, so that
+    /// messages of an earlier connection are recognized and dropped.
     connections: Vec<u32>,
 }
 
 impl ProxyChannel {
-    /// Opens a channel without connected proxies; acknowledgements come through the receiver.
+    /// Opens a channel without connected proxies. The receiver returns the acknowledgements.
     pub(crate) fn open(
         control_plane: &ControlPlane,
         request_classes: usize,
@@ -101,7 +103,7 @@
         state.connections[proxy as usize] += 1;
     }
 
-    /// Disconnects a proxy. Messages that have not reached it are lost.
+    /// Disconnects a proxy. Messages that have not reached it yet are lost.
     pub(crate) fn disconnect(&self, proxy: u32) {
         let mut state = lock(&self.state);
         state.model.disconnect(proxy);
@@ -113,7 +115,7 @@
         lock(&self.state).model.connected.contains(&proxy)
     }
 
-    /// Sends the commands of an instant.
+    /// Sends commands that were issued at the same time, as one message per proxy.
     pub(crate) fn send(&self, commands: Vec<Command>) {
         let now = Instant::now();
         let now_us = (now - self.began).as_micros() as u64;
@@ -132,12 +134,12 @@
                 lines,
                 acknowledgement: batch.acknowledgement,
             };
-            // Fails only when the runtime is shutting down, or far beyond the channel's limits.
+            // Fails only when the runtime is shutting down or the channel holds `MAX_QUEUED_MESSAGES`.
             let _ = self.messages.try_send(message);
         }
     }
 
-    /// The most lines that were ever queued.
+    /// The largest number of lines that were queued at any time so far.
     pub(crate) fn max_queued_lines(&self) -> f64 {
         lock(&self.state).model.send_queue.max_queued_lines
     }
@@ -148,7 +150,8 @@
     }
 }
 
-/// Delivers the messages. Their delay is the same, so that they arrive in the order in which they are sent.
+/// Delivers the messages one after the other: they arrive in the order in which they were sent, because all
+/// have the same delay.
 async fn deliver(
     channel: Arc<ProxyChannel>,
     mut messages: mpsc::Receiver<Message>,
@@ -169,7 +172,7 @@
     }
 }
 
-/// Sends an acknowledgement once the message is applied.
+/// Sends an acknowledgement when the proxy has applied the message.
 async fn acknowledge(
     acknowledgement: Acknowledgement,
     applied_at: Instant,
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -1,7 +1,7 @@
-//! The emulated relay, by its published protocol: takes the commands of a control-plane process, and streams to it which
-//! proxies join and leave, and what they acknowledge.
+//! The emulated relay, with the published protocol: accepts the commands of a control-plane process and
+//! streams events to it, namely which proxies join and leave and what they acknowledge.
 //!
-//! `commands.rs` decodes commands, `event_stream.rs` serves the stream.
+//! `commands.rs` decodes the commands, `event_stream.rs` serves the stream.
 
 mod commands;
 mod event_stream;
@@ -21,16 +21,16 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{broadcast, mpsc};
 
-/// The path of the stream of events.
+/// The path of the event stream.
 const EVENTS_PATH: &str = "/v3/kv/stream";
-/// The path to which commands are sent.
+/// The path that accepts batches of commands.
 const COMMANDS_PATH: &str = "/v3/kv/batches";
-/// Events by which a reader of the stream may lag behind before it is cut off.
+/// The number of events that a reader of the stream may lag behind before its stream is ended.
 const MAX_LAGGING_EVENTS: usize = 8_192;
 
 type ResponseBody = BoxBody<Bytes, Infallible>;
 
-/// The names by which the protocol refers to parts of the fleet.
+/// The names that the protocol uses for the endpoints, request classes and zones of the fleet.
 pub(crate) struct FleetNames {
     /// Endpoint indices by name.
     pub(crate) endpoints: BTreeMap<String, u32>,
@@ -42,7 +42,7 @@
 
 /// A running relay.
 pub(crate) struct Relay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) address: String,
     server: Arc<RelayServer>,
 }
@@ -50,14 +50,14 @@
 struct RelayServer {
     channel: Arc<ProxyChannel>,
     names: FleetNames,
-    /// Lines for all readers of the stream.
+    /// Sends lines to all readers of the stream.
     events: broadcast::Sender<String>,
-    /// The line with which each joined proxy was announced, by its number.
+    /// By proxy number: the line that announced each connected proxy.
     joined: Mutex<BTreeMap<u32, String>>,
 }
 
 impl Relay {
-    /// Starts a relay for the proxies of a channel on an address of its own.
+    /// Starts a relay for the proxies of a channel on a new address.
     pub(crate) fn start(
         network: &Network,
         channel: Arc<ProxyChannel>,
@@ -72,7 +72,7 @@
         Ok(Relay { address, server })
     }
 
-    /// Connects a proxy to the channel and announces it.
+    /// Connects a proxy to the channel and announces it on the stream.
     pub(crate) fn join(&self, proxy: JoinedProxy) {
         let zone = &self.server.names.zones[proxy.zone as usize];
         let object = json!({
@@ -87,7 +87,7 @@
         self.server.announce(line);
     }
 
-    /// Disconnects a proxy from the channel and announces that.
+    /// Disconnects a proxy from the channel and announces that on the stream.
     pub(crate) fn leave(&self, proxy: u32) {
         self.server.channel.disconnect(proxy);
         lock(&self.server.joined).remove(&proxy);
@@ -125,13 +125,13 @@
         }
     }
 
-    /// Sends a line to all readers of the stream, if there are any.
+    /// Sends a line to all readers of the stream; without readers it is dropped.
     fn announce(&self, line: String) {
         let _ = self.events.send(line);
     }
 }
 
-/// A line of the stream.
+/// Encodes an event as a line of the stream.
 fn event_line(kind: &str, object: Value) -> String {
     format!("{}\n", json!({"type": kind, "object": object}))
 }
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the relay: decodes a call and sends what it orders through the channel.
+//! Commands to the relay: decodes a batch of commands and sends them through the channel.
 
 use super::{invalid_request, json_response, FleetNames, RelayServer, ResponseBody};
 use http_body_util::{BodyExt, Limited};
@@ -11,11 +11,12 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest call, in bytes.
+/// The longest request body, in bytes.
 const MAX_CALL_BYTES: usize = 60_000;
 
 impl RelayServer {
-    /// Takes the commands of a call up to the first that is invalid, and answers how many it took.
+    /// Sends the commands of a batch up to the first invalid one, and responds with the number of commands
+    /// sent.
     pub(super) async fn take_commands(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let Some(call) = read_json(request).await else { return invalid_request() };
         let Some(changes) = call["changes"].as_array() else { return invalid_request() };
@@ -59,7 +60,7 @@
         self.endpoints.get(change["endpoint"].as_str()?).copied()
     }
 
-    /// The classes that a command names; all if it names none. Unknown names are ignored.
+    /// The request classes that a command names; all if it has no list of names. Unknown names are ignored.
     fn request_classes(&self, change: &Value) -> RequestClassSet {
         let classes = &self.request_classes;
         let Some(names) = change["routes"].as_array() else {
--- a/emulator/src/relay/event_stream.rs
+++ b/emulator/src/relay/event_stream.rs
@@ -1,4 +1,4 @@
-//! The relay's stream of events to a control-plane process.
+//! The stream of events from the relay to a control-plane process.
 
 use super::{RelayServer, ResponseBody};
 use crate::sync::lock;
@@ -12,20 +12,21 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tokio_stream::StreamExt;
 
-/// How often a heartbeat shows that the stream is alive.
+/// The time between heartbeats, which show that the stream is alive.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A line without an event. The first one ends the announcement of the proxies that have joined before.
+/// A line without an event. The first one marks the end of the proxies that were connected before the stream
+/// was opened.
 const HEARTBEAT: &str = "{}\n";
-/// Lines that wait in a response body until they are written.
+/// The number of lines that a response body queues until they are written.
 const MAX_QUEUED_LINES: usize = 64;
 
-/// Opens a stream: first the proxies that have joined, then events as they happen.
+/// Opens a stream: first the connected proxies, then events as they occur.
 pub(super) fn open(server: &Arc<RelayServer>) -> Response<ResponseBody> {
     let (lines, body_lines) = mpsc::channel(MAX_QUEUED_LINES);
     let events = server.events.subscribe();
     let server = server.clone();
     tokio::spawn(async move {
-        // Fails when the reader has gone, which ends the stream.
+        // Fails when the reader has disconnected, which ends the stream.
         let _ = write(&server, events, lines).await;
     });
     let frames = ReceiverStream::new(body_lines).map(|line| Ok(Frame::data(Bytes::from(line))));
@@ -47,7 +48,8 @@
         let line = tokio::select! {
             event = events.recv() => match event {
                 Ok(line) => line,
-                // A reader that lags behind is cut off; it gets the present state when it connects again.
+                // The reader lags too far behind: end its stream. It gets the current state when it
+                // reconnects.
                 Err(_) => return Ok(()),
             },
             _ = heartbeat.tick() => HEARTBEAT.to_owned(),
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -1,8 +1,9 @@
-//! A whole emulated fleet: started from its description, with its route tables from the control plane or fixed, played a
-//! load and faults.
+//! A whole emulated fleet: starts it from its description, with route tables that are fixed or assigned by a
+//! control plane, sends it a load and injects faults.
 //!
-//! `setup.rs` starts the endpoints and proxies, `instance.rs` and `control_plane_process.rs` the control plane;
-//! `endpoint_registry.rs` holds what the endpoint list says, `fault_injection.rs` injects faults, `run.rs` plays a load.
+//! `setup.rs` starts the endpoints and proxies, `instance.rs` and `control_plane_process.rs` the control
+//! plane; `endpoint_registry.rs` holds the entries of the endpoint list, `fault_injection.rs` injects faults,
+//! `run.rs` runs a load.
 
 mod control_plane_process;
 mod endpoint_registry;
@@ -26,13 +27,15 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// How long the control plane may take to assign a route table to each proxy.
+/// How long the control plane may take until it has assigned a route table to each proxy.
 const ASSIGNMENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often the assignments are checked.
 const ASSIGNMENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The part of the fleet's capacity that the proxies say they expect to use when they connect.
+/// The utilisation of the fleet's capacity that corresponds to the rates the proxies announce when they
+/// connect.
 const EXPECTED_UTILISATION: f64 = 0.6;
-/// Keeps the expected rate finite in a fleet whose requests cost nothing, in seconds.
+/// The least mean work that the expected rate is computed with, in seconds. It keeps the rate finite in a
+/// fleet whose requests take no work.
 const MIN_MEAN_WORK: f64 = 1e-9;
 
 /// Where the proxies' route tables come from.
@@ -40,23 +43,25 @@
 pub enum TableSource {
     /// There is no control plane; the tables never change.
     Fixed {
-        /// By zone of the proxies: the weight of each endpoint.
+        /// The weight of each endpoint, by zone of the proxies and endpoint index.
         weights: Vec<Vec<f64>>,
         /// The fraction of requests that is admitted, by request class.
         admitted: Vec<f64>,
     },
     /// Control-plane instances in this process, without sockets.
     InProcess,
-    /// Control-plane instances that are processes of their own, over the published protocol. Needs [`Network::Loopback`].
+    /// Control-plane instances that run as separate processes and use the published protocol. Requires
+    /// [`Network::Loopback`].
     Program {
         /// The control plane's program.
         path: PathBuf,
-        /// Where the configuration and log of each instance are written.
+        /// The directory in which the configuration and the log of each instance are written.
         directory: PathBuf,
     },
 }
 
-/// A running fleet. All its parties stop when it is dropped.
+/// A running fleet. Dropping it stops the endpoints and the control-plane instances; the proxies, the relays
+/// and the endpoint lists run until the runtime shuts down.
 pub struct Testbed {
     fleet: Fleet,
     network: Network,
@@ -70,8 +75,8 @@
 }
 
 impl Testbed {
-    /// Starts all parties of a fleet. [`TableSource::InProcess`] has to be started within a [`tokio::task::LocalSet`],
-    /// since the controller stays on one thread.
+    /// Starts all parties of a fleet. [`TableSource::InProcess`] requires a [`tokio::task::LocalSet`],
+    /// because the controller can't move between threads.
     pub async fn start(
         fleet: &Fleet,
         network: Network,
@@ -148,7 +153,7 @@
         }
     }
 
-    /// The requests per second that a proxy of a zone says it expects.
+    /// The rate of requests that a proxy of a zone announces, per second.
     fn expected_rate(&self, zone: usize) -> f64 {
         let mean_work = self.fleet.mean_work().max(MIN_MEAN_WORK);
         let fleet_rate = self.fleet.capacity() / mean_work * EXPECTED_UTILISATION;
@@ -157,8 +162,9 @@
     }
 }
 
-/// Runs a future on a paused clock within one thread, so that a run in an in-memory network takes a fraction of its
-/// emulated time. The same seed gives the same course but for what depends on the order in which tasks wake.
+/// Runs a future on a paused clock in the current thread, so that a run on an in-memory network takes a
+/// fraction of its emulated time. Runs with the same seed differ only in what depends on the order in which
+/// tasks are woken.
 #[cfg(any(test, feature = "paused"))]
 pub fn run_on_paused_clock<F: std::future::Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/emulator/src/testbed/control_plane_process.rs
+++ b/emulator/src/testbed/control_plane_process.rs
@@ -1,5 +1,4 @@
-//! A control-plane instance in a process of its own, with the relay, the endpoint list and the collectors that it works
-//! with.
+//! A control-plane instance in a separate process, with its relay, endpoint list and collectors.
 
 use super::Testbed;
 use crate::collector::Collectors;
@@ -23,16 +22,17 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep, timeout};
 
-/// The environment variable with the path of the configuration file.
+/// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 /// Environment variables that would override the configuration file.
 const OVERRIDING_VARIABLES: [&str; 3] = ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY"];
-/// How long a process may take until it answers health checks.
+/// How long a process may take until it responds to a health check.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// The wait between health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A running process and the parties that serve it alone. They stop when it is dropped.
+/// A running process with the relay, endpoint list and collectors that serve only it. Dropping it kills the
+/// process and stops the collectors; the relay and the endpoint list run until the runtime shuts down.
 pub(super) struct ControlPlaneProcess {
     pub(super) relay: Relay,
     pub(super) endpoint_list: EndpointList,
@@ -41,13 +41,13 @@
     _process: Child,
 }
 
-/// What a process is started with.
+/// The parameters of a process.
 pub(super) struct ProcessSpec<'a> {
-    /// The index of the instance.
+    /// The index of the instance in the fleet's control plane.
     pub(super) index: u32,
-    /// The program.
+    /// The path of the program.
     pub(super) path: &'a Path,
-    /// Where its configuration and log are written.
+    /// The directory in which its configuration and log are written.
     pub(super) directory: &'a Path,
     pub(super) seed: u64,
 }
@@ -67,7 +67,8 @@
 }
 
 impl Testbed {
-    /// Starts a process and the parties that it works with; returns when it answers health checks.
+    /// Starts a process with its relay, endpoint list and collectors; returns when it responds to a health
+    /// check.
     pub(super) async fn start_process(
         &self,
         spec: ProcessSpec<'_>,
@@ -114,7 +115,8 @@
     }
 }
 
-/// An address on loopback whose port was unused a moment ago.
+/// A loopback address with a port that is unused at the time of the call. Another process may take it before
+/// it is bound again.
 fn unused_address() -> io::Result<String> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     Ok(listener.local_addr()?.to_string())
@@ -143,7 +145,7 @@
         .map_err(|source| TestbedError::StartProgram { path: spec.path.to_owned(), source })
 }
 
-/// Waits until a process answers a health check.
+/// Waits until a process responds to a health check.
 async fn wait_until_responsive(address: &str) -> Result<(), tokio::time::error::Elapsed> {
     let answered = async {
         while check_health(address).await.is_err() {
--- a/emulator/src/testbed/endpoint_registry.rs
+++ b/emulator/src/testbed/endpoint_registry.rs
@@ -1,4 +1,5 @@
-//! What the endpoint list says of each endpoint, in the forms for a control plane in this process and for one outside.
+//! The entry of each endpoint in the endpoint list, in one form for an in-process control plane and in
+//! another for a control plane in a separate process.
 
 use super::setup::group_start;
 use crate::endpoint::Endpoint;
@@ -11,7 +12,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The present entries of all endpoints.
+/// The current entries of all endpoints.
 pub(super) struct EndpointRegistry {
     endpoints: Arc<Vec<Endpoint>>,
     /// By endpoint index.
@@ -21,11 +22,11 @@
     listed: Mutex<Vec<ListedState>>,
 }
 
-/// The part of an entry that changes.
+/// The part of an entry that may change.
 #[derive(Clone, Copy)]
 struct ListedState {
     state: EndpointState,
-    /// `None` if that is long ago.
+    /// When the endpoint was started; `None` if that was long ago.
     started: Option<Instant>,
 }
 
@@ -37,7 +38,7 @@
 }
 
 impl EndpointRegistry {
-    /// All endpoints are ready.
+    /// A registry in which all endpoints are ready.
     pub(super) fn new(fleet: &Fleet, endpoints: Arc<Vec<Endpoint>>, now: Instant) -> Self {
         let mut weights = Vec::new();
         let mut listed = Vec::new();
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Lists some endpoints as ready and started now.
+    /// Marks some endpoints as ready and started now.
     pub(super) fn set_started(&self, endpoints: &[u32]) {
         let mut listed = lock(&self.listed);
         for endpoint in endpoints {
@@ -76,13 +77,13 @@
         }
     }
 
-    /// The whole list.
+    /// The current entries of all endpoints.
     pub(super) fn whole_list(&self) -> ListUpdate {
         let all: Vec<u32> = (0..self.endpoints.len() as u32).collect();
         self.update_of(&all)
     }
 
-    /// The present entries of some endpoints.
+    /// The current entries of some endpoints.
     pub(super) fn update_of(&self, endpoints: &[u32]) -> ListUpdate {
         ListUpdate {
             statuses: endpoints.iter().map(|endpoint| self.status(*endpoint as usize)).collect(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// An instant of the past as milliseconds of Unix time.
+/// Converts an instant in the past to milliseconds of Unix time.
 fn unix_ms(at: Instant) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.saturating_sub(at.elapsed()).as_millis() as u64
--- a/emulator/src/testbed/fault_injection.rs
+++ b/emulator/src/testbed/fault_injection.rs
@@ -1,4 +1,5 @@
-//! Injects faults into a running testbed, and lets the control plane know what the endpoint list says of them.
+//! Injects faults into a running testbed, and publishes the resulting changes of the endpoint list to the
+//! control plane.
 
 use super::Testbed;
 use crate::time::duration;
@@ -73,7 +74,8 @@
         self.publish(endpoints);
     }
 
-    /// Sends the present entries of some endpoints to the control plane, after the delay of the endpoint list.
+    /// Sends the current entries of some endpoints to all control-plane instances, after the endpoint list's
+    /// delay.
     fn publish(&self, endpoints: &[u32]) {
         let update = self.registry.update_of(endpoints);
         let instances = self.instances.clone();
--- a/emulator/src/testbed/instance.rs
+++ b/emulator/src/testbed/instance.rs
@@ -1,4 +1,4 @@
-//! A control-plane instance of a testbed, in this process or outside.
+//! A control-plane instance of a testbed, in this process or in a separate one.
 
 use super::control_plane_process::{ControlPlaneProcess, ProcessSpec};
 use super::endpoint_registry::ListUpdate;
@@ -15,21 +15,21 @@
     Process(Box<ControlPlaneProcess>),
 }
 
-/// The testbed's end of an instance in this process.
+/// The testbed's handle to an instance in this process.
 pub(super) struct InProcessInstance {
     events: UnboundedSender<ControlPlaneEvent>,
     channel: Arc<ProxyChannel>,
 }
 
 impl InProcessInstance {
-    /// Notifies the instance; one that has ended needs to know nothing.
+    /// Sends an event to the instance; has no effect if the instance has ended.
     fn notify(&self, event: ControlPlaneEvent) {
         let _ = self.events.send(event);
     }
 }
 
 impl Instance {
-    /// Connects a proxy.
+    /// Connects a proxy to the instance.
     pub(super) fn join(&self, proxy: JoinedProxy) {
         match self {
             Instance::InProcess(instance) => {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Disconnects a proxy.
+    /// Disconnects a proxy from the instance.
     pub(super) fn leave(&self, proxy: u32) {
         match self {
             Instance::InProcess(instance) => {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Passes on an update of the endpoint list.
+    /// Sends an update of the endpoint list to the instance.
     pub(super) fn update_endpoints(&self, update: &ListUpdate) {
         match self {
             Instance::InProcess(instance) => {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The most lines that were ever queued in the channel to its proxies.
+    /// The largest number of lines that were queued at any time in the channel to its proxies.
     pub(super) fn max_queued_lines(&self) -> f64 {
         match self {
             Instance::InProcess(instance) => instance.channel.max_queued_lines(),
--- a/emulator/src/testbed/run.rs
+++ b/emulator/src/testbed/run.rs
@@ -1,4 +1,4 @@
-//! Plays a load and faults on a testbed, and sums up the results.
+//! Runs a load and faults on a testbed and collects the results.
 
 use super::Testbed;
 use crate::clients::{ClientResults, Clients, Progress};
@@ -12,9 +12,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, Instant};
 
-/// The time from the call to the load's begin, for the tasks to be ready.
+/// The time from the call to the start of the load, which gives the tasks time to get ready.
 const START_DELAY: Duration = Duration::from_millis(20);
-/// The shortest time over which utilisation is computed, in seconds. Keeps it finite for an empty load.
+/// The shortest time over which utilisation is computed, in seconds. It keeps utilisation finite for an empty
+/// load.
 const MIN_MEASURED_SECONDS: f64 = 1e-3;
 
 /// The results of a run.
@@ -22,22 +23,23 @@
 pub struct TestbedResult {
     /// The requests as the clients measured them.
     pub clients: ClientResults,
-    /// By endpoint, in the fleet's order. Utilisation is measured while the load lasts, the rest until all requests have
-    /// ended.
+    /// By endpoint, in the fleet's order. Utilisation is measured until the last request is sent, the rest
+    /// until all requests have ended.
     pub endpoints: Vec<EndpointResult>,
     /// Attempts of proxies at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// All attempts of proxies at endpoints.
     pub attempts: u64,
-    /// The most lines that were ever queued in the channel of a control-plane instance.
+    /// The largest number of lines that were queued at any time in the channel of any control-plane instance.
     pub max_queued_lines: f64,
-    /// The length of the load in seconds.
+    /// The time from the start of the load to its last request, in seconds.
     pub load_seconds: f64,
 }
 
 impl Testbed {
-    /// Plays a load and faults that begin shortly after the call; returns when all requests have ended and all faults
-    /// are injected. `on_start` is handed a view of the results.
+    /// Runs a load and faults, which start shortly after the call; returns when all requests have ended and
+    /// all faults are injected. `on_start` receives a view of the results, which shows them while the load
+    /// runs.
     pub async fn run(
         self: &Arc<Self>,
         load: impl Iterator<Item = ScheduledRequest>,
@@ -84,7 +86,7 @@
         injections
     }
 
-    /// The core time in use so far, by endpoint, in microseconds.
+    /// The core time used so far, by endpoint, in microseconds.
     fn used_core_us(&self) -> Vec<u64> {
         self.endpoints.iter().map(Endpoint::used_core_us).collect()
     }
--- a/emulator/src/testbed/setup.rs
+++ b/emulator/src/testbed/setup.rs
@@ -1,4 +1,4 @@
-//! Starts the endpoints and proxies of a fleet.
+//! Starts the endpoints and the proxies of a fleet.
 
 use super::TableSource;
 use crate::endpoint::{Endpoint, EndpointSpec};
@@ -32,7 +32,8 @@
     Ok(endpoints)
 }
 
-/// When the endpoints of a group were started; `None` if that is long ago, or before the clock of this process began.
+/// When the endpoints of a group were started; `None` if that was long ago, or earlier than an [`Instant`]
+/// can represent.
 pub(super) fn group_start(group: &EndpointGroup, now: Instant) -> Option<Instant> {
     now.checked_sub(duration(group.uptime?))
 }
@@ -61,7 +62,7 @@
     Ok(proxies)
 }
 
-/// The addresses of all proxies.
+/// The registry of running proxies, with all proxies in it.
 pub(super) fn live_proxies(fleet: &Fleet, proxies: &[Proxy]) -> LiveProxies {
     let mut addresses = vec![Vec::new(); fleet.zones.len()];
     for proxy in proxies {
@@ -94,7 +95,7 @@
     }
 }
 
-/// The table of a zone's proxies where tables are fixed.
+/// The table of a zone's proxies; `None` if the tables aren't fixed.
 fn fixed_table(table_source: &TableSource, zone: usize) -> Option<Arc<TableSnapshot>> {
     let TableSource::Fixed { weights, admitted } = table_source else { return None };
     let endpoints = WeightedEndpoints::new((0..).zip(weights[zone].iter().copied()));
--- a/emulator/tests/testbed.rs
+++ b/emulator/tests/testbed.rs
@@ -1,5 +1,6 @@
-//! Whole emulated fleets in memory on a paused clock. Their results are compared with the simulation of the same fleet and
-//! load, which shares no code with the emulation but the route tables, the proxy channel's model and the result types.
+//! Runs whole emulated fleets in memory on a paused clock. Some tests compare the results with a simulation
+//! of the same fleet and load, which shares only the route tables, the model of the proxy channel and the
+//! result types with the emulation.
 
 use otterwinch_emulator::{run_on_paused_clock, Network, TableSource, Testbed, TestbedResult};
 use otterwinch_fleet::load_profile::LoadGenerator;
@@ -24,7 +25,7 @@
     small_fleet_with(&[])
 }
 
-/// The example fleet with parts of its text replaced, each an old and a new text.
+/// The example fleet with parts of its text replaced; each change is a pair of the old and the new text.
 fn small_fleet_with(changes: &[(&str, &str)]) -> Fleet {
     let mut text = example("fleets/small.fleet");
     for (old, new) in changes {
@@ -39,7 +40,8 @@
     LoadGenerator::new(fleet, &profile, LOAD_SEED).requests().collect()
 }
 
-/// Tables of the small fleet in which all endpoints have the same weight and all requests are admitted.
+/// Fixed tables of the small fleet, in which all endpoints have the same weight and all requests are
+/// admitted.
 fn equal_weights() -> (TableSource, SimulatedTableSource) {
     let weights = vec![vec![1.0; 6]; 2];
     let admitted = vec![1.0; 3];
@@ -170,7 +172,7 @@
     assert!(emulated.endpoints.iter().all(|endpoint| !endpoint.collapsed));
 }
 
-/// A short run in real time: shows that sockets carry what the paused clock can't show.
+/// A short run in real time, because the tests on a paused clock don't use sockets.
 #[test]
 fn a_fleet_on_loopback_sockets_answers_every_request() {
     let fleet = small_fleet();
