--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -42,7 +42,7 @@
         loop {
             sleep_until(next_report).await;
             next_report += report_interval;
-            let report = LoadReport::take(self.own_proxies());
+            let report = LoadReport::take(self.instance_proxies());
             sleep(report_delay).await;
             for collector in &mut collectors {
                 let sent = collector.send(&self, &report).await;
@@ -55,7 +55,7 @@
         }
     }
 
-    fn own_proxies(&self) -> impl Iterator<Item = &Proxy> {
+    fn instance_proxies(&self) -> impl Iterator<Item = &Proxy> {
         let instances = self.fleet.control_plane.instances;
         self.proxies.iter().filter(move |proxy| proxy.instance(instances) == self.instance)
     }
--- a/emulator/src/control_plane_config.rs
+++ b/emulator/src/control_plane_config.rs
@@ -25,7 +25,7 @@
     pub(crate) endpoint_list_address: &'a str,
     pub(crate) relay_address: &'a str,
     /// The endpoint list at the start, in the protocol's JSON form.
-    pub(crate) known_endpoints: Value,
+    pub(crate) initial_endpoint_list: Value,
     pub(crate) seed: u64,
 }
 
@@ -37,7 +37,7 @@
             "listen": self.listen_address,
             "discovery": self.endpoint_list_address,
             "relay": {"address": self.relay_address},
-            "known": self.known_endpoints,
+            "known": self.initial_endpoint_list,
             "seed": format!("{:x}", self.seed),
             "limits": {"sockets": MAX_SOCKETS, "memory_mb": MAX_MEMORY_MB},
             "settings": settings_json(self.fleet),
--- a/emulator/src/control_plane_config/tests.rs
+++ b/emulator/src/control_plane_config/tests.rs
@@ -10,7 +10,7 @@
         listen_address: "127.0.0.1:1",
         endpoint_list_address: "127.0.0.1:2",
         relay_address: "127.0.0.1:3",
-        known_endpoints: json!({"hosts": [], "seq": 1, "whole": true}),
+        initial_endpoint_list: json!({"hosts": [], "seq": 1, "whole": true}),
         seed: 26,
     };
     config.to_json()
--- a/emulator/src/endpoint_list.rs
+++ b/emulator/src/endpoint_list.rs
@@ -23,7 +23,7 @@
 /// The longest time that a request may wait for a change, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 /// The version of the list when it is started.
-pub(crate) const FIRST_VERSION: u64 = 1;
+pub(crate) const INITIAL_VERSION: u64 = 1;
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -100,7 +100,7 @@
 
     /// The changes since a version; the whole list if no version is given or some of the changes since it are
     /// no longer kept.
-    fn answer(&self, since: Option<u64>) -> Value {
+    fn response_json(&self, since: Option<u64>) -> Value {
         let Some(since) = since.filter(|since| self.has_changes_since(*since)) else {
             return whole_list_json(self.version, &self.entries);
         };
@@ -131,8 +131,8 @@
     /// Starts a list with these entries on a new address.
     pub(crate) fn start(network: &Network, entries: Vec<ListEntry>) -> io::Result<EndpointList> {
         let (listener, address) = network.listen("list")?;
-        let state = ListState { version: FIRST_VERSION, entries, changes: Vec::new() };
-        let (version, _) = watch::channel(FIRST_VERSION);
+        let state = ListState { version: INITIAL_VERSION, entries, changes: Vec::new() };
+        let (version, _) = watch::channel(INITIAL_VERSION);
         let server = Arc::new(ListServer { state: Mutex::new(state), version });
         tokio::spawn(accept(listener, server.clone()));
         Ok(EndpointList { address, server })
@@ -171,7 +171,7 @@
             let changed = version.wait_for(|version| *version > since);
             let _ = timeout(Duration::from_millis(wait_ms), changed).await;
         }
-        let body = lock(&self.state).answer(since).to_string();
+        let body = lock(&self.state).response_json(since).to_string();
         Response::new(Full::new(Bytes::from(body)))
     }
 }
--- a/emulator/src/endpoint_list/tests.rs
+++ b/emulator/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-use super::{ListEntry, ListState, FIRST_VERSION, MAX_KEPT_CHANGES};
+use super::{ListEntry, ListState, INITIAL_VERSION, MAX_KEPT_CHANGES};
 use otterwinch::host::EndpointState;
 use serde_json::{json, Value};
 
@@ -15,12 +15,12 @@
 
 fn list_of(names: &[&str]) -> ListState {
     let entries = names.iter().map(|name| entry(name, EndpointState::Ready)).collect();
-    ListState { version: FIRST_VERSION, entries, changes: Vec::new() }
+    ListState { version: INITIAL_VERSION, entries, changes: Vec::new() }
 }
 
 /// The names of the endpoints in a response.
-fn hosts(answer: &Value) -> Vec<&str> {
-    let hosts = answer["hosts"].as_array().unwrap();
+fn endpoint_names(response: &Value) -> Vec<&str> {
+    let hosts = response["hosts"].as_array().unwrap();
     hosts.iter().map(|host| host["host"].as_str().unwrap()).collect()
 }
 
@@ -42,9 +42,9 @@
 fn a_request_without_a_version_gets_the_whole_list_without_removed_endpoints() {
     let mut list = list_of(&["a", "b"]);
     list.update(vec![entry("a", EndpointState::Removed), entry("c", EndpointState::Ready)]);
-    let answer = list.answer(None);
-    assert_eq!((&answer["seq"], &answer["whole"]), (&json!(2), &json!(true)));
-    assert_eq!(hosts(&answer), ["b", "c"]);
+    let response = list.response_json(None);
+    assert_eq!((&response["seq"], &response["whole"]), (&json!(2), &json!(true)));
+    assert_eq!(endpoint_names(&response), ["b", "c"]);
 }
 
 #[test]
@@ -52,11 +52,11 @@
     let mut list = list_of(&["a", "b"]);
     list.update(vec![entry("a", EndpointState::Draining)]);
     list.update(vec![entry("b", EndpointState::Removed)]);
-    assert_eq!(hosts(&list.answer(Some(1))), ["a", "b"]);
-    assert_eq!(hosts(&list.answer(Some(2))), ["b"]);
-    let unchanged = list.answer(Some(3));
+    assert_eq!(endpoint_names(&list.response_json(Some(1))), ["a", "b"]);
+    assert_eq!(endpoint_names(&list.response_json(Some(2))), ["b"]);
+    let unchanged = list.response_json(Some(3));
     assert_eq!((&unchanged["seq"], &unchanged["whole"]), (&json!(3), &json!(false)));
-    assert!(hosts(&unchanged).is_empty());
+    assert!(endpoint_names(&unchanged).is_empty());
 }
 
 #[test]
@@ -65,8 +65,8 @@
     for _ in 0..=MAX_KEPT_CHANGES {
         list.update(vec![entry("a", EndpointState::Ready)]);
     }
-    assert_eq!(list.answer(Some(1))["whole"], true);
-    let answer = list.answer(Some(2));
-    assert_eq!(answer["whole"], false);
-    assert_eq!(hosts(&answer).len(), MAX_KEPT_CHANGES);
+    assert_eq!(list.response_json(Some(1))["whole"], true);
+    let response = list.response_json(Some(2));
+    assert_eq!(response["whole"], false);
+    assert_eq!(endpoint_names(&response).len(), MAX_KEPT_CHANGES);
 }
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -88,7 +88,7 @@
 
 impl InProcessControlPlane {
     fn new(spec: InstanceSpec) -> Self {
-        let clock = ControllerClock { began: Instant::now() };
+        let clock = ControllerClock { started_at: Instant::now() };
         let endpoint_ids: Vec<EndpointId> =
             spec.endpoint_names.iter().map(|name| name.as_str().into()).collect();
         let indices = (0..).zip(&endpoint_ids).map(|(index, id)| (id.clone(), index)).collect();
@@ -96,7 +96,7 @@
         let config = controller_config(&spec.fleet);
         let report_interval = duration(spec.fleet.control_plane.report_interval);
         InProcessControlPlane {
-            controller: Controller::start(host, config, spec.seed, clock.moment(clock.began)),
+            controller: Controller::start(host, config, spec.seed, clock.moment(clock.started_at)),
             channel: spec.channel,
             proxies: spec.proxies,
             endpoint_ids,
@@ -225,7 +225,7 @@
 #[derive(Clone, Copy)]
 struct ControllerClock {
     /// When the instance was started.
-    began: Instant,
+    started_at: Instant,
 }
 
 impl ControllerClock {
@@ -235,9 +235,9 @@
 
     /// An instant on the controller's clock; it may lie before the start of the instance.
     fn moment(self, at: Instant) -> Moment {
-        let offset_us = match at.checked_duration_since(self.began) {
+        let offset_us = match at.checked_duration_since(self.started_at) {
             Some(since) => since.as_micros() as i64,
-            None => -((self.began - at).as_micros() as i64),
+            None => -((self.started_at - at).as_micros() as i64),
         };
         Moment::from_us(CLOCK_ORIGIN_US + offset_us)
     }
--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -26,7 +26,7 @@
     arrives_at: Instant,
     proxy: u32,
     /// The number of the connection that the message is sent on.
-    connection: u32,
+    connection_number: u32,
     assigned_table: Option<Arc<TableSnapshot>>,
     ejected: Arc<BTreeSet<u32>>,
     lines: f64,
@@ -59,7 +59,7 @@
 /// A running channel.
 pub(crate) struct ProxyChannel {
     state: Mutex<ChannelState>,
-    began: Instant,
+    started_at: Instant,
     message_delay: Duration,
     proxies: Arc<Vec<Proxy>>,
     messages: mpsc::Sender<Message>,
@@ -69,7 +69,7 @@
     model: ChannelModel,
     /// By proxy: the number of its current connection. It changes with each connect and disconnect, so that
     /// messages of an earlier connection are recognized and dropped.
-    connections: Vec<u32>,
+    connection_numbers: Vec<u32>,
 }
 
 impl ProxyChannel {
@@ -83,11 +83,11 @@
         let (acknowledgement_sender, acknowledgements) = mpsc::unbounded_channel();
         let state = ChannelState {
             model: ChannelModel::new(control_plane, request_classes),
-            connections: vec![0; proxies.len()],
+            connection_numbers: vec![0; proxies.len()],
         };
         let channel = Arc::new(ProxyChannel {
             state: Mutex::new(state),
-            began: Instant::now(),
+            started_at: Instant::now(),
             message_delay: duration(control_plane.message_delay),
             proxies,
             messages: message_sender,
@@ -100,14 +100,14 @@
     pub(crate) fn connect(&self, proxy: u32) {
         let mut state = lock(&self.state);
         state.model.connect(proxy);
-        state.connections[proxy as usize] += 1;
+        state.connection_numbers[proxy as usize] += 1;
     }
 
     /// Disconnects a proxy. Messages that have not reached it yet are lost.
     pub(crate) fn disconnect(&self, proxy: u32) {
         let mut state = lock(&self.state);
         state.model.disconnect(proxy);
-        state.connections[proxy as usize] += 1;
+        state.connection_numbers[proxy as usize] += 1;
     }
 
     /// Whether a proxy is connected.
@@ -118,17 +118,17 @@
     /// Sends commands that were issued at the same time, as one message per proxy.
     pub(crate) fn send(&self, commands: Vec<Command>) {
         let now = Instant::now();
-        let now_us = (now - self.began).as_micros() as u64;
-        let ChannelState { model, connections } = &mut *lock(&self.state);
+        let now_us = (now - self.started_at).as_micros() as u64;
+        let ChannelState { model, connection_numbers } = &mut *lock(&self.state);
         let in_initial_table = |proxy: u32, endpoint| self.proxies[proxy as usize].in_initial_table(endpoint);
         let batch = model.apply(commands, in_initial_table);
         let ejected = Arc::new(model.ejected.clone());
         for (proxy, lines) in batch.lines {
             let sent_us = model.send_queue.enqueue(now_us, lines);
             let message = Message {
-                arrives_at: self.began + Duration::from_micros(sent_us) + self.message_delay,
+                arrives_at: self.started_at + Duration::from_micros(sent_us) + self.message_delay,
                 proxy,
-                connection: connections[proxy as usize],
+                connection_number: connection_numbers[proxy as usize],
                 assigned_table: model.table_snapshot(proxy),
                 ejected: ejected.clone(),
                 lines,
@@ -146,7 +146,7 @@
 
     /// Whether the connection that a message was sent on still exists.
     fn is_current(&self, message: &Message) -> bool {
-        lock(&self.state).connections[message.proxy as usize] == message.connection
+        lock(&self.state).connection_numbers[message.proxy as usize] == message.connection_number
     }
 }
 
--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -26,7 +26,7 @@
 /// The path that accepts batches of commands.
 const COMMANDS_PATH: &str = "/v3/kv/batches";
 /// The number of events that a reader of the stream may lag behind before its stream is ended.
-const MAX_LAGGING_EVENTS: usize = 8_192;
+const MAX_EVENT_LAG: usize = 8_192;
 
 type ResponseBody = BoxBody<Bytes, Infallible>;
 
@@ -53,7 +53,7 @@
     /// Sends lines to all readers of the stream.
     events: broadcast::Sender<String>,
     /// By proxy number: the line that announced each connected proxy.
-    joined: Mutex<BTreeMap<u32, String>>,
+    join_events: Mutex<BTreeMap<u32, String>>,
 }
 
 impl Relay {
@@ -65,10 +65,10 @@
         names: FleetNames,
     ) -> io::Result<Relay> {
         let (listener, address) = network.listen("relay")?;
-        let (events, _) = broadcast::channel(MAX_LAGGING_EVENTS);
-        let server = Arc::new(RelayServer { channel, names, events, joined: Mutex::default() });
+        let (events, _) = broadcast::channel(MAX_EVENT_LAG);
+        let server = Arc::new(RelayServer { channel, names, events, join_events: Mutex::default() });
         tokio::spawn(accept(listener, server.clone()));
-        tokio::spawn(announce_acknowledgements(acknowledgements, server.clone()));
+        tokio::spawn(broadcast_acknowledgements(acknowledgements, server.clone()));
         Ok(Relay { address, server })
     }
 
@@ -83,25 +83,25 @@
         });
         let line = event_line("hello", object);
         self.server.channel.connect(proxy.number);
-        lock(&self.server.joined).insert(proxy.number, line.clone());
-        self.server.announce(line);
+        lock(&self.server.join_events).insert(proxy.number, line.clone());
+        self.server.broadcast(line);
     }
 
     /// Disconnects a proxy from the channel and announces that on the stream.
     pub(crate) fn leave(&self, proxy: u32) {
         self.server.channel.disconnect(proxy);
-        lock(&self.server.joined).remove(&proxy);
-        self.server.announce(event_line("bye", json!({"node": proxy})));
+        lock(&self.server.join_events).remove(&proxy);
+        self.server.broadcast(event_line("bye", json!({"node": proxy})));
     }
 }
 
-async fn announce_acknowledgements(
+async fn broadcast_acknowledgements(
     mut acknowledgements: mpsc::UnboundedReceiver<Acknowledgement>,
     server: Arc<RelayServer>,
 ) {
     while let Some(Acknowledgement { number, proxy, latency }) = acknowledgements.recv().await {
         let latency_ms = latency.as_secs_f64() * 1e3;
-        server.announce(event_line("ack", json!({"node": proxy, "nonce": number, "latency": latency_ms})));
+        server.broadcast(event_line("ack", json!({"node": proxy, "nonce": number, "latency": latency_ms})));
     }
 }
 
@@ -120,13 +120,13 @@
     async fn handle(self: &Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, EVENTS_PATH) => event_stream::open(self),
-            (&Method::POST, COMMANDS_PATH) => self.take_commands(request).await,
+            (&Method::POST, COMMANDS_PATH) => self.handle_batch(request).await,
             _ => invalid_request(),
         }
     }
 
     /// Sends a line to all readers of the stream; without readers it is dropped.
-    fn announce(&self, line: String) {
+    fn broadcast(&self, line: String) {
         let _ = self.events.send(line);
     }
 }
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -12,20 +12,20 @@
 mod tests;
 
 /// The longest request body, in bytes.
-const MAX_CALL_BYTES: usize = 60_000;
+const MAX_BATCH_BYTES: usize = 60_000;
 
 impl RelayServer {
     /// Sends the commands of a batch up to the first invalid one, and responds with the number of commands
     /// sent.
-    pub(super) async fn take_commands(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let Some(call) = read_json(request).await else { return invalid_request() };
-        let Some(changes) = call["changes"].as_array() else { return invalid_request() };
+    pub(super) async fn handle_batch(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let Some(batch) = read_json(request).await else { return invalid_request() };
+        let Some(changes) = batch["changes"].as_array() else { return invalid_request() };
         let is_connected = |proxy| self.channel.is_connected(proxy);
         let decode = |change| self.names.decode_command(change, is_connected);
         let commands: Vec<Command> = changes.iter().map_while(decode).collect();
-        let taken = commands.len();
+        let accepted = commands.len();
         self.channel.send(commands);
-        json_response(StatusCode::OK, &json!({"taken": taken}))
+        json_response(StatusCode::OK, &json!({"taken": accepted}))
     }
 }
 
@@ -34,23 +34,23 @@
     fn decode_command(&self, change: &Value, is_connected: impl Fn(u32) -> bool) -> Option<Command> {
         let command = match change["op"].as_str()? {
             "put" => Command::SetWeight {
-                table_id: unsigned(change, "table")?,
+                table_id: unsigned_field(change, "table")?,
                 endpoint: self.endpoint(change)?,
-                weight: non_negative(change, "w")?,
+                weight: non_negative_field(change, "w")?,
             },
             "attach" => Command::AssignTable {
-                proxy: unsigned(change, "node").filter(|proxy| is_connected(*proxy))?,
-                table_id: unsigned(change, "table")?,
+                proxy: unsigned_field(change, "node").filter(|proxy| is_connected(*proxy))?,
+                table_id: unsigned_field(change, "table")?,
             },
             "eject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: true },
             "uneject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: false },
             "gate" => Command::SetAdmission {
-                table_id: unsigned(change, "table")?,
+                table_id: unsigned_field(change, "table")?,
                 request_classes: self.request_classes(change),
-                admitted: non_negative(change, "admit")?,
-                retry: retry_policy(unsigned(change, "policy")?)?,
+                admitted: non_negative_field(change, "admit")?,
+                retry: retry_policy(unsigned_field(change, "policy")?)?,
             },
-            "fence" => Command::RequestAcknowledgement(unsigned(change, "nonce_out")?),
+            "fence" => Command::RequestAcknowledgement(unsigned_field(change, "nonce_out")?),
             _ => return None,
         };
         Some(command)
@@ -77,15 +77,15 @@
 }
 
 async fn read_json(request: Request<Incoming>) -> Option<Value> {
-    let body = Limited::new(request.into_body(), MAX_CALL_BYTES).collect().await.ok()?;
+    let body = Limited::new(request.into_body(), MAX_BATCH_BYTES).collect().await.ok()?;
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
-fn unsigned(change: &Value, field: &str) -> Option<u32> {
+fn unsigned_field(change: &Value, field: &str) -> Option<u32> {
     u32::try_from(change[field].as_u64()?).ok()
 }
 
-fn non_negative(change: &Value, field: &str) -> Option<f64> {
+fn non_negative_field(change: &Value, field: &str) -> Option<f64> {
     change[field].as_f64().filter(|number| *number >= 0.0)
 }
 
--- a/emulator/src/relay/commands/tests.rs
+++ b/emulator/src/relay/commands/tests.rs
@@ -31,18 +31,18 @@
 }
 
 #[test]
-fn an_admission_level_names_its_classes_or_holds_for_all() {
-    let level = |request_classes| Command::SetAdmission {
+fn an_admission_level_applies_to_the_classes_that_it_names_or_to_all() {
+    let set_admission = |request_classes| Command::SetAdmission {
         table_id: 1,
         request_classes,
         admitted: 0.5,
         retry: RetryPolicy::Once,
     };
     let gate = json!({"op": "gate", "table": 1, "admit": 0.5, "policy": 2});
-    assert_eq!(decode(gate), Some(level(0b111)));
+    assert_eq!(decode(gate), Some(set_admission(0b111)));
     let gate =
         json!({"op": "gate", "table": 1, "admit": 0.5, "policy": 2, "routes": ["issue", "quote", "x"]});
-    assert_eq!(decode(gate), Some(level(0b101)));
+    assert_eq!(decode(gate), Some(set_admission(0b101)));
 }
 
 #[test]
--- a/emulator/src/relay/event_stream.rs
+++ b/emulator/src/relay/event_stream.rs
@@ -38,8 +38,8 @@
     mut events: broadcast::Receiver<String>,
     lines: mpsc::Sender<String>,
 ) -> Result<(), mpsc::error::SendError<String>> {
-    let joined: Vec<String> = lock(&server.joined).values().cloned().collect();
-    for line in joined {
+    let join_events: Vec<String> = lock(&server.join_events).values().cloned().collect();
+    for line in join_events {
         lines.send(line).await?;
     }
     lines.send(HEARTBEAT.to_owned()).await?;
--- a/emulator/src/testbed/control_plane_process.rs
+++ b/emulator/src/testbed/control_plane_process.rs
@@ -3,7 +3,7 @@
 use super::Testbed;
 use crate::collector::Collectors;
 use crate::control_plane_config::ControlPlaneConfig;
-use crate::endpoint_list::{whole_list_json, EndpointList, FIRST_VERSION};
+use crate::endpoint_list::{whole_list_json, EndpointList, INITIAL_VERSION};
 use crate::error::TestbedError;
 use crate::frame::{read_frame_length, write_frame};
 use crate::proxy_channel::{Acknowledgement, ProxyChannel};
@@ -76,9 +76,9 @@
         acknowledgements: UnboundedReceiver<Acknowledgement>,
     ) -> Result<ControlPlaneProcess, TestbedError> {
         let entries = self.registry.whole_list().entries;
-        let known_endpoints = whole_list_json(FIRST_VERSION, &entries);
+        let initial_endpoint_list = whole_list_json(INITIAL_VERSION, &entries);
         let endpoint_list = EndpointList::start(&self.network, entries)?;
-        let relay = Relay::start(&self.network, channel.clone(), acknowledgements, self.names())?;
+        let relay = Relay::start(&self.network, channel.clone(), acknowledgements, self.fleet_names())?;
         let listen_address = unused_address()?;
         let config = ControlPlaneConfig {
             fleet: &self.fleet,
@@ -86,7 +86,7 @@
             listen_address: &listen_address,
             endpoint_list_address: &endpoint_list.address,
             relay_address: &relay.address,
-            known_endpoints,
+            initial_endpoint_list,
             seed: spec.seed,
         };
         let process = start_program(&spec, &config.to_json())?;
@@ -106,7 +106,7 @@
         Ok(ControlPlaneProcess { relay, endpoint_list, channel, _collectors: collectors, _process: process })
     }
 
-    fn names(&self) -> FleetNames {
+    fn fleet_names(&self) -> FleetNames {
         FleetNames {
             endpoints: self.registry.names().into_iter().zip(0..).collect(),
             request_classes: self.fleet.request_classes.iter().map(|class| class.name.clone()).collect(),
--- a/emulator/src/testbed/endpoint_registry.rs
+++ b/emulator/src/testbed/endpoint_registry.rs
@@ -80,11 +80,11 @@
     /// The current entries of all endpoints.
     pub(super) fn whole_list(&self) -> ListUpdate {
         let all: Vec<u32> = (0..self.endpoints.len() as u32).collect();
-        self.update_of(&all)
+        self.update_for(&all)
     }
 
     /// The current entries of some endpoints.
-    pub(super) fn update_of(&self, endpoints: &[u32]) -> ListUpdate {
+    pub(super) fn update_for(&self, endpoints: &[u32]) -> ListUpdate {
         ListUpdate {
             statuses: endpoints.iter().map(|endpoint| self.status(*endpoint as usize)).collect(),
             entries: endpoints.iter().map(|endpoint| self.entry(*endpoint as usize)).collect(),
--- a/emulator/src/testbed/fault_injection.rs
+++ b/emulator/src/testbed/fault_injection.rs
@@ -14,13 +14,13 @@
         match fault {
             Fault::Crash(endpoint) => {
                 self.endpoints[*endpoint as usize].crash();
-                self.list_as(&[*endpoint], EndpointState::Removed);
+                self.publish_state(&[*endpoint], EndpointState::Removed);
             }
             Fault::Restart(endpoint) => {
                 self.endpoints[*endpoint as usize].restart()?;
-                self.list_as_started(&[*endpoint]);
+                self.publish_started(&[*endpoint]);
             }
-            Fault::Drain(endpoint) => self.list_as(&[*endpoint], EndpointState::Draining),
+            Fault::Drain(endpoint) => self.publish_state(&[*endpoint], EndpointState::Draining),
             Fault::SlowDown(endpoint, factor) => self.endpoints[*endpoint as usize].set_slowdown(*factor),
             Fault::FailRequests(endpoint, fraction) => {
                 self.endpoints[*endpoint as usize].set_failure_fraction(*fraction);
@@ -37,7 +37,7 @@
         for endpoint in &endpoints {
             self.endpoints[*endpoint as usize].crash();
         }
-        self.list_as(&endpoints, EndpointState::Removed);
+        self.publish_state(&endpoints, EndpointState::Removed);
         self.live_proxies.remove_zone(zone);
         for proxy in self.proxies.iter().filter(|proxy| proxy.zone == zone) {
             proxy.crash();
@@ -50,7 +50,7 @@
         for endpoint in &endpoints {
             self.endpoints[*endpoint as usize].restart()?;
         }
-        self.list_as_started(&endpoints);
+        self.publish_started(&endpoints);
         for proxy in self.proxies.iter().filter(|proxy| proxy.zone == zone) {
             proxy.restart()?;
             self.join(proxy);
@@ -64,12 +64,12 @@
         indexed.filter(|(_, endpoint)| endpoint.zone == zone).map(|(index, _)| index).collect()
     }
 
-    fn list_as(&self, endpoints: &[u32], state: EndpointState) {
+    fn publish_state(&self, endpoints: &[u32], state: EndpointState) {
         self.registry.set_state(endpoints, state);
         self.publish(endpoints);
     }
 
-    fn list_as_started(&self, endpoints: &[u32]) {
+    fn publish_started(&self, endpoints: &[u32]) {
         self.registry.set_started(endpoints);
         self.publish(endpoints);
     }
@@ -77,7 +77,7 @@
     /// Sends the current entries of some endpoints to all control-plane instances, after the endpoint list's
     /// delay.
     fn publish(&self, endpoints: &[u32]) {
-        let update = self.registry.update_of(endpoints);
+        let update = self.registry.update_for(endpoints);
         let instances = self.instances.clone();
         let delay = duration(self.fleet.control_plane.endpoint_list_delay);
         tokio::spawn(async move {
--- a/emulator/src/testbed/run.rs
+++ b/emulator/src/testbed/run.rs
@@ -46,11 +46,11 @@
         faults: &[ScheduledFault],
         on_start: impl FnOnce(Progress),
     ) -> Result<TestbedResult, TestbedError> {
-        let begin = Instant::now() + START_DELAY;
-        let mut injections = self.schedule_faults(begin, faults);
+        let load_start = Instant::now() + START_DELAY;
+        let mut injections = self.schedule_faults(load_start, faults);
         let used_before = self.used_core_us();
         let live_proxies = self.live_proxies.clone();
-        let mut clients = Clients::new(&self.fleet, &self.network, live_proxies, begin, self.seed);
+        let mut clients = Clients::new(&self.fleet, &self.network, live_proxies, load_start, self.seed);
         on_start(clients.progress());
         clients.send(load).await;
         let load_seconds = clients.load_seconds();
@@ -72,14 +72,14 @@
 
     fn schedule_faults(
         self: &Arc<Self>,
-        begin: Instant,
+        load_start: Instant,
         faults: &[ScheduledFault],
     ) -> JoinSet<io::Result<()>> {
         let mut injections = JoinSet::new();
         for ScheduledFault { at, fault } in faults.iter().cloned() {
             let testbed = self.clone();
             injections.spawn(async move {
-                sleep_until(begin + Duration::from_secs_f64(at.max(0.0))).await;
+                sleep_until(load_start + Duration::from_secs_f64(at.max(0.0))).await;
                 testbed.inject(&fault)
             });
         }
