--- a/emulator/src/endpoint_list.rs
+++ b/emulator/src/endpoint_list.rs
@@ -138,7 +138,7 @@
         Ok(EndpointList { address, server })
     }
 
-    /// Changes or removes the given entries and notifies the watchers.
+    /// Adds, changes or removes the given entries, and notifies the watchers.
     pub(crate) fn update(&self, entries: Vec<ListEntry>) {
         let version = {
             let mut state = lock(&self.server.state);
--- a/emulator/tests/testbed.rs
+++ b/emulator/tests/testbed.rs
@@ -1,6 +1,7 @@
 //! Runs whole emulated fleets in memory on a paused clock. Some tests compare the results with a simulation
-//! of the same fleet and load, which shares only the route tables, the model of the proxy channel and the
-//! result types with the emulation.
+//! of the same fleet and load. The simulation shares only the endpoint speeds, the route tables, the model of
+//! the proxy channel, the controller's host and configuration, and the fault and result types with the
+//! emulation.
 
 use otterwinch_emulator::{run_on_paused_clock, Network, TableSource, Testbed, TestbedResult};
 use otterwinch_fleet::load_profile::LoadGenerator;
