--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -1,5 +1,6 @@
-//! What control-plane instances learn, and what becomes of their commands: load reports and changes of the endpoint list
-//! arrive late, messages to the proxies one after the other.
+//! The traffic between control-plane instances and the rest of the fleet: load reports and endpoint list
+//! updates reach an instance with a delay, and its commands reach the proxies as messages sent in order
+//! through a rate-limited channel.
 
 use crate::clock::{micros, moment, Time};
 use crate::engine::Engine;
@@ -15,87 +16,97 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The utilisation that proxies assume when they estimate their request rate. Only the proportions of their estimates
-/// count.
+/// The fleet utilisation assumed in the request rates that proxies state when they connect. Only the ratio
+/// between the proxies' estimates matters, not their absolute value.
 const ASSUMED_UTILISATION: f64 = 0.6;
 
-/// A message on its way to a proxy.
+/// A message in transit from a control-plane instance to a proxy.
 pub(crate) struct Message {
     proxy: u32,
-    /// The proxy's stream that carries it.
+    /// The number of the proxy's stream when the message was sent. If the stream has ended since, the message
+    /// is lost.
     stream: u32,
-    /// The state of the proxy's table; `None` where it was assigned none.
+    /// The content of the table assigned to the proxy; `None` if none is assigned.
     table: Option<Arc<TableSnapshot>>,
+    /// All endpoints that were ejected when the message was sent.
     ejected: Rc<BTreeSet<u32>>,
+    /// The number to acknowledge the message with, if the controller asked for an acknowledgement.
     acknowledgement: Option<u32>,
+    /// The length of the message, without the per-message overhead.
     lines: f64,
 }
 
 impl Engine<'_> {
-    /// Notifies the controller of an instance, and schedules what it asks for.
-    pub(crate) fn notify(&mut self, number: u32, event: impl FnOnce(&mut Controller<SimulatedHost>, Moment)) {
-        event(&mut self.instances[number as usize].controller, moment(self.now));
-        self.schedule_controller_output(number);
+    /// Passes an event to the controller of an instance, then schedules the timers and commands that result.
+    pub(crate) fn notify_controller(
+        &mut self,
+        instance_index: u32,
+        event: impl FnOnce(&mut Controller<SimulatedHost>, Moment),
+    ) {
+        event(&mut self.instances[instance_index as usize].controller, moment(self.now));
+        self.schedule_controller_output(instance_index);
     }
 
-    /// Schedules the timers of a controller, and the sending of its commands when all else of this time has happened.
-    pub(crate) fn schedule_controller_output(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    /// Schedules the timers that a controller has requested. Its commands are sent after all other events of
+    /// the present time, so that they go out as one batch.
+    pub(crate) fn schedule_controller_output(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let host = instance.controller.host();
         let timers = std::mem::take(&mut host.timers);
-        let send = !host.commands.is_empty() && !instance.send_scheduled;
-        instance.send_scheduled |= send;
+        let needs_sending = !host.commands.is_empty() && !instance.send_scheduled;
+        instance.send_scheduled |= needs_sending;
         for (after, timer) in timers {
             let at = self.now + micros(after).max(1);
-            self.schedule_for_control_plane(at, Event::TimerFired { instance: number, timer });
+            self.schedule_for_control_plane(at, Event::TimerFired { instance: instance_index, timer });
         }
-        if send {
-            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: number });
+        if needs_sending {
+            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: instance_index });
         }
     }
 
-    /// A proxy opens its stream to its control-plane instance.
-    pub(crate) fn connect_proxy(&mut self, number: u32) {
-        let proxy = &mut self.proxies[number as usize];
+    /// Opens the stream between a proxy and its control-plane instance.
+    pub(crate) fn connect_proxy(&mut self, proxy_index: u32) {
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.stream += 1;
         let zone = proxy.zone;
         let Some(instance) = proxy.instance else { return };
         let rate = self.estimated_request_rate(zone);
-        self.instances[instance as usize].channel.connect(number);
-        self.notify(instance, |controller, now| {
-            controller.proxy_joined(now, number, zone as u32, rate, true)
+        self.instances[instance as usize].channel.connect(proxy_index);
+        self.notify_controller(instance, |controller, now| {
+            controller.proxy_joined(now, proxy_index, zone as u32, rate, true)
         });
     }
 
-    /// The stream of a proxy to its control-plane instance ends.
-    pub(crate) fn disconnect_proxy(&mut self, number: u32) {
-        let proxy = &mut self.proxies[number as usize];
+    /// Ends the stream between a proxy and its control-plane instance.
+    pub(crate) fn disconnect_proxy(&mut self, proxy_index: u32) {
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.stream += 1;
         let Some(instance) = proxy.instance else { return };
-        self.instances[instance as usize].channel.disconnect(number);
-        self.notify(instance, |controller, now| controller.proxy_left(now, number));
+        self.instances[instance as usize].channel.disconnect(proxy_index);
+        self.notify_controller(instance, |controller, now| controller.proxy_left(now, proxy_index));
     }
 
-    /// The request rate that a proxy states when it connects: the zone's part of a typical load, spread evenly.
+    /// Returns the request rate that a proxy of this zone states when it connects: the zone's share of a
+    /// typical load, divided evenly among its proxies.
     fn estimated_request_rate(&self, zone: usize) -> f64 {
         let zone = &self.fleet.zones[zone];
-        let total = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * ASSUMED_UTILISATION;
-        total * zone.client_share / f64::from(zone.proxy_count)
+        let total_rate = self.fleet.capacity() / self.fleet.mean_work().max(1e-9) * ASSUMED_UTILISATION;
+        total_rate * zone.client_share / f64::from(zone.proxy_count)
     }
 
-    /// A report interval ends: its report is on its way, and the next interval begins.
-    pub(crate) fn close_report(&mut self, number: u32) {
-        self.instances[number as usize].close_report();
+    /// Ends a report interval: sends its report and starts the next interval.
+    pub(crate) fn close_report(&mut self, instance_index: u32) {
+        self.instances[instance_index as usize].close_report();
         let control_plane = &self.fleet.control_plane;
-        let arrives = self.now + micros(control_plane.report_delay);
-        let next = self.now + micros(control_plane.report_interval);
-        self.schedule_for_control_plane(arrives, Event::ReportArrives { instance: number });
-        self.schedule_for_control_plane(next, Event::ReportDue { instance: number });
+        let arrival = self.now + micros(control_plane.report_delay);
+        let next_report = self.now + micros(control_plane.report_interval);
+        self.schedule_for_control_plane(arrival, Event::ReportArrives { instance: instance_index });
+        self.schedule_for_control_plane(next_report, Event::ReportDue { instance: instance_index });
     }
 
-    /// A report reaches its instance.
-    pub(crate) fn deliver_report(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    /// Passes the earliest load report in transit to the controller of the instance.
+    pub(crate) fn deliver_report(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let Some(report) = instance.reports_in_transit.pop_front() else { return };
         let controller = &mut instance.controller;
         let interval = self.fleet.control_plane.report_interval;
@@ -104,50 +115,52 @@
             let answered = outcomes.attempts - outcomes.failed;
             let mean_latency = Span::from_us((outcomes.latency_us / u64::from(answered.max(1))) as i64);
             let (attempts, failed) = (f64::from(outcomes.attempts), f64::from(outcomes.failed));
-            controller.endpoint_outcomes(moment(self.now), id, attempts, failed, mean_latency, interval);
+            controller.outcomes_reported(moment(self.now), id, attempts, failed, mean_latency, interval);
         }
         for (class, requests) in (0..).zip(&report.demand) {
             if *requests > 0 {
-                controller.demand(class, f64::from(*requests));
+                controller.demand_reported(class, f64::from(*requests));
             }
         }
-        self.schedule_controller_output(number);
+        self.schedule_controller_output(instance_index);
     }
 
-    /// Entries of the endpoint list have changed: all instances learn of it later.
+    /// Sends the changed entries of the endpoint list to all instances, which receive them after a delay.
     pub(crate) fn publish_endpoints(&mut self, endpoints: &[u32]) {
         if self.instances.is_empty() {
             return;
         }
-        let entry = |number: &u32| list_entry(&self.endpoints[*number as usize]);
+        let entry = |index: &u32| list_entry(&self.endpoints[*index as usize]);
         let entries: Vec<EndpointUpdate> = endpoints.iter().map(entry).collect();
         let update = self.endpoint_updates.len() as u32;
         self.endpoint_updates.push(entries);
-        let arrives = self.now + micros(self.fleet.control_plane.endpoint_list_delay);
+        let arrival = self.now + micros(self.fleet.control_plane.endpoint_list_delay);
         for instance in 0..self.instances.len() as u32 {
-            self.schedule_for_control_plane(arrives, Event::EndpointsUpdated { instance, update });
+            self.schedule_for_control_plane(arrival, Event::EndpointsUpdated { instance, update });
         }
     }
 
-    /// A change of the endpoint list reaches an instance.
-    pub(crate) fn deliver_endpoint_update(&mut self, number: u32, update: u32) {
-        let controller = &mut self.instances[number as usize].controller;
+    /// Passes an update of the endpoint list to the controller of an instance.
+    pub(crate) fn deliver_endpoint_update(&mut self, instance_index: u32, update: u32) {
+        let controller = &mut self.instances[instance_index as usize].controller;
         controller.endpoints_updated(moment(self.now), &self.endpoint_updates[update as usize]);
-        self.schedule_controller_output(number);
+        self.schedule_controller_output(instance_index);
     }
 
-    /// Sends the commands that an instance has issued at this time, as one message for each proxy that they concern.
-    pub(crate) fn send_commands(&mut self, number: u32) {
+    /// Sends the commands that an instance has issued at this time, as one message to each proxy that they
+    /// affect.
+    pub(crate) fn send_commands(&mut self, instance_index: u32) {
         let Engine { instances, proxies, .. } = self;
-        let instance = &mut instances[number as usize];
+        let instance = &mut instances[instance_index as usize];
         instance.send_scheduled = false;
         let commands = std::mem::take(&mut instance.controller.host().commands);
         let channel = &mut instance.channel;
-        let batch = channel
-            .apply(commands, |proxy, endpoint| proxies[proxy as usize].initial_endpoints.contains(&endpoint));
-        let ejected = Rc::new(channel.ejected.clone());
-        let mut departures = Vec::with_capacity(batch.lines.len());
-        for (proxy, lines) in batch.lines {
+        let batch = channel.apply_commands(commands, |proxy, endpoint| {
+            proxies[proxy as usize].initial_endpoints.contains(&endpoint)
+        });
+        let ejected = Rc::new(channel.ejected_endpoints.clone());
+        let mut departures = Vec::with_capacity(batch.lines_by_proxy.len());
+        for (proxy, lines) in batch.lines_by_proxy {
             departures.push(channel.send_queue.enqueue(self.now, lines));
             instance.messages_in_transit.push_back(Message {
                 proxy,
@@ -159,14 +172,14 @@
             });
         }
         for departure in departures {
-            let arrives = departure + micros(self.fleet.control_plane.message_delay);
-            self.schedule(arrives, Event::MessageAtProxy { instance: number });
+            let arrival = departure + micros(self.fleet.control_plane.message_delay);
+            self.schedule(arrival, Event::MessageAtProxy { instance: instance_index });
         }
     }
 
-    /// The earliest message in transit reaches its proxy, which pauses while it applies it.
-    pub(crate) fn deliver_message(&mut self, number: u32) {
-        let instance = &mut self.instances[number as usize];
+    /// Applies the earliest message in transit at its proxy, which handles no attempts while it does so.
+    pub(crate) fn deliver_message(&mut self, instance_index: u32) {
+        let instance = &mut self.instances[instance_index as usize];
         let Some(message) = instance.messages_in_transit.pop_front() else { return };
         let proxy = &mut self.proxies[message.proxy as usize];
         if proxy.stream != message.stream {
@@ -176,7 +189,8 @@
             proxy.table = table;
             proxy.has_assigned_table = true;
         } else if !proxy.has_assigned_table {
-            let usable = proxy.initial_endpoints.iter().filter(|number| !message.ejected.contains(number));
+            let usable =
+                proxy.initial_endpoints.iter().filter(|endpoint| !message.ejected.contains(endpoint));
             let endpoints = WeightedEndpoints::new(usable.map(|endpoint| (*endpoint, 1.0)));
             let admission = proxy.table.admission.clone();
             proxy.table = Arc::new(TableSnapshot { endpoints, admission });
@@ -184,17 +198,26 @@
         let pause = (micros(self.fleet.proxies.apply_time_per_line) as f64 * message.lines) as Time;
         proxy.paused_until = proxy.paused_until.max(self.now + pause);
         if let Some(acknowledgement) = message.acknowledgement {
-            let arrives = self.now + pause + micros(self.fleet.network.client_latency);
+            let arrival = self.now + pause + micros(self.fleet.network.client_latency);
             let (proxy, stream) = (message.proxy, message.stream);
-            let event = Event::Acknowledged { instance: number, number: acknowledgement, proxy, stream };
-            self.schedule_for_control_plane(arrives, event);
+            let event =
+                Event::Acknowledged { instance: instance_index, number: acknowledgement, proxy, stream };
+            self.schedule_for_control_plane(arrival, event);
         }
     }
 
-    /// An acknowledgement reaches its instance, unless the proxy's stream has ended meanwhile.
-    pub(crate) fn deliver_acknowledgement(&mut self, instance: u32, number: u32, proxy: u32, stream: u32) {
+    /// Passes a proxy's acknowledgement to the controller, unless the stream that it was sent on has ended.
+    pub(crate) fn deliver_acknowledgement(
+        &mut self,
+        instance: u32,
+        acknowledgement: u32,
+        proxy: u32,
+        stream: u32,
+    ) {
         if self.proxies[proxy as usize].stream == stream {
-            self.notify(instance, |controller, now| controller.acknowledged(now, number, proxy));
+            self.notify_controller(instance, |controller, now| {
+                controller.commands_acknowledged(now, acknowledgement, proxy)
+            });
         }
     }
 }
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -1,31 +1,31 @@
-//! What happens to a proxy's attempt at its endpoint: it is connected, queued, worked on and answered, or it is rejected,
-//! fails, hangs or is cancelled.
+//! The handling of attempts at endpoints: connecting, queueing, running and answering them, as well as
+//! rejection, injected faults and cancellation.
 
 use crate::clock::Time;
-use crate::endpoint::Offer;
+use crate::endpoint::OfferOutcome;
 use crate::engine::Engine;
 use crate::event::{AttemptOutcome, Event};
 use crate::request_sampling::Purpose;
 use crate::slab::Handle;
 
-/// How far an attempt has come.
+/// The progress of a proxy's attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Stage {
-    /// On its way to the endpoint.
+pub(crate) enum AttemptStage {
+    /// It has not reached the endpoint yet.
     InTransit,
     Queued,
     Running,
-    /// The endpoint holds it and does nothing.
+    /// The endpoint has accepted it and will not answer, because of an injected fault.
     Hanging,
-    /// Its outcome is on its way to the proxy.
-    Answered,
+    /// Its outcome, whether an answer or an error, is in transit to the proxy.
+    OutcomeSent,
 }
 
 impl Engine<'_> {
-    /// An attempt reaches its endpoint.
+    /// Handles the arrival of an attempt at its endpoint.
     pub(crate) fn attempt_at_endpoint(&mut self, slot: u32) {
-        if let Some(outcome) = self.connection_failure(slot) {
-            return self.respond(slot, outcome);
+        if let Some(outcome) = self.connect_attempt(slot) {
+            return self.send_outcome_to_proxy(slot, outcome);
         }
         let attempt = &mut self.attempts[slot];
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
@@ -34,17 +34,18 @@
             return self.attempts.release(slot);
         }
         if endpoint.hangs {
-            attempt.stage = Stage::Hanging;
+            attempt.stage = AttemptStage::Hanging;
             return;
         }
-        if self.fails_by_injection(slot) {
-            return self.respond(slot, AttemptOutcome::Failed);
+        if self.has_injected_failure(slot) {
+            return self.send_outcome_to_proxy(slot, AttemptOutcome::Failed);
         }
         self.offer_work(slot);
     }
 
-    /// Connects an attempt; returns how it ends if it can't be connected.
-    fn connection_failure(&mut self, slot: u32) -> Option<AttemptOutcome> {
+    /// Connects an attempt to its endpoint. Returns its outcome if that fails: no new connection was
+    /// accepted, or the reused one has broken.
+    fn connect_attempt(&mut self, slot: u32) -> Option<AttemptOutcome> {
         let attempt = &mut self.attempts[slot];
         let endpoint = &mut self.endpoints[attempt.endpoint as usize];
         if !attempt.opens_connection {
@@ -60,95 +61,98 @@
         None
     }
 
-    fn fails_by_injection(&self, slot: u32) -> bool {
+    /// Returns whether an attempt fails because of an injected fault.
+    fn has_injected_failure(&self, slot: u32) -> bool {
         let attempt = &self.attempts[slot];
         let failure_rate = self.endpoints[attempt.endpoint as usize].failure_rate;
         let sampler = self.sampler(attempt.request.slot);
         failure_rate > 0.0 && sampler.sample(Purpose::InjectedFailure) < failure_rate
     }
 
+    /// Offers an attempt to its endpoint, which starts, queues or rejects it, or collapses.
     fn offer_work(&mut self, slot: u32) {
         let attempt = &mut self.attempts[slot];
-        let number = attempt.endpoint;
-        match self.endpoints[number as usize].offer(self.now, slot, attempt.work) {
-            Offer::Started(done) => self.run_until(slot, done),
-            Offer::Queued => attempt.stage = Stage::Queued,
-            Offer::Rejected => self.respond(slot, AttemptOutcome::NeverRan),
-            Offer::Collapsed => {
-                self.respond(slot, AttemptOutcome::ConnectionBroken);
-                self.crash_endpoint(number);
+        let endpoint_index = attempt.endpoint;
+        match self.endpoints[endpoint_index as usize].offer(self.now, slot, attempt.work) {
+            OfferOutcome::Started(done_at) => self.run_attempt_until(slot, done_at),
+            OfferOutcome::Queued => attempt.stage = AttemptStage::Queued,
+            OfferOutcome::Rejected => self.send_outcome_to_proxy(slot, AttemptOutcome::NeverRan),
+            OfferOutcome::Collapsed => {
+                self.send_outcome_to_proxy(slot, AttemptOutcome::ConnectionBroken);
+                self.crash_endpoint(endpoint_index);
             }
         }
     }
 
-    fn run_until(&mut self, slot: u32, done: Time) {
-        self.attempts[slot].stage = Stage::Running;
+    /// Marks an attempt as running and schedules its completion.
+    fn run_attempt_until(&mut self, slot: u32, done_at: Time) {
+        self.attempts[slot].stage = AttemptStage::Running;
         let attempt = self.attempts.handle(slot);
-        self.schedule(done, Event::WorkDone { attempt });
+        self.schedule(done_at, Event::WorkDone { attempt });
     }
 
-    /// A core has done the work of an attempt, unless the attempt was cancelled or its endpoint crashed meanwhile.
+    /// Completes the work on an attempt, unless it was cancelled or its endpoint crashed in the meantime.
     pub(crate) fn work_done(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
-        if !self.attempts.is_current(handle) || attempt.stage != Stage::Running {
+        if !self.attempts.is_current(handle) || attempt.stage != AttemptStage::Running {
             return;
         }
         let endpoint = attempt.endpoint;
         if attempt.abandoned {
-            // Its connection was closed already.
+            // Its connection is already closed, so there is nothing to answer.
             self.attempts.release(slot);
         } else {
-            self.respond(slot, AttemptOutcome::Answered);
+            self.send_outcome_to_proxy(slot, AttemptOutcome::Answered);
         }
         self.free_core(endpoint);
     }
 
-    /// Frees a core of an endpoint, and starts the next attempt that is queued for one.
-    fn free_core(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    /// Frees a core of an endpoint and starts the next queued attempt on it.
+    fn free_core(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if let Some(next) = endpoint.finish_work(self.now) {
-            let done = endpoint.start_work(self.now, self.attempts[next].work);
-            self.run_until(next, done);
+            let done_at = endpoint.start_work(self.now, self.attempts[next].work);
+            self.run_attempt_until(next, done_at);
         }
     }
 
-    /// Sends the outcome of an attempt to its proxy: the endpoint's answer, or the error of its connection.
-    pub(crate) fn respond(&mut self, slot: u32, outcome: AttemptOutcome) {
+    /// Sends the outcome of an attempt to its proxy: the endpoint's answer or error, or a connection error.
+    pub(crate) fn send_outcome_to_proxy(&mut self, slot: u32, outcome: AttemptOutcome) {
         let attempt = &mut self.attempts[slot];
-        attempt.stage = Stage::Answered;
+        attempt.stage = AttemptStage::OutcomeSent;
         let (proxy, endpoint) = (attempt.proxy, attempt.endpoint);
-        let arrives = self.now + self.latency(proxy, endpoint);
-        self.schedule(arrives, Event::OutcomeAtProxy { attempt: slot, outcome });
+        let arrival = self.now + self.one_way_latency(proxy, endpoint);
+        self.schedule(arrival, Event::OutcomeAtProxy { attempt: slot, outcome });
     }
 
-    /// The endpoint notices that the connection of an attempt was closed, and cancels it.
+    /// Cancels an attempt when its endpoint notices that the proxy has closed the connection.
     pub(crate) fn connection_closed(&mut self, handle: Handle) {
         let slot = handle.slot;
         let attempt = &self.attempts[slot];
-        let number = attempt.endpoint;
-        let endpoint = &mut self.endpoints[number as usize];
+        let endpoint_index = attempt.endpoint;
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         let lost_in_crash = attempt.connected && attempt.endpoint_incarnation != endpoint.incarnation;
         if !self.attempts.is_current(handle) || lost_in_crash {
             return;
         }
         match attempt.stage {
-            // The connection is closed when the attempt reaches its endpoint, or its outcome the proxy.
-            Stage::InTransit | Stage::Answered => {}
-            Stage::Queued => {
-                endpoint.drop_queued(slot);
+            // The connection is closed when the attempt reaches the endpoint, or its outcome the proxy.
+            AttemptStage::InTransit | AttemptStage::OutcomeSent => {}
+            AttemptStage::Queued => {
+                endpoint.remove_queued(slot);
                 endpoint.open_connections -= 1;
                 self.attempts.release(slot);
             }
-            Stage::Hanging => {
+            AttemptStage::Hanging => {
                 endpoint.open_connections -= 1;
                 self.attempts.release(slot);
             }
-            Stage::Running => {
+            AttemptStage::Running => {
                 endpoint.open_connections -= 1;
                 if !endpoint.finishes_abandoned {
                     self.attempts.release(slot);
-                    self.free_core(number);
+                    self.free_core(endpoint_index);
                 }
             }
         }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,9 +1,10 @@
-//! Publication: when the changes of the route tables are sent, and in which order.
+//! Publication of route table changes: when they are sent, and in which order.
 //!
-//! [`Controller`] publishes at the end of each event. Urgent changes go as soon as the queue is short, in
-//! batches that fit, the endpoints that left first in the first batch; they take along what else has changed
-//! and fits. Ordinary changes are batched, the longer the more of the channel they take. Nothing is marked as
-//! published that was not sent to the host.
+//! [`Controller`] publishes at the end of each event. Urgent changes are sent as soon as the queue is short,
+//! in batches that fit into it; endpoints that left first are in the first batch. A message with urgent
+//! changes also takes the ordinary changes of its table that fit, once no urgent change is left for a later
+//! batch. Ordinary changes are batched, for longer the more channel time the previous ones took. Only changes
+//! that were sent through the host are marked as published.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -15,18 +16,19 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The least interval between ordinary changes of one table.
+/// The shortest time after the last commands for a table before ordinary changes alone are sent.
 const MIN_PUBLICATION_INTERVAL: Span = Span::from_us(1_000_000);
-/// Ordinary changes are batched for so many times as long as the last ones took in the channel.
+/// How long ordinary changes are batched, as a multiple of the channel time that the previous ones took.
 const BATCHING_FACTOR: f64 = 2.0;
 
-/// Until when ordinary changes are batched.
+/// The batching state of ordinary changes.
 pub(super) struct PublicationState {
+    /// Ordinary changes are held back until this time.
     pub(super) batched_until: Moment,
 }
 
 impl PublicationState {
-    /// Ordinary changes may go at once.
+    /// Creates a state in which ordinary changes may be sent immediately.
     pub(super) fn new(now: Moment) -> Self {
         PublicationState { batched_until: now }
     }
@@ -36,29 +38,29 @@
         now >= self.batched_until
     }
 
-    /// Commands were sent that keep the channel busy for some time.
-    fn sent(&mut self, now: Moment, busy_secs: f64) {
+    /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
+    fn record_sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
             self.batched_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
         }
     }
 }
 
-/// The endpoints with urgent changes, and how many of them go now.
+/// The endpoints with urgent changes, and how many of them are sent now.
 struct UrgentBatch {
-    /// The position of each endpoint: those that left first come first.
+    /// The position of each endpoint in the order in which the endpoints left.
     positions: BTreeMap<EndpointId, usize>,
-    /// Endpoints up to this position go now.
+    /// The number of endpoints whose urgent changes are sent now, counted from position 0.
     size: usize,
 }
 
 impl UrgentBatch {
-    /// All endpoints with urgent changes, none of which goes yet.
+    /// Collects all endpoints with urgent changes; none is included in the batch yet.
     fn new(pending: &[TableChanges], endpoints: &EndpointRegistry) -> Self {
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
             if change.is_urgent {
-                let left = endpoints.get(&change.id).map(|endpoint| endpoint.left);
+                let left = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
                 ordered.insert((left, change.id.clone()));
             }
         }
@@ -66,7 +68,7 @@
         UrgentBatch { positions: positions.collect(), size: 0 }
     }
 
-    /// Whether every urgent change goes now.
+    /// Whether all urgent changes are sent now.
     fn is_complete(&self) -> bool {
         self.size == self.positions.len()
     }
@@ -79,7 +81,7 @@
         change.is_urgent && self.positions[&change.id] < size
     }
 
-    /// The lines of a batch of some size, to all receivers.
+    /// The cost of a batch of this size in lines, over all receivers.
     fn cost(&self, size: usize, pending: &[TableChanges], message_overhead: f64) -> f64 {
         let table_cost = |table: &TableChanges| {
             let lines = table.changes.iter().filter(|change| self.would_include(change, size)).count() as f64;
@@ -89,7 +91,7 @@
         pending.iter().map(table_cost).sum::<f64>()
     }
 
-    /// Keeps the urgent changes that go now, and the first `max_ordinary` ordinary ones.
+    /// Retains the urgent changes that are sent now and the first `max_ordinary` ordinary ones.
     fn retain_sendable(&self, changes: &mut Vec<WeightChange>, max_ordinary: usize) {
         let mut ordinary = 0;
         changes.retain(|change| {
@@ -103,7 +105,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Publishes what has changed and fits. Returns whether something found no room.
+    /// Publishes the changes that are due and fit into the channel. Returns whether changes were deferred
+    /// because they did not fit.
     pub(super) fn publish_changes(
         &mut self,
         now: Moment,
@@ -114,26 +117,29 @@
         let receivers = self.proxies.matching(|proxy| proxy.receives_updates);
         let mut pending = self.collect_changes(now, limits, &receivers);
         let mut batch = UrgentBatch::new(&pending, &self.endpoints);
-        let room = self.channel.room(now, Urgency::Urgent, &receivers, limits);
+        let available = self.channel.available_lines(now, Urgency::Urgent, &receivers, limits);
         let cost = |size| batch.cost(size, &pending, limits.message_overhead);
-        let size = if is_queue_short { limits.largest_batch(batch.positions.len(), room, cost) } else { 0 };
+        let size =
+            if is_queue_short { limits.largest_batch(batch.positions.len(), available, cost) } else { 0 };
         let urgent_lines = if size > 0 { cost(size) } else { 0.0 };
         batch.size = size;
 
         let lines_before = self.channel.backlog.recorded_lines + urgent_lines;
-        let mut found_no_room = !batch.is_complete();
+        let mut has_deferred = !batch.is_complete();
         let ordinary_due = ordinary_due && batch.is_complete();
-        // The table that has waited longest goes first, or one that always changes would take all the room.
+        // The table whose last commands are the oldest goes first. Otherwise a table that changes constantly
+        // would use up the channel.
         pending.sort_by_key(|table| self.tables.by_number[&table.table].last_sent);
         for table in pending {
-            found_no_room |= self.publish_table(now, limits, table, &batch, ordinary_due);
+            has_deferred |= self.publish_table(now, limits, table, &batch, ordinary_due);
         }
         let ordinary_lines = self.channel.backlog.recorded_lines - lines_before;
-        self.publication.sent(now, limits.secs_for(ordinary_lines));
-        found_no_room
+        self.publication.record_sent(now, limits.transmission_secs(ordinary_lines));
+        has_deferred
     }
 
-    /// Computes the changes of all tables, and sends those of tables without receivers, which cost nothing.
+    /// Computes the changes of all tables. Returns those of tables with receivers; the others cost no lines
+    /// and are sent immediately.
     fn collect_changes(
         &mut self,
         now: Moment,
@@ -180,16 +186,17 @@
     ) -> Vec<WeightChange> {
         let Some(table) = self.tables.by_number.get_mut(&number) else { return Vec::new() };
         let desired = table.desired_weights(number, snapshot);
-        if desired.is_empty() && changes::is_carried(table, &self.endpoints, &self.config, now) {
-            self.recheck_soon();
+        if desired.is_empty() && changes::retains_weights(table, &self.endpoints, &self.config, now) {
+            self.schedule_recheck();
             return Vec::new();
         }
         table.carried_since = None;
         changes::weight_changes(table, desired, receivers, limits)
     }
 
-    /// Sends the urgent changes of a table that go now, and ordinary ones as far as they are due and fit.
-    /// Returns whether ordinary changes found no room.
+    /// Sends the urgent changes of a table that are in the batch, and the ordinary changes that fit. Without
+    /// urgent changes in the batch, ordinary ones are sent only if they are due and worth a message. Returns
+    /// whether ordinary changes were deferred because they did not fit.
     fn publish_table(
         &mut self,
         now: Moment,
@@ -199,41 +206,42 @@
         ordinary_due: bool,
     ) -> bool {
         let urgent = table.changes.iter().filter(|change| batch.includes(change)).count();
-        let rest = table.changes.len() - urgent;
+        let ordinary = table.changes.len() - urgent;
         let last_sent = self.tables.by_number[&table.table].last_sent;
         if urgent == 0 && (!ordinary_due || now - last_sent < MIN_PUBLICATION_INTERVAL) {
-            self.recheck_soon();
+            self.schedule_recheck();
             return false;
         }
-        let room = self.room_for_ordinary(now, limits, &table.receivers, urgent);
-        let fitting = room as usize;
-        let found_no_room = fitting < rest;
-        let is_worth_a_message = room >= 0.0 && (!found_no_room || room >= limits.message_overhead);
-        if urgent == 0 && !is_worth_a_message {
-            return found_no_room;
+        let available = self.available_ordinary_lines(now, limits, &table.receivers, urgent);
+        let fitting_lines = available as usize;
+        let has_deferred = fitting_lines < ordinary;
+        let is_worth_sending = available >= 0.0 && (!has_deferred || available >= limits.message_overhead);
+        if urgent == 0 && !is_worth_sending {
+            return has_deferred;
         }
-        let max_ordinary = if batch.is_complete() { fitting } else { 0 };
+        let max_ordinary = if batch.is_complete() { fitting_lines } else { 0 };
         batch.retain_sendable(&mut table.changes, max_ordinary);
         self.send_changes(now, limits, table, batch.is_complete());
-        found_no_room
+        has_deferred
     }
 
-    /// The lines for ordinary changes to each receiver of a table, besides its urgent changes and all
-    /// admission levels.
-    fn room_for_ordinary(
+    /// The number of lines per receiver that are available for ordinary changes of a table, after its urgent
+    /// changes and all admission levels.
+    fn available_ordinary_lines(
         &mut self,
         now: Moment,
         limits: &ChannelLimits,
         receivers: &[u32],
         urgent_lines: usize,
     ) -> f64 {
-        let total = self.channel.room(now, Urgency::Ordinary, receivers, limits);
-        // Ordinary changes alone pay for the message.
+        let total = self.channel.available_lines(now, Urgency::Ordinary, receivers, limits);
+        // The message overhead counts against ordinary changes only if they are sent alone.
         let committed = if urgent_lines == 0 { limits.message_overhead } else { urgent_lines as f64 };
         total / receivers.len() as f64 - committed - self.admission.levels.len() as f64
     }
 
-    /// Sends changes of a table and marks them as published; with them the admission levels that changed.
+    /// Sends changes of a table and marks them as published. `with_admission` includes the admission levels
+    /// that changed.
     pub(super) fn send_changes(
         &mut self,
         now: Moment,
@@ -246,7 +254,7 @@
         let mut commands: u32 = 0;
         let mut restored = 0;
         for WeightChange { id, weight, .. } in changes {
-            // An endpoint that returns is restored with its first weight and not before: it may be cold.
+            // A returning endpoint may be cold, so its ejection is not lifted before its new weight is sent.
             let endpoint = self.endpoints.get_mut(&id);
             if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.ejected && endpoint.is_ready()) {
                 endpoint.mark_restored();
