--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -76,13 +76,13 @@
     /// Opens a channel without connected proxies. The receiver returns the acknowledgements.
     pub(crate) fn open(
         control_plane: &ControlPlane,
-        request_classes: usize,
+        request_class_count: usize,
         proxies: Arc<Vec<Proxy>>,
     ) -> (Arc<ProxyChannel>, mpsc::UnboundedReceiver<Acknowledgement>) {
         let (message_sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let (acknowledgement_sender, acknowledgements) = mpsc::unbounded_channel();
         let state = ChannelState {
-            model: ChannelModel::new(control_plane, request_classes),
+            model: ChannelModel::new(control_plane, request_class_count),
             connection_numbers: vec![0; proxies.len()],
         };
         let channel = Arc::new(ProxyChannel {
--- a/emulator/src/testbed/instance.rs
+++ b/emulator/src/testbed/instance.rs
@@ -94,8 +94,8 @@
     }
 
     fn open_channel(&self) -> (Arc<ProxyChannel>, UnboundedReceiver<Acknowledgement>) {
-        let request_classes = self.fleet.request_classes.len();
-        ProxyChannel::open(&self.fleet.control_plane, request_classes, self.proxies.clone())
+        let request_class_count = self.fleet.request_classes.len();
+        ProxyChannel::open(&self.fleet.control_plane, request_class_count, self.proxies.clone())
     }
 
     fn instance_seed(&self, index: u32) -> u64 {
