--- a/emulator/src/control_plane_config/tests.rs
+++ b/emulator/src/control_plane_config/tests.rs
@@ -10,13 +10,13 @@
         listen_address: "127.0.0.1:1",
         endpoint_list_address: "127.0.0.1:2",
         relay_address: "127.0.0.1:3",
-        known_endpoints: json!({"hosts": [], "seq": 1, "whole": true}),
+        initial_endpoint_list: json!({"hosts": [], "seq": 1, "whole": true}),
         seed: 26,
     };
     config.to_json()
 }
 
-/// Compared as a whole text, since the published settings fix each name and unit.
+/// Compares the whole text, because the published settings define the name and the unit of each field.
 #[test]
 fn the_configuration_has_the_published_field_names() {
     let expected = concat!(
