--- a/emulator/src/relay.rs
+++ b/emulator/src/relay.rs
@@ -1,7 +1,7 @@
-//! The emulated relay, by its published protocol: takes the commands of a control-plane process, and streams to it which
-//! proxies join and leave, and what they acknowledge.
+//! The emulated relay, with the published protocol: accepts the commands of a control-plane process and
+//! streams events to it, namely which proxies join and leave and what they acknowledge.
 //!
-//! `commands.rs` decodes commands, `event_stream.rs` serves the stream.
+//! `commands.rs` decodes the commands, `event_stream.rs` serves the stream.
 
 mod commands;
 mod event_stream;
@@ -21,16 +21,16 @@
 use std::sync::{Arc, Mutex};
 use tokio::sync::{broadcast, mpsc};
 
-/// The path of the stream of events.
+/// The path of the event stream.
 const EVENTS_PATH: &str = "/v3/kv/stream";
-/// The path to which commands are sent.
+/// The path that accepts batches of commands.
 const COMMANDS_PATH: &str = "/v3/kv/batches";
-/// Events by which a reader of the stream may lag behind before it is cut off.
-const MAX_LAGGING_EVENTS: usize = 8_192;
+/// The number of events that a reader of the stream may lag behind before its stream is ended.
+const MAX_EVENT_LAG: usize = 8_192;
 
 type ResponseBody = BoxBody<Bytes, Infallible>;
 
-/// The names by which the protocol refers to parts of the fleet.
+/// The names that the protocol uses for the endpoints, request classes and zones of the fleet.
 pub(crate) struct FleetNames {
     /// Endpoint indices by name.
     pub(crate) endpoints: BTreeMap<String, u32>,
@@ -42,7 +42,7 @@
 
 /// A running relay.
 pub(crate) struct Relay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub(crate) address: String,
     server: Arc<RelayServer>,
 }
@@ -50,14 +50,14 @@
 struct RelayServer {
     channel: Arc<ProxyChannel>,
     names: FleetNames,
-    /// Lines for all readers of the stream.
+    /// Sends lines to all readers of the stream.
     events: broadcast::Sender<String>,
-    /// The line with which each joined proxy was announced, by its number.
-    joined: Mutex<BTreeMap<u32, String>>,
+    /// By proxy number: the line that announced each connected proxy.
+    join_events: Mutex<BTreeMap<u32, String>>,
 }
 
 impl Relay {
-    /// Starts a relay for the proxies of a channel on an address of its own.
+    /// Starts a relay for the proxies of a channel on a new address.
     pub(crate) fn start(
         network: &Network,
         channel: Arc<ProxyChannel>,
@@ -65,14 +65,14 @@
         names: FleetNames,
     ) -> io::Result<Relay> {
         let (listener, address) = network.listen("relay")?;
-        let (events, _) = broadcast::channel(MAX_LAGGING_EVENTS);
-        let server = Arc::new(RelayServer { channel, names, events, joined: Mutex::default() });
+        let (events, _) = broadcast::channel(MAX_EVENT_LAG);
+        let server = Arc::new(RelayServer { channel, names, events, join_events: Mutex::default() });
         tokio::spawn(accept(listener, server.clone()));
-        tokio::spawn(announce_acknowledgements(acknowledgements, server.clone()));
+        tokio::spawn(broadcast_acknowledgements(acknowledgements, server.clone()));
         Ok(Relay { address, server })
     }
 
-    /// Connects a proxy to the channel and announces it.
+    /// Connects a proxy to the channel and announces it on the stream.
     pub(crate) fn join(&self, proxy: JoinedProxy) {
         let zone = &self.server.names.zones[proxy.zone as usize];
         let object = json!({
@@ -83,25 +83,25 @@
         });
         let line = event_line("hello", object);
         self.server.channel.connect(proxy.number);
-        lock(&self.server.joined).insert(proxy.number, line.clone());
-        self.server.announce(line);
+        lock(&self.server.join_events).insert(proxy.number, line.clone());
+        self.server.broadcast(line);
     }
 
-    /// Disconnects a proxy from the channel and announces that.
+    /// Disconnects a proxy from the channel and announces that on the stream.
     pub(crate) fn leave(&self, proxy: u32) {
         self.server.channel.disconnect(proxy);
-        lock(&self.server.joined).remove(&proxy);
-        self.server.announce(event_line("bye", json!({"node": proxy})));
+        lock(&self.server.join_events).remove(&proxy);
+        self.server.broadcast(event_line("bye", json!({"node": proxy})));
     }
 }
 
-async fn announce_acknowledgements(
+async fn broadcast_acknowledgements(
     mut acknowledgements: mpsc::UnboundedReceiver<Acknowledgement>,
     server: Arc<RelayServer>,
 ) {
     while let Some(Acknowledgement { number, proxy, latency }) = acknowledgements.recv().await {
         let latency_ms = latency.as_secs_f64() * 1e3;
-        server.announce(event_line("ack", json!({"node": proxy, "nonce": number, "latency": latency_ms})));
+        server.broadcast(event_line("ack", json!({"node": proxy, "nonce": number, "latency": latency_ms})));
     }
 }
 
@@ -120,18 +120,18 @@
     async fn handle(self: &Arc<Self>, request: Request<Incoming>) -> Response<ResponseBody> {
         match (request.method(), request.uri().path()) {
             (&Method::GET, EVENTS_PATH) => event_stream::open(self),
-            (&Method::POST, COMMANDS_PATH) => self.take_commands(request).await,
+            (&Method::POST, COMMANDS_PATH) => self.handle_batch(request).await,
             _ => invalid_request(),
         }
     }
 
-    /// Sends a line to all readers of the stream, if there are any.
-    fn announce(&self, line: String) {
+    /// Sends a line to all readers of the stream; without readers it is dropped.
+    fn broadcast(&self, line: String) {
         let _ = self.events.send(line);
     }
 }
 
-/// A line of the stream.
+/// Encodes an event as a line of the stream.
 fn event_line(kind: &str, object: Value) -> String {
     format!("{}\n", json!({"type": kind, "object": object}))
 }
--- a/emulator/src/testbed/control_plane_process.rs
+++ b/emulator/src/testbed/control_plane_process.rs
@@ -1,10 +1,9 @@
-//! A control-plane instance in a process of its own, with the relay, the endpoint list and the collectors that it works
-//! with.
+//! A control-plane instance in a separate process, with its relay, endpoint list and collectors.
 
 use super::Testbed;
 use crate::collector::Collectors;
 use crate::control_plane_config::ControlPlaneConfig;
-use crate::endpoint_list::{whole_list_json, EndpointList, FIRST_VERSION};
+use crate::endpoint_list::{whole_list_json, EndpointList, INITIAL_VERSION};
 use crate::error::TestbedError;
 use crate::frame::{read_frame_length, write_frame};
 use crate::proxy_channel::{Acknowledgement, ProxyChannel};
@@ -23,16 +22,17 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{sleep, timeout};
 
-/// The environment variable with the path of the configuration file.
+/// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
 /// Environment variables that would override the configuration file.
 const OVERRIDING_VARIABLES: [&str; 3] = ["GW_NAME", "GW_LISTEN", "GW_DISCOVERY"];
-/// How long a process may take until it answers health checks.
+/// How long a process may take until it responds to a health check.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// The wait between health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A running process and the parties that serve it alone. They stop when it is dropped.
+/// A running process with the relay, endpoint list and collectors that serve only it. Dropping it kills the
+/// process and stops the collectors; the relay and the endpoint list run until the runtime shuts down.
 pub(super) struct ControlPlaneProcess {
     pub(super) relay: Relay,
     pub(super) endpoint_list: EndpointList,
@@ -41,13 +41,13 @@
     _process: Child,
 }
 
-/// What a process is started with.
+/// The parameters of a process.
 pub(super) struct ProcessSpec<'a> {
-    /// The index of the instance.
+    /// The index of the instance in the fleet's control plane.
     pub(super) index: u32,
-    /// The program.
+    /// The path of the program.
     pub(super) path: &'a Path,
-    /// Where its configuration and log are written.
+    /// The directory in which its configuration and log are written.
     pub(super) directory: &'a Path,
     pub(super) seed: u64,
 }
@@ -67,7 +67,8 @@
 }
 
 impl Testbed {
-    /// Starts a process and the parties that it works with; returns when it answers health checks.
+    /// Starts a process with its relay, endpoint list and collectors; returns when it responds to a health
+    /// check.
     pub(super) async fn start_process(
         &self,
         spec: ProcessSpec<'_>,
@@ -75,9 +76,9 @@
         acknowledgements: UnboundedReceiver<Acknowledgement>,
     ) -> Result<ControlPlaneProcess, TestbedError> {
         let entries = self.registry.whole_list().entries;
-        let known_endpoints = whole_list_json(FIRST_VERSION, &entries);
+        let initial_endpoint_list = whole_list_json(INITIAL_VERSION, &entries);
         let endpoint_list = EndpointList::start(&self.network, entries)?;
-        let relay = Relay::start(&self.network, channel.clone(), acknowledgements, self.names())?;
+        let relay = Relay::start(&self.network, channel.clone(), acknowledgements, self.fleet_names())?;
         let listen_address = unused_address()?;
         let config = ControlPlaneConfig {
             fleet: &self.fleet,
@@ -85,7 +86,7 @@
             listen_address: &listen_address,
             endpoint_list_address: &endpoint_list.address,
             relay_address: &relay.address,
-            known_endpoints,
+            initial_endpoint_list,
             seed: spec.seed,
         };
         let process = start_program(&spec, &config.to_json())?;
@@ -105,7 +106,7 @@
         Ok(ControlPlaneProcess { relay, endpoint_list, channel, _collectors: collectors, _process: process })
     }
 
-    fn names(&self) -> FleetNames {
+    fn fleet_names(&self) -> FleetNames {
         FleetNames {
             endpoints: self.registry.names().into_iter().zip(0..).collect(),
             request_classes: self.fleet.request_classes.iter().map(|class| class.name.clone()).collect(),
@@ -114,7 +115,8 @@
     }
 }
 
-/// An address on loopback whose port was unused a moment ago.
+/// A loopback address with a port that is unused at the time of the call. Another process may take it before
+/// it is bound again.
 fn unused_address() -> io::Result<String> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     Ok(listener.local_addr()?.to_string())
@@ -143,7 +145,7 @@
         .map_err(|source| TestbedError::StartProgram { path: spec.path.to_owned(), source })
 }
 
-/// Waits until a process answers a health check.
+/// Waits until a process responds to a health check.
 async fn wait_until_responsive(address: &str) -> Result<(), tokio::time::error::Elapsed> {
     let answered = async {
         while check_health(address).await.is_err() {
