--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
     /// More lines of the batch follow.
-    Open,
+    Incomplete,
     /// The batch is complete, and the simulator waits for the reply.
     Complete,
 }
@@ -27,7 +27,7 @@
     pages: EndpointPages,
     now: Moment,
     /// The number of the current batch, which the reply repeats.
-    batch_serial: u64,
+    batch_number: u64,
     /// The encoded failure reports of instances that panicked during the current batch.
     failure_reports: Vec<u8>,
 }
@@ -37,18 +37,18 @@
     pub fn handle_line(&mut self, line: &[u8]) -> Result<BatchState, MessageError> {
         let value: Value = serde_json::from_slice(line)?;
         match Message::decode(&value)? {
-            Message::Tick { now, serial } => {
+            Message::BatchStart { now, number } => {
                 self.now = now;
-                self.batch_serial = serial;
+                self.batch_number = number;
             }
-            Message::EndOfBatch => return Ok(BatchState::Complete),
+            Message::BatchEnd => return Ok(BatchState::Complete),
             Message::EndpointPage { page, entries } => {
                 self.pages.insert(page, entries);
             }
             Message::StartInstance { instance, config, seed } => {
                 let host = WireHost::new(instance, &config);
                 let now = self.now;
-                self.guard_instance(instance, |adapter| {
+                self.stop_instance_on_panic(instance, |adapter| {
                     let controller = Controller::start(host, config, seed, now);
                     adapter.instances.insert(instance, controller);
                 });
@@ -56,9 +56,9 @@
             Message::StopInstance { instance } => {
                 self.instances.remove(&instance);
             }
-            Message::ForInstance { instance, fields } => self.handle_event(instance, &fields)?,
+            Message::InstanceEvent { instance, fields } => self.handle_event(instance, &fields)?,
         }
-        Ok(BatchState::Open)
+        Ok(BatchState::Incomplete)
     }
 
     fn handle_event(&mut self, instance: u64, fields: &JsonFields) -> Result<(), MessageError> {
@@ -69,7 +69,7 @@
             return Ok(());
         };
         let now = self.now;
-        self.guard_instance(instance, |adapter| {
+        self.stop_instance_on_panic(instance, |adapter| {
             if let Some(controller) = adapter.instances.get_mut(&instance) {
                 dispatch(controller, now, event);
             }
@@ -79,7 +79,7 @@
 
     /// Runs a call on behalf of an instance. If it panics, only that instance is stopped, and the panic is
     /// reported to the simulator.
-    fn guard_instance(&mut self, instance: u64, call: impl FnOnce(&mut Self)) {
+    fn stop_instance_on_panic(&mut self, instance: u64, call: impl FnOnce(&mut Self)) {
         if let Err(panic) = catch_panic(|| call(self)) {
             self.instances.remove(&instance);
             encode::append_line(
@@ -96,7 +96,7 @@
         for controller in self.instances.values_mut() {
             reply.append(&mut controller.host().encoded_commands);
         }
-        encode::append_line(&mut reply, &encode::batch_finished(self.batch_serial));
+        encode::append_line(&mut reply, &encode::batch_finished(self.batch_number));
         reply
     }
 }
@@ -114,18 +114,18 @@
             controller.endpoint_list_replaced(now, &entries);
         }
         Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
-        Event::ProxyJoined { proxy, zone, fresh, rate } => {
+        Event::ProxyJoined { proxy, zone, has_initial_table, rate } => {
             controller.host().validator.set_proxy_joined(proxy, true);
-            controller.proxy_joined(now, proxy, zone, rate, fresh);
+            controller.proxy_joined(now, proxy, zone, rate, has_initial_table);
         }
         Event::ProxyLeft { proxy } => {
             controller.host().validator.set_proxy_joined(proxy, false);
             controller.proxy_left(now, proxy);
         }
-        Event::EndpointOutcomes { endpoint, attempts, failures, latency, period } => {
-            controller.outcomes_reported(now, endpoint, attempts, failures, latency, period);
+        Event::EndpointOutcomes { endpoint, attempts, failures, latency, interval } => {
+            controller.outcomes_reported(now, endpoint, attempts, failures, latency, interval);
         }
-        Event::Demand { request_class, requests } => controller.demand_reported(request_class, requests),
+        Event::Demand { class, requests } => controller.demand_reported(class, requests),
         Event::TimerFired(timer) => controller.timer_fired(now, timer),
         Event::ShardAssigned { shard } => {
             controller.host().validator.set_shard_owned(shard, true);
--- a/simulator-adapter/src/adapter/tests.rs
+++ b/simulator-adapter/src/adapter/tests.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn an_empty_batch_is_answered_with_its_number() {
-    let mut adapter = Adapter { batch_serial: 12, ..Adapter::default() };
+    let mut adapter = Adapter { batch_number: 12, ..Adapter::default() };
     assert_eq!(reply(&mut adapter), "{\"kind\":\"FINISHED\",\"serial\":12}\n");
 }
 
@@ -93,7 +93,7 @@
 #[test]
 fn a_panic_ends_one_instance_and_says_so() {
     let mut adapter = up_with(&[]);
-    adapter.guard_instance(3, |_| panic!("index out of range"));
+    adapter.stop_instance_on_panic(3, |_| panic!("index out of range"));
     assert!(reply(&mut adapter).starts_with(r#"{"kind":"DIE","msg":"index out of range","who":3}"#));
     assert!(adapter.instances.is_empty());
 }
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -36,7 +36,7 @@
     },
     /// The state of an endpoint list entry is unknown.
     #[error("PAGE entry: field 'health' is not 0, 1 or 2: {health}")]
-    UnknownHealth {
+    UnknownEndpointState {
         /// The number that should identify a state.
         health: u64,
     },
@@ -63,14 +63,14 @@
 /// One message from the simulator.
 pub enum Message<'a> {
     /// The start of a batch.
-    Tick {
+    BatchStart {
         /// The simulated time of the batch.
         now: Moment,
         /// The batch's number, which the reply repeats.
-        serial: u64,
+        number: u64,
     },
     /// The end of a batch. The simulator waits for the reply.
-    EndOfBatch,
+    BatchEnd,
     /// A page of the endpoint list. Later events refer to it by its number.
     EndpointPage {
         /// The page's number.
@@ -93,7 +93,7 @@
         instance: u64,
     },
     /// An event for an instance, to be decoded by [`decode_event`].
-    ForInstance {
+    InstanceEvent {
         /// The instance's number.
         instance: u64,
         /// The message's fields.
@@ -106,10 +106,11 @@
     pub fn decode(value: &'a Value) -> Result<Self, MessageError> {
         let fields = JsonFields::from_message(value, "kind")?;
         let message = match fields.kind {
-            "TICK" => {
-                Message::Tick { now: Moment::from_us(fields.i64("timeUs")?), serial: fields.u64("serial")? }
-            }
-            "OVER_TO_YOU" => Message::EndOfBatch,
+            "TICK" => Message::BatchStart {
+                now: Moment::from_us(fields.i64("timeUs")?),
+                number: fields.u64("serial")?,
+            },
+            "OVER_TO_YOU" => Message::BatchEnd,
             "PAGE" => {
                 Message::EndpointPage { page: fields.u64("page")?, entries: endpoint_updates(&fields)? }
             }
@@ -119,7 +120,7 @@
                 seed: fields.u64("entropy")?,
             },
             "DESTROY" => Message::StopInstance { instance: fields.u64("who")? },
-            _ => Message::ForInstance { instance: fields.u64("who")?, fields },
+            _ => Message::InstanceEvent { instance: fields.u64("who")?, fields },
         };
         Ok(message)
     }
@@ -140,7 +141,7 @@
         /// The position of the proxy's zone in the configuration.
         zone: u32,
         /// Whether the proxy has just started, so that it still holds its initial table.
-        fresh: bool,
+        has_initial_table: bool,
         /// The proxy's usual rate, in requests per second.
         rate: f64,
     },
@@ -160,12 +161,12 @@
         /// The latency of the answered attempts.
         latency: Span,
         /// The length of time that the report covers.
-        period: Span,
+        interval: Span,
     },
     /// A load report about one request class.
     Demand {
         /// The position of the class in the configuration.
-        request_class: u32,
+        class: u32,
         /// The number of requests that arrived.
         requests: f64,
     },
@@ -209,7 +210,7 @@
         "STREAM_UP" => Event::ProxyJoined {
             proxy: fields.u32("px")?,
             zone: fields.u32("campus")?,
-            fresh: fields.bool("set"),
+            has_initial_table: fields.bool("set"),
             rate: fields.non_negative("weight")?,
         },
         "STREAM_DOWN" => Event::ProxyLeft { proxy: fields.u32("px")? },
@@ -218,11 +219,9 @@
             attempts: fields.non_negative("triesN")?,
             failures: fields.non_negative("bad")?,
             latency: Span::from_us(fields.i64_or("delaySeenUs", 0)?),
-            period: Span::from_us(fields.i64_or("periodLenUs", 0)?),
+            interval: Span::from_us(fields.i64_or("periodLenUs", 0)?),
         },
-        "INGRESS" => {
-            Event::Demand { request_class: fields.u32("class")?, requests: fields.non_negative("triesN")? }
-        }
+        "INGRESS" => Event::Demand { class: fields.u32("class")?, requests: fields.non_negative("triesN")? },
         "BELL" => Event::TimerFired(timer(fields)?),
         "ASSIGNED_TO_ME" => shard_ownership_event(fields)?,
         "STORED_LINE" => Event::ShardWeightRestored {
@@ -279,7 +278,7 @@
         0 => EndpointState::Removed,
         1 => EndpointState::Ready,
         2 => EndpointState::Draining,
-        health => return Err(MessageError::UnknownHealth { health }),
+        health => return Err(MessageError::UnknownEndpointState { health }),
     };
     let started_us = fields.i64_or("cameUpUs", 0)?;
     Ok(EndpointUpdate {
--- a/simulator-adapter/src/encode.rs
+++ b/simulator-adapter/src/encode.rs
@@ -9,8 +9,8 @@
 }
 
 /// The message that ends the reply to a batch.
-pub fn batch_finished(serial: u64) -> Value {
-    json!({"kind": "FINISHED", "serial": serial})
+pub fn batch_finished(number: u64) -> Value {
+    json!({"kind": "FINISHED", "serial": number})
 }
 
 /// Appends a message to the buffer as one line.
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -26,7 +26,7 @@
             continue;
         }
         match adapter.handle_line(&line) {
-            Ok(BatchState::Open) => {}
+            Ok(BatchState::Incomplete) => {}
             Ok(BatchState::Complete) => {
                 output.write_all(&adapter.take_reply())?;
                 output.flush()?;
