--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,11 +1,13 @@
-//! Descriptions of fleets and their load, read and validated, so that nothing invalid travels inward.
+//! Parses and validates descriptions of fleets and their load, so that other packages only handle valid
+//! values.
 //!
-//! [`read`] turns the text of a description into a [`Fleet`] or reports every error in it. `proto/` has the schemas,
-//! `parse.rs` reads their text, `validate/` checks the values and maps the schemas' names to those of `model.rs`.
+//! [`read`] turns the text of a description into a [`Fleet`] or reports all errors in it. `proto/` contains
+//! the protobuf schemas, `parse.rs` parses the text format, and `validate/` validates the values and maps the
+//! names of the schemas to those of `model.rs`.
 //!
-//! Load is a series of [`ScheduledRequest`]s: [`CapturedLoad`] reads them from a capture, [`load_profile`] generates
-//! them, [`scale`] makes a load heavier or lighter, and [`import`] turns the logs of other programs into a capture.
-//! [`sampling`] is the source of all randomness.
+//! Load is a sequence of [`ScheduledRequest`]s: [`CapturedLoad`] reads them from a capture, [`load_profile`]
+//! generates them, [`scale`] changes their rate, and [`import`] converts the logs of other programs to a
+//! capture. All random numbers come from [`sampling`].
 
 mod captured_load;
 pub mod import;
@@ -24,7 +26,7 @@
 pub use model::Fleet;
 pub use parse::{read, read_load_profile};
 
-/// The types that are generated from the schemas.
+/// Types that prost generates from the protobuf schemas.
 mod proto {
     include!(concat!(env!("OUT_DIR"), "/otterwinch.fleet.v1.rs"));
 }
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -1,93 +1,95 @@
-//! A described fleet, validated. Zones, endpoint groups and request classes are named by their index in its lists.
+//! The model of a fleet, validated. Zones, endpoint groups and request classes are referred to by their index
+//! in the lists of [`Fleet`].
 
 use otterwinch::time::Span;
 
-/// A whole fleet.
+/// A fleet: its zones, endpoints, clients, proxies and control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// What reports call it.
+    /// Its name in reports.
     pub name: String,
-    /// The latencies between its parts.
+    /// The latencies between clients, proxies and endpoints.
     pub network: Network,
-    /// At least one.
+    /// The zones, at least one.
     pub zones: Vec<Zone>,
-    /// At least one, with at least one endpoint in all.
+    /// The endpoint groups, at least one, with at least one endpoint in total.
     pub groups: Vec<EndpointGroup>,
-    /// At least one.
+    /// The request classes, at least one.
     pub request_classes: Vec<RequestClass>,
     /// How clients retry and time out.
     pub clients: Clients,
-    /// How all proxies behave.
+    /// How proxies behave.
     pub proxies: Proxies,
-    /// The control plane and its channels.
+    /// The control plane and its channels to and from the proxies.
     pub control_plane: ControlPlane,
-    /// What the operators want of the fleet.
+    /// The service-level objectives.
     pub goal: Goal,
 }
 
-/// One-way latencies. A new connection takes a round trip before its first byte.
+/// One-way latencies. Opening a connection takes a round trip before the first byte is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Network {
     /// Between a client and the proxies of its zone.
     pub client_latency: Span,
-    /// Between machines: a row for each zone, a column for each zone, within a zone on the diagonal.
+    /// Between the machines of two zones, as a symmetric matrix indexed by zone. The diagonal has the
+    /// latencies within each zone.
     pub zone_latency: Vec<Vec<Span>>,
 }
 
-/// A zone.
+/// A zone, with its proxies and its share of the clients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Zone {
-    /// Unique among the zones.
+    /// Its name, unique among the zones.
     pub name: String,
-    /// The number of proxies in it.
+    /// The number of its proxies.
     pub proxy_count: u32,
-    /// Its fraction of all clients; those of all zones sum to 1.
+    /// Its fraction of all clients; the fractions of all zones sum to 1.
     pub client_share: f64,
 }
 
-/// Endpoints that are alike but for their speed.
+/// Endpoints that differ only in their speed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointGroup {
-    /// Unique among the groups.
+    /// Its name, unique among the groups.
     pub name: String,
-    /// The index of the zone that they are in.
+    /// The index of the zone that contains the endpoints.
     pub zone: usize,
     /// The number of endpoints.
     pub count: u32,
-    /// Requests that one endpoint works on at a time.
+    /// The number of requests that one endpoint processes concurrently.
     pub cores: u32,
-    /// The speed of one core.
+    /// The speed of one core of each endpoint.
     pub speed: Speed,
     /// The weight of each endpoint in the endpoint list.
     pub weight: f64,
-    /// Requests that may wait for a core; further ones are rejected.
+    /// The number of requests that may wait for a core of one endpoint; further ones are rejected.
     pub max_queued: u32,
-    /// Connections that one endpoint accepts; further ones are refused.
+    /// The number of connections that one endpoint accepts; further ones are refused.
     pub max_connections: u32,
-    /// Work of a new connection, in seconds on a core of speed 1.
+    /// The work of accepting a connection, in seconds on a core of speed 1.
     pub connection_work: f64,
-    /// How an endpoint reaches its full speed after a start; `None` where it has it at once.
+    /// How an endpoint reaches its full speed after a start; `None` if it has full speed from the start.
     pub warm_up: Option<WarmUp>,
-    /// The load under which an endpoint collapses while it warms up; `None` where it survives any.
+    /// The load under which an endpoint collapses while it warms up; `None` if it survives any load.
     pub overload_collapse: Option<OverloadCollapse>,
-    /// Whether an endpoint finishes work that its client doesn't wait for any more. What is only queued is dropped in
-    /// any case.
+    /// Whether an endpoint finishes a request that it has started when the client has stopped waiting for it.
+    /// A queued request is dropped in either case.
     pub finishes_abandoned: bool,
-    /// How long the endpoints have been up when the load begins; `None` for long.
+    /// The uptime of the endpoints when the load begins; `None` if it is long enough for them to be warm.
     pub uptime: Option<Span>,
 }
 
-/// Seconds of work that one core does in a second.
+/// The speed of one core: seconds of work that it does in a second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Speed {
-    /// Drawn for each endpoint, uniformly between two bounds.
+    /// Drawn uniformly for each endpoint, between a lower and an upper bound.
     Uniform(f64, f64),
-    /// One for each endpoint, cyclically where there are more endpoints.
+    /// Measured speeds, one for each endpoint; a group with more endpoints repeats them cyclically.
     Measured(Vec<f64>),
 }
 
 impl Speed {
-    /// The mean over all endpoints.
+    /// The mean of the distribution, or of the measured speeds.
     pub fn mean(&self) -> f64 {
         match self {
             Speed::Uniform(from, to) => (from + to) / 2.0,
@@ -96,7 +98,8 @@
     }
 }
 
-/// Linear growth from a fraction of the full speed to all of it.
+/// The growth of an endpoint's speed after a start, linear from a fraction of the full speed to the full
+/// speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
     /// The fraction of the full speed at the start.
@@ -106,7 +109,7 @@
 }
 
 impl WarmUp {
-    /// The fraction of its full speed that an endpoint of this age has.
+    /// The fraction of its full speed that an endpoint has at an age, the time since its start.
     ///
     /// ```
     /// use otterwinch::time::Span;
@@ -121,70 +124,70 @@
     }
 }
 
-/// An endpoint that is warming up collapses when it is offered, within a window, more than a multiple of the work that
-/// it can do in that time at its present speed.
+/// The load under which an endpoint collapses while it warms up: the work that it is offered within a window
+/// exceeds a multiple of the work that it can do in that time at its current speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCollapse {
-    /// The multiple.
+    /// The multiple of the work that the endpoint can do.
     pub overload_factor: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Span,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may.
+    /// It may run more than once.
     Idempotent,
-    /// The endpoints of a zone recognize a repetition by its key, for a limited time.
+    /// It carries a key by which the endpoints of a zone recognize a duplicate for a limited time.
     WithIdempotencyKey,
-    /// It must not.
+    /// It must not run more than once.
     NotIdempotent,
 }
 
-/// Requests that are alike in work and importance.
+/// Requests with the same distribution of work and the same priority.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Unique among the request classes.
+    /// Its name, unique among the request classes.
     pub name: String,
-    /// Its fraction of all requests; those of all classes sum to 1.
+    /// Its fraction of all requests; the fractions of all classes sum to 1.
     pub share: f64,
-    /// What a request costs.
+    /// The work of a request.
     pub work: Work,
-    /// The time within which an answer has its full value.
+    /// The time within which a response has its full value.
     pub latency_objective: Span,
     /// The time after which the client gives up.
     pub timeout: Span,
-    /// The value of a request that is answered in time, against the other classes.
+    /// The value of a request that is answered within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of its value that a late answer has.
+    /// The fraction of its value that a response has after the latency objective.
     pub late_value: f64,
-    /// Whether requests may be retried.
+    /// Whether a request may run more than once, and so may be retried.
     pub idempotency: Idempotency,
-    /// How long endpoints recognize a repetition by its idempotency key.
+    /// How long endpoints recognize a duplicate by its idempotency key.
     pub deduplication_window: Span,
-    /// The fraction of requests that is admitted at any load.
+    /// The minimum fraction of requests that is admitted at any load.
     pub min_admitted: f64,
 }
 
-/// The distribution of a request's work, in seconds on a core of speed 1: uniform between two bounds, and for some
-/// requests multiplied by a factor, which is uniform too.
+/// The distribution of a request's work, in seconds on a core of speed 1. It is uniform between two bounds;
+/// for a fraction of the requests it is multiplied by a factor, which is uniform between two bounds as well.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
-    /// The least work.
+    /// The lower bound of the work.
     pub from: f64,
-    /// The most work, without the factor.
+    /// The upper bound of the work, without the factor.
     pub to: f64,
-    /// The fraction of requests that cost more by a factor.
+    /// The fraction of requests whose work is multiplied by the factor.
     pub costly_share: f64,
-    /// The least factor.
+    /// The lower bound of the factor.
     pub costly_from: f64,
-    /// The greatest factor.
+    /// The upper bound of the factor.
     pub costly_to: f64,
 }
 
 impl Work {
-    /// The mean, and the mean of the square.
+    /// The first two moments of the distribution: the mean and the mean square.
     pub fn moments(&self) -> (f64, f64) {
         let (base_mean, base_square) = uniform_moments(self.from, self.to);
         let (factor_mean, factor_square) = uniform_moments(self.costly_from, self.costly_to);
@@ -196,7 +199,7 @@
     }
 }
 
-/// The mean and the mean of the square of a uniform distribution.
+/// The mean and the mean square of a uniform distribution.
 fn uniform_moments(from: f64, to: f64) -> (f64, f64) {
     ((from + to) / 2.0, (from * from + from * to + to * to) / 3.0)
 }
@@ -204,7 +207,7 @@
 /// How clients time out and retry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clients {
-    /// Retries of a request, at most.
+    /// The maximum number of retries of a request.
     pub max_retries: u32,
     /// The shortest and the longest wait before a retry.
     pub retry_wait: (Span, Span),
@@ -215,85 +218,87 @@
 /// How proxies behave.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proxies {
-    /// Connections that are idle for so long are closed.
+    /// How long a connection to an endpoint may be idle before it is closed.
     pub idle_timeout: Span,
-    /// Whether a proxy retries, until the control plane orders otherwise, an attempt that is proven not to have run.
+    /// Whether a proxy retries an attempt that is known not to have been executed, until the control plane
+    /// sets another retry policy.
     pub retries_unexecuted: bool,
-    /// How long a proxy pauses for each line of a message that it applies.
+    /// How long a proxy pauses per line of a message that it applies.
     pub apply_time_per_line: Span,
-    /// The number of endpoints of its own zone in the table that a proxy starts with.
+    /// The number of endpoints, all of its own zone, in the initial table of a proxy.
     pub initial_table_size: u32,
 }
 
-/// The control plane, and what is between it and the proxies.
+/// The control plane and its channels to and from the proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlPlane {
     /// The number of instances, among which the proxies are divided.
     pub instances: u32,
-    /// The time between load reports.
+    /// The interval between load reports.
     pub report_interval: Span,
-    /// How long a load report takes to arrive.
+    /// The delay of a load report.
     pub report_delay: Span,
-    /// How long a change of the endpoint list takes to arrive.
+    /// The delay of an update of the endpoint list.
     pub endpoint_list_delay: Span,
-    /// Lines that the channel of an instance sends in a second.
+    /// The rate of the channel of an instance, in lines per second.
     pub channel_rate: f64,
-    /// Lines that each message counts in addition to its own.
+    /// The overhead of each message, in lines in addition to its own.
     pub message_overhead_lines: f64,
-    /// Lines that may be queued in the channel of an instance.
+    /// The maximum number of lines queued in the channel of an instance.
     pub max_queued_lines: f64,
-    /// How long a message to a proxy takes to arrive.
+    /// The delay of a message to a proxy.
     pub message_delay: Span,
-    /// The time within which a draining or removed endpoint has to be avoided.
+    /// How long proxies may use an endpoint after it was listed as draining or removed.
     pub drain_grace: Span,
-    /// The longest warm-up that the control plane is told of.
+    /// The slow-start window in the configuration of the control plane.
     pub slow_start_window: Span,
-    /// Whether requests that cross zones cost more, so that each zone uses its own endpoints first.
+    /// Whether requests that cross zones have a cost, so that each zone prefers its own endpoints.
     pub cross_zone_costs: bool,
 }
 
-/// What the operators want of the fleet, as fractions of the priority weight that is answered in time.
+/// The service-level objectives of a fleet. A service level is the fraction of the priority weight of
+/// requests that is answered within the latency objective.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    /// Over all requests.
+    /// The service level over all requests.
     pub service_level: f64,
-    /// For each request class by itself; 0 for no such goal.
+    /// The service level of each request class; 0 for no such objective.
     pub class_service_level: f64,
 }
 
 impl Fleet {
-    /// The number of endpoints in all groups.
+    /// The total number of endpoints.
     pub fn endpoint_count(&self) -> u32 {
         self.groups.iter().map(|group| group.count).sum()
     }
 
-    /// Seconds of work that the warm endpoints of a zone do in a second.
+    /// The capacity of the endpoints of a zone once they are warm: seconds of work that they do in a second.
     pub fn zone_capacity(&self, zone: usize) -> f64 {
         let groups = self.groups.iter().filter(|group| group.zone == zone);
         groups.map(|group| f64::from(group.count * group.cores) * group.speed.mean()).sum()
     }
 
-    /// Seconds of work that all endpoints, warm, do in a second.
+    /// The capacity of all endpoints once they are warm: seconds of work that they do in a second.
     pub fn capacity(&self) -> f64 {
         (0..self.zones.len()).map(|zone| self.zone_capacity(zone)).sum()
     }
 
-    /// The index of a zone by its name.
+    /// The index of the zone with this name.
     pub fn zone(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone.name == name)
     }
 
-    /// The index of a request class by its name.
+    /// The index of the request class with this name.
     pub fn request_class(&self, name: &str) -> Option<usize> {
         self.request_classes.iter().position(|class| class.name == name)
     }
 
-    /// The index of an endpoint group by its name.
+    /// The index of the endpoint group with this name.
     pub fn group(&self, name: &str) -> Option<usize> {
         self.groups.iter().position(|group| group.name == name)
     }
 
-    /// The mean work of a request of the described mix, in seconds on a core of speed 1.
+    /// The mean work of a request over the mix of request classes, in seconds on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
         self.request_classes.iter().map(|class| class.share * class.work.moments().0).sum()
     }
--- a/fleet/src/parse.rs
+++ b/fleet/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads descriptions of fleets and load profiles from their text.
+//! Parses fleet descriptions and load profiles, which are in protobuf text format.
 
 use crate::load_profile::LoadProfile;
 use crate::model::Fleet;
@@ -10,15 +10,16 @@
 
 static SCHEMAS: LazyLock<DescriptorPool> = LazyLock::new(|| {
     let compiled: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/schemas.bin"));
-    DescriptorPool::decode(compiled).expect("the build script compiled the schemas")
+    DescriptorPool::decode(compiled).expect("the build script wrote a valid descriptor set")
 });
 
 fn message_schema(name: &str) -> MessageDescriptor {
     let name = format!("otterwinch.fleet.v1.{name}");
-    SCHEMAS.get_message_by_name(&name).expect("the schemas have this message")
+    SCHEMAS.get_message_by_name(&name).expect("the schemas define this message")
 }
 
-/// Reads a description. `file` is the name of the file in errors, all of which are reported.
+/// Parses and validates a fleet description and reports all errors in it. `file` is the file name in the
+/// errors.
 ///
 /// ```
 /// let errors = otterwinch_fleet::read("f", "name: 'a b'\nhals {}").unwrap_err();
@@ -30,7 +31,8 @@
     Validator::validate(&source, |validator| validate::fleet(validator, &message))
 }
 
-/// Reads a load profile for a fleet. `file` is the name of the file in errors, all of which are reported.
+/// Parses and validates a load profile for a fleet and reports all errors in it. `file` is the file name in
+/// the errors.
 pub fn read_load_profile(file: &str, text: &str, fleet: &Fleet) -> Result<LoadProfile, Diagnostics> {
     let schema = message_schema("Make");
     let (message, source) = otterwinch_textproto::parse::<proto::Make>(file, text, &schema)?;
