--- a/fleet/src/validate/clients.rs
+++ b/fleet/src/validate/clients.rs
@@ -1,4 +1,4 @@
-//! Clients.
+//! Validates how clients retry and time out.
 
 use super::{millis, MAX_MS};
 use crate::model::Clients;
@@ -16,16 +16,16 @@
     let least_fraction = validator.field("patience_from").in_range(
         message.patience_from.unwrap_or(1.0),
         MIN_TIMEOUT_FRACTION..=1.0,
-        "of the expiry",
+        "of expiry_ms",
     );
     let greatest_fraction = validator.field("patience_to").in_range(
         message.patience_to.unwrap_or(1.0),
         least_fraction..=1.0,
-        "of the expiry",
+        "of expiry_ms",
     );
     let max_retries = message.again.unwrap_or(0);
     Clients {
-        max_retries: validator.field("again").count_in_range(max_retries, 0..=MAX_RETRIES, "tries more"),
+        max_retries: validator.field("again").count_in_range(max_retries, 0..=MAX_RETRIES, "retries"),
         retry_wait: (millis(shortest_wait), millis(longest_wait)),
         attempt_timeout_fraction: (least_fraction, greatest_fraction),
     }
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -1,4 +1,4 @@
-//! Proxies, the control plane, and the channel between them.
+//! Validates the proxies, the control plane and the channels between them.
 
 use super::{millis, MAX_MS};
 use crate::model::{ControlPlane, Proxies};
@@ -23,7 +23,7 @@
         idle_timeout: Span::from_secs(idle_seconds),
         retries_unexecuted: message.again() != proto::Again::Never,
         apply_time_per_line: Span::from_secs(line_us / 1e6),
-        initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "nodes"),
+        initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "endpoints"),
     }
 }
 
@@ -36,8 +36,8 @@
         millis(validator.field(field).in_range(value.unwrap_or(default), bounds, "ms"))
     };
     let channel_rate = message.lines_per_s.unwrap_or(DEFAULT_LINES_PER_SECOND);
-    let channel_rate = validator.field("lines_per_s").in_range(channel_rate, 10.0..=1e7, "lines a second");
-    // What the channel sends in a second, unless the description says otherwise.
+    let channel_rate = validator.field("lines_per_s").in_range(channel_rate, 10.0..=1e7, "lines per second");
+    // By default, as many lines may be queued as the channel sends in a second.
     let max_queued_lines = message.most_waiting.unwrap_or(channel_rate);
     let overhead_lines = message.head_lines.unwrap_or(DEFAULT_OVERHEAD_LINES);
     let slow_start_seconds = message.cold_for_s.unwrap_or(longest_warm_up.as_secs());
--- a/fleet/src/validate/mod.rs
+++ b/fleet/src/validate/mod.rs
@@ -1,7 +1,7 @@
-//! From the messages of the schemas to the validated model: every value within its bounds, every name known, defaults
-//! filled in. The names of the schemas' fields end here.
+//! Converts the messages of the schemas to the model: checks the range of every value, resolves names to
+//! indices and fills in defaults. The rest of the code does not use the names of the schemas' fields.
 //!
-//! Errors of one line are reported in the order of the checks, so the order of the checks matters.
+//! Errors of the same line are reported in the order of the checks, so the order of the checks matters.
 
 mod clients;
 mod control_plane;
@@ -22,10 +22,10 @@
 const MAX_ENDPOINTS: u32 = 20_000;
 const MAX_PROXIES: u32 = 20_000;
 const MAX_REQUEST_CLASSES: usize = 16;
-/// Ten minutes.
+/// The upper bound of most times and of work, in milliseconds: ten minutes.
 const MAX_MS: f64 = 600_000.0;
 
-/// A validated fleet. Where something is reported, a valid value stands in its place.
+/// Validates a fleet description. An invalid value is reported and replaced by a valid one.
 pub(crate) fn fleet(validator: &Validator, message: &proto::Fleet) -> Fleet {
     let name = validator.field("name").identifier(&message.name);
     check_lists(validator, message);
@@ -51,13 +51,14 @@
     Fleet { name, network, zones, groups, request_classes, clients, proxies, control_plane, goal }
 }
 
-/// Checks the lengths of the lists and the names of their elements.
+/// Checks the lengths of the lists of zones, groups and request classes, and that the names in each list are
+/// unique.
 fn check_lists(validator: &Validator, message: &proto::Fleet) {
     let (zones, groups, classes) = (&message.hall, &message.group, &message.product);
     validator.field("hall").require((1..=MAX_ZONES).contains(&zones.len()), || {
         format!("{} halls are not allowed: 1 to {MAX_ZONES}", zones.len())
     });
-    validator.field("group").require(!groups.is_empty(), || "a fleet has at least one group of nodes".into());
+    validator.field("group").require(!groups.is_empty(), || "at least one group is required".into());
     validator.field("product").require((1..=MAX_REQUEST_CLASSES).contains(&classes.len()), || {
         format!("{} products are not allowed: 1 to {MAX_REQUEST_CLASSES}", classes.len())
     });
@@ -83,7 +84,7 @@
     Span::from_secs(value / 1e3)
 }
 
-/// Scales shares so that they sum to 1; tells whether any is above 0.
+/// Scales shares so that they sum to 1. Returns `false`, and leaves them as they are, if none is above 0.
 fn normalize<'a>(shares: impl Iterator<Item = &'a mut f64>) -> bool {
     let shares: Vec<&mut f64> = shares.collect();
     let sum: f64 = shares.iter().map(|share| **share).sum();
@@ -96,16 +97,16 @@
     any
 }
 
-/// A required whole number; the lower bound where it is missing.
+/// A required integer. A missing one is reported and replaced by the lower bound; `unit` says what it counts.
 fn required_count(validator: &Validator, value: Option<u32>, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
     if let Some(value) = value {
         return validator.count_in_range(value, bounds, unit);
     }
-    validator.report(format!("is missing: {unit}, {} to {}", bounds.start(), bounds.end()));
+    validator.report(format!("is missing: the number of {unit}, {} to {}", bounds.start(), bounds.end()));
     *bounds.start()
 }
 
-/// A number that was reported as missing if it is; 1 stands in for it.
+/// A number within bounds, or 1 if it is missing, which the caller has reported.
 fn reported_number(
     validator: &Validator,
     value: Option<f64>,
--- a/fleet/src/validate/network.rs
+++ b/fleet/src/validate/network.rs
@@ -1,4 +1,4 @@
-//! Zones and the latencies between them.
+//! Validates the zones and the latencies between them.
 
 use super::{millis, normalize, MAX_PROXIES};
 use crate::model::{Network, Zone};
@@ -17,24 +17,24 @@
         elements.map(|(index, message)| zone(&validator.element("hall", index), message)).collect();
     let proxies: u32 = zones.iter().map(|zone| zone.proxy_count).sum();
     validator.field("hall").require(proxies <= MAX_PROXIES, || {
-        format!("{proxies} forwarders in all are not allowed: {MAX_PROXIES} at most")
+        format!("{proxies} forwarders in total are not allowed: {MAX_PROXIES} at most")
     });
     let has_clients = normalize(zones.iter_mut().map(|zone| &mut zone.client_share));
     validator.field("hall").require(has_clients || zones.is_empty(), || {
-        "no hall has clients: at least one has clients above 0".into()
+        "'clients' is 0 in every hall: it must be above 0 in at least one".into()
     });
     zones
 }
 
 fn zone(validator: &Validator, message: &proto::Hall) -> Zone {
     let proxies = validator.field("forwarders");
-    proxies.required(message.forwarders, "how many forwarders stand in this hall, 1 to 2,000");
+    proxies.required(message.forwarders, "the number of forwarders in this hall, 1 to 2,000");
     let proxy_count =
         message.forwarders.map_or(1, |count| proxies.count_in_range(count, 1..=2_000, "forwarders"));
     let client_share = validator.field("clients").in_range(
         message.clients.unwrap_or(1.0),
         0.0..=1_000.0,
-        "parts of the clients",
+        "shares of the clients",
     );
     Zone { name: validator.field("name").identifier(&message.name), proxy_count, client_share }
 }
@@ -56,7 +56,7 @@
     Network { client_latency, zone_latency }
 }
 
-/// Sets the latency between two zones, in both directions.
+/// Sets the latency between two zones in both directions.
 fn set_latency(
     validator: &Validator,
     message: &proto::Way,
@@ -66,7 +66,8 @@
     let from = validator.field("from").position_of(&message.from, zone_names, "hall");
     let to = validator.field("to").position_of(&message.to, zone_names, "hall");
     let latency = validator.field("one_way_ms");
-    let millis_or_zero = latency.required(message.one_way_ms, "the time between these halls, in ms");
+    let millis_or_zero =
+        latency.required(message.one_way_ms, "the one-way latency between these halls, in ms");
     let span = millis(latency.in_range(millis_or_zero, 0.0..=MAX_LATENCY_MS, "ms"));
     if from < zone_names.len() && to < zone_names.len() {
         zone_latency[from][to] = span;
--- a/fleet/src/validate/request_classes.rs
+++ b/fleet/src/validate/request_classes.rs
@@ -1,4 +1,4 @@
-//! Request classes and their work.
+//! Validates the request classes and their work.
 
 use super::{millis, normalize, MAX_MS};
 use crate::model::{Idempotency, RequestClass, Work};
@@ -16,56 +16,57 @@
         .collect();
     let has_share = normalize(classes.iter_mut().map(|class| &mut class.share));
     validator.field("product").require(has_share || classes.is_empty(), || {
-        "no product has a share: at least one has a share above 0".into()
+        "'share' is 0 in every product: it must be above 0 in at least one".into()
     });
     classes
 }
 
 fn request_class(validator: &Validator, message: &proto::Product) -> RequestClass {
     let latency_objective =
-        required_ms(&validator.field("sla_ms"), message.sla_ms, 1.0, "the time in which an answer is wanted");
+        required_ms(&validator.field("sla_ms"), message.sla_ms, 1.0, "the latency objective");
     let timeout = required_ms(
         &validator.field("expiry_ms"),
         message.expiry_ms,
         latency_objective,
-        "the time after which the client gives up",
+        "the timeout after which the client gives up",
     );
     let idempotency = idempotency(&validator.field("repeats"), message.repeats());
     let deduplication = validator.field("discard_s");
     deduplication
         .require(message.discard_s.is_none() || idempotency == Idempotency::WithIdempotencyKey, || {
-            "only a REFERENCED product's repeats are dropped: leave this out".into()
+            "is allowed only together with 'repeats: REFERENCED'".into()
         });
-    let fraction = |field: &str, value: Option<f64>, default: f64| {
-        validator.field(field).in_range(value.unwrap_or(default), 0.0..=1.0, "of the whole")
+    let fraction = |field: &str, value: Option<f64>, default: f64, unit: &str| {
+        validator.field(field).in_range(value.unwrap_or(default), 0.0..=1.0, unit)
     };
     let share = message.share.unwrap_or(1.0);
     let priority_weight = message.revenue.unwrap_or(1.0);
     let deduplication_seconds = message.discard_s.unwrap_or(0.0);
     RequestClass {
         name: validator.field("name").identifier(&message.name),
-        share: validator.field("share").in_range(share, 0.0..=1_000.0, "parts of the txns"),
+        share: validator.field("share").in_range(share, 0.0..=1_000.0, "shares of the requests"),
         work: work(&validator.field("work"), message.work.as_ref()),
         latency_objective: millis(latency_objective),
         timeout: millis(timeout),
-        priority_weight: validator.field("revenue").in_range(priority_weight, 0.0..=1e6, "of revenue"),
-        late_value: fraction("late_part", message.late_part, 0.0),
+        priority_weight: validator.field("revenue").in_range(priority_weight, 0.0..=1e6, "units of revenue"),
+        late_value: fraction("late_part", message.late_part, 0.0, "of the full value"),
         idempotency,
         deduplication_window: Span::from_secs(deduplication.in_range(
             deduplication_seconds,
             0.0..=600.0,
             "s",
         )),
-        min_admitted: fraction("floor", message.floor, DEFAULT_MIN_ADMITTED),
+        min_admitted: fraction("floor", message.floor, DEFAULT_MIN_ADMITTED, "of the requests"),
     }
 }
 
-/// A required time; the least allowed where it is missing.
+/// A required time in milliseconds. A missing one is reported and replaced by the lower bound; `what`
+/// describes it.
 fn required_ms(validator: &Validator, value: Option<f64>, least: f64, what: &str) -> f64 {
     if let Some(value) = value {
         return validator.in_range(value, least..=MAX_MS, "ms");
     }
-    validator.report(format!("is missing: {what}, in ms"));
+    validator.report(format!("is missing: {what}, {least} to {MAX_MS} ms"));
     least
 }
 
@@ -83,14 +84,14 @@
 
 fn work(validator: &Validator, message: Option<&proto::Work>) -> Work {
     let Some(message) = message else {
-        validator.report("is missing: what a txn costs, from_ms to to_ms");
+        validator.report("is missing: the work of a request, from_ms to to_ms");
         return Work { from: 1.0, to: 1.0, costly_share: 0.0, costly_from: 1.0, costly_to: 1.0 };
     };
     let from = least_work_ms(&validator.field("from_ms"), message.from_ms);
     let to = message.to_ms.unwrap_or(from);
     let to = validator.field("to_ms").in_range(to, from..=MAX_MS, "ms of work");
     let costly_share = message.costly_share.unwrap_or(0.0);
-    let costly_share = validator.field("costly_share").in_range(costly_share, 0.0..=1.0, "of the txns");
+    let costly_share = validator.field("costly_share").in_range(costly_share, 0.0..=1.0, "of the requests");
     let costly_from = message.costly_from.unwrap_or(1.0);
     let costly_from = validator.field("costly_from").in_range(costly_from, 1.0..=1_000.0, "times the work");
     let costly_to = message.costly_to.unwrap_or(costly_from);
@@ -102,6 +103,6 @@
     if let Some(value) = value {
         return validator.in_range(value, MIN_WORK_MS..=MAX_MS, "ms of work");
     }
-    validator.report("is missing: what a txn costs at least, in ms of work");
+    validator.report("is missing: the least work of a request, in ms");
     MIN_WORK_MS
 }
--- a/fleet/tests/descriptions.rs
+++ b/fleet/tests/descriptions.rs
@@ -1,4 +1,4 @@
-//! Descriptions of fleets, valid and invalid.
+//! Tests of the parsing and validation of fleet descriptions.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use otterwinch_fleet::model::Idempotency;
 use otterwinch_fleet::read;
 
-/// The errors of the small fleet's text with one piece replaced.
+/// The errors in the description of the small fleet after one replacement.
 fn errors_of_change(old: &str, new: &str) -> Vec<String> {
     let text = example("fleets/small.fleet");
     assert!(text.contains(old), "{old}");
@@ -103,5 +103,8 @@
     );
     let text = example("fleets/small.fleet").replace("count: 3", "count: 0");
     let errors = read("f", &text).unwrap_err().to_string();
-    assert!(errors.contains("no group has a node"), "{errors}");
+    assert!(
+        errors.contains("group: 'count' is 0 in every group: it must be above 0 in at least one"),
+        "{errors}"
+    );
 }
