--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
     /// The fraction of the full speed at the start.
-    pub initial_speed: f64,
+    pub initial_speed_fraction: f64,
     /// The time from the start to the full speed.
     pub duration: Span,
 }
@@ -114,13 +114,13 @@
     /// ```
     /// use otterwinch::time::Span;
     /// use otterwinch_fleet::model::WarmUp;
-    /// let warm_up = WarmUp { initial_speed: 0.25, duration: Span::from_secs(8.0) };
+    /// let warm_up = WarmUp { initial_speed_fraction: 0.25, duration: Span::from_secs(8.0) };
     /// assert_eq!(warm_up.speed_fraction(Span::from_secs(4.0)), 0.625);
     /// assert_eq!(warm_up.speed_fraction(Span::from_secs(60.0)), 1.0);
     /// ```
     pub fn speed_fraction(&self, age: Span) -> f64 {
         let progress = (age.as_secs() / self.duration.as_secs()).clamp(0.0, 1.0);
-        self.initial_speed + (1.0 - self.initial_speed) * progress
+        self.initial_speed_fraction + (1.0 - self.initial_speed_fraction) * progress
     }
 }
 
@@ -161,13 +161,13 @@
     /// The value of a request that is answered within the latency objective, relative to other classes.
     pub priority_weight: f64,
     /// The fraction of its value that a response has after the latency objective.
-    pub late_value: f64,
+    pub late_value_fraction: f64,
     /// Whether a request may run more than once, and so may be retried.
     pub idempotency: Idempotency,
     /// How long endpoints recognize a duplicate by its idempotency key.
     pub deduplication_window: Span,
     /// The minimum fraction of requests that is admitted at any load.
-    pub min_admitted: f64,
+    pub min_admitted_fraction: f64,
 }
 
 /// The distribution of a request's work, in seconds on a core of speed 1. It is uniform between two bounds;
--- a/fleet/src/validate/clients.rs
+++ b/fleet/src/validate/clients.rs
@@ -1,6 +1,6 @@
 //! Validates how clients retry and time out.
 
-use super::{millis, MAX_MS};
+use super::{span_from_millis, MAX_MS};
 use crate::model::Clients;
 use crate::proto;
 use otterwinch_textproto::Validator;
@@ -26,7 +26,7 @@
     let max_retries = message.again.unwrap_or(0);
     Clients {
         max_retries: validator.field("again").count_in_range(max_retries, 0..=MAX_RETRIES, "retries"),
-        retry_wait: (millis(shortest_wait), millis(longest_wait)),
+        retry_wait: (span_from_millis(shortest_wait), span_from_millis(longest_wait)),
         attempt_timeout_fraction: (least_fraction, greatest_fraction),
     }
 }
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -1,6 +1,6 @@
 //! Validates the proxies, the control plane and the channels between them.
 
-use super::{millis, MAX_MS};
+use super::{span_from_millis, MAX_MS};
 use crate::model::{ControlPlane, Proxies};
 use crate::proto;
 use otterwinch::time::Span;
@@ -33,7 +33,7 @@
     longest_warm_up: Span,
 ) -> ControlPlane {
     let time = |field: &str, value: Option<f64>, default: f64, bounds: RangeInclusive<f64>| {
-        millis(validator.field(field).in_range(value.unwrap_or(default), bounds, "ms"))
+        span_from_millis(validator.field(field).in_range(value.unwrap_or(default), bounds, "ms"))
     };
     let channel_rate = message.lines_per_s.unwrap_or(DEFAULT_LINES_PER_SECOND);
     let channel_rate = validator.field("lines_per_s").in_range(channel_rate, 10.0..=1e7, "lines per second");
--- a/fleet/src/validate/endpoint_groups.rs
+++ b/fleet/src/validate/endpoint_groups.rs
@@ -75,9 +75,9 @@
     let (from, over) = (validator.field("from"), validator.field("over_s"));
     from.required(message.from, "the fraction of the full speed at the start, 0.01 to 1");
     over.required(message.over_s, "the time from the start to the full speed, 0.1 to 3,600 s");
-    let initial_speed = reported_number(&from, message.from, 0.01..=1.0, "of the full speed");
+    let initial_speed_fraction = reported_number(&from, message.from, 0.01..=1.0, "of the full speed");
     let seconds = reported_number(&over, message.over_s, 0.1..=3_600.0, "s");
-    WarmUp { initial_speed, duration: Span::from_secs(seconds) }
+    WarmUp { initial_speed_fraction, duration: Span::from_secs(seconds) }
 }
 
 fn overload_collapse(validator: &Validator, message: &proto::Topples) -> OverloadCollapse {
--- a/fleet/src/validate/mod.rs
+++ b/fleet/src/validate/mod.rs
@@ -80,7 +80,7 @@
     }
 }
 
-fn millis(value: f64) -> Span {
+fn span_from_millis(value: f64) -> Span {
     Span::from_secs(value / 1e3)
 }
 
--- a/fleet/src/validate/network.rs
+++ b/fleet/src/validate/network.rs
@@ -1,6 +1,6 @@
 //! Validates the zones and the latencies between them.
 
-use super::{millis, normalize, MAX_PROXIES};
+use super::{normalize, span_from_millis, MAX_PROXIES};
 use crate::model::{Network, Zone};
 use crate::proto;
 use otterwinch::time::Span;
@@ -41,7 +41,11 @@
 
 pub(super) fn network(validator: &Validator, message: &proto::Network, zone_names: &[String]) -> Network {
     let latency = |field: &str, value: Option<f64>, default: f64| {
-        millis(validator.field(field).in_range(value.unwrap_or(default), 0.0..=MAX_LATENCY_MS, "ms"))
+        span_from_millis(validator.field(field).in_range(
+            value.unwrap_or(default),
+            0.0..=MAX_LATENCY_MS,
+            "ms",
+        ))
     };
     let client_latency = latency("client_ms", message.client_ms, DEFAULT_CLIENT_MS);
     let within = latency("within_hall_ms", message.within_hall_ms, DEFAULT_WITHIN_ZONE_MS);
@@ -68,7 +72,7 @@
     let latency = validator.field("one_way_ms");
     let millis_or_zero =
         latency.required(message.one_way_ms, "the one-way latency between these halls, in ms");
-    let span = millis(latency.in_range(millis_or_zero, 0.0..=MAX_LATENCY_MS, "ms"));
+    let span = span_from_millis(latency.in_range(millis_or_zero, 0.0..=MAX_LATENCY_MS, "ms"));
     if from < zone_names.len() && to < zone_names.len() {
         zone_latency[from][to] = span;
         zone_latency[to][from] = span;
--- a/fleet/src/validate/request_classes.rs
+++ b/fleet/src/validate/request_classes.rs
@@ -1,12 +1,12 @@
 //! Validates the request classes and their work.
 
-use super::{millis, normalize, MAX_MS};
+use super::{normalize, span_from_millis, MAX_MS};
 use crate::model::{Idempotency, RequestClass, Work};
 use crate::proto;
 use otterwinch::time::Span;
 use otterwinch_textproto::Validator;
 
-const DEFAULT_MIN_ADMITTED: f64 = 0.1;
+const DEFAULT_MIN_ADMITTED_FRACTION: f64 = 0.1;
 const MIN_WORK_MS: f64 = 0.01;
 
 pub(super) fn request_classes(validator: &Validator, messages: &[proto::Product]) -> Vec<RequestClass> {
@@ -46,17 +46,22 @@
         name: validator.field("name").identifier(&message.name),
         share: validator.field("share").in_range(share, 0.0..=1_000.0, "shares of the requests"),
         work: work(&validator.field("work"), message.work.as_ref()),
-        latency_objective: millis(latency_objective),
-        timeout: millis(timeout),
+        latency_objective: span_from_millis(latency_objective),
+        timeout: span_from_millis(timeout),
         priority_weight: validator.field("revenue").in_range(priority_weight, 0.0..=1e6, "units of revenue"),
-        late_value: fraction("late_part", message.late_part, 0.0, "of the full value"),
+        late_value_fraction: fraction("late_part", message.late_part, 0.0, "of the full value"),
         idempotency,
         deduplication_window: Span::from_secs(deduplication.in_range(
             deduplication_seconds,
             0.0..=600.0,
             "s",
         )),
-        min_admitted: fraction("floor", message.floor, DEFAULT_MIN_ADMITTED, "of the requests"),
+        min_admitted_fraction: fraction(
+            "floor",
+            message.floor,
+            DEFAULT_MIN_ADMITTED_FRACTION,
+            "of the requests",
+        ),
     }
 }
 
@@ -87,7 +92,7 @@
         validator.report("is missing: the work of a request, from_ms to to_ms");
         return Work { from: 1.0, to: 1.0, costly_share: 0.0, costly_from: 1.0, costly_to: 1.0 };
     };
-    let from = least_work_ms(&validator.field("from_ms"), message.from_ms);
+    let from = required_work_ms(&validator.field("from_ms"), message.from_ms);
     let to = message.to_ms.unwrap_or(from);
     let to = validator.field("to_ms").in_range(to, from..=MAX_MS, "ms of work");
     let costly_share = message.costly_share.unwrap_or(0.0);
@@ -99,7 +104,7 @@
     Work { from: from / 1e3, to: to / 1e3, costly_share, costly_from, costly_to }
 }
 
-fn least_work_ms(validator: &Validator, value: Option<f64>) -> f64 {
+fn required_work_ms(validator: &Validator, value: Option<f64>) -> f64 {
     if let Some(value) = value {
         return validator.in_range(value, MIN_WORK_MS..=MAX_MS, "ms of work");
     }
