--- a/fleet/src/validate/endpoint_groups.rs
+++ b/fleet/src/validate/endpoint_groups.rs
@@ -1,6 +1,6 @@
 //! Validates the endpoint groups.
 
-use super::{reported_number, required_count, MAX_ENDPOINTS};
+use super::{in_range_or_one, required_count, MAX_ENDPOINTS};
 use crate::model::{EndpointGroup, OverloadCollapse, Speed, WarmUp};
 use crate::proto;
 use otterwinch::time::Span;
@@ -75,8 +75,8 @@
     let (from, over) = (validator.field("from"), validator.field("over_s"));
     from.required(message.from, "the fraction of the full speed at the start, 0.01 to 1");
     over.required(message.over_s, "the time from the start to the full speed, 0.1 to 3,600 s");
-    let initial_speed_fraction = reported_number(&from, message.from, 0.01..=1.0, "of the full speed");
-    let seconds = reported_number(&over, message.over_s, 0.1..=3_600.0, "s");
+    let initial_speed_fraction = in_range_or_one(&from, message.from, 0.01..=1.0, "of the full speed");
+    let seconds = in_range_or_one(&over, message.over_s, 0.1..=3_600.0, "s");
     WarmUp { initial_speed_fraction, duration: Span::from_secs(seconds) }
 }
 
@@ -85,8 +85,8 @@
     multiple.required(message.multiple, "the multiple of the work that the endpoint can do, 1 to 100");
     over.required(message.over_s, "the window over which the offered work is counted, 0.1 to 60 s");
     let overload_factor =
-        reported_number(&multiple, message.multiple, 1.0..=100.0, "times the work that the endpoint can do");
-    let seconds = reported_number(&over, message.over_s, 0.1..=60.0, "s");
+        in_range_or_one(&multiple, message.multiple, 1.0..=100.0, "times the work that the endpoint can do");
+    let seconds = in_range_or_one(&over, message.over_s, 0.1..=60.0, "s");
     OverloadCollapse { overload_factor, window: Span::from_secs(seconds) }
 }
 
--- a/fleet/src/validate/load_profile.rs
+++ b/fleet/src/validate/load_profile.rs
@@ -1,6 +1,6 @@
 //! Load profiles.
 
-use super::reported_number;
+use super::in_range_or_one;
 use crate::load_profile::{Burst, IdempotencyKeys, LoadProfile, RateCurve};
 use crate::model::Fleet;
 use crate::proto;
@@ -94,7 +94,7 @@
     let costly_share = message.costly_share.unwrap_or(0.0);
     Burst {
         starts_at: validator.field("at_s").in_range(starts_at, 0.0..=DAY_SECONDS, "s"),
-        duration_seconds: reported_number(&duration, message.for_s, 0.01..=DAY_SECONDS, "s"),
+        duration_seconds: in_range_or_one(&duration, message.for_s, 0.01..=DAY_SECONDS, "s"),
         rate_factor: validator.field("times").in_range(rate_factor, 0.0..=1_000.0, "times the rate"),
         request_class: position("product", &message.product, class_names),
         zone: position("hall", &message.hall, zone_names),
--- a/fleet/src/validate/mod.rs
+++ b/fleet/src/validate/mod.rs
@@ -107,7 +107,7 @@
 }
 
 /// A number within bounds, or 1 if it is missing, which the caller has reported.
-fn reported_number(
+fn in_range_or_one(
     validator: &Validator,
     value: Option<f64>,
     bounds: RangeInclusive<f64>,
