--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -175,22 +175,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Work {
     /// The lower bound of the work.
-    pub from: f64,
+    pub min: f64,
     /// The upper bound of the work, without the factor.
-    pub to: f64,
+    pub max: f64,
     /// The fraction of requests whose work is multiplied by the factor.
     pub costly_share: f64,
     /// The lower bound of the factor.
-    pub costly_from: f64,
+    pub min_costly_factor: f64,
     /// The upper bound of the factor.
-    pub costly_to: f64,
+    pub max_costly_factor: f64,
 }
 
 impl Work {
     /// The first two moments of the distribution: the mean and the mean square.
     pub fn moments(&self) -> (f64, f64) {
-        let (base_mean, base_square) = uniform_moments(self.from, self.to);
-        let (factor_mean, factor_square) = uniform_moments(self.costly_from, self.costly_to);
+        let (base_mean, base_square) = uniform_moments(self.min, self.max);
+        let (factor_mean, factor_square) = uniform_moments(self.min_costly_factor, self.max_costly_factor);
         let plain_share = 1.0 - self.costly_share;
         (
             base_mean * (plain_share + self.costly_share * factor_mean),
--- a/fleet/src/sampling.rs
+++ b/fleet/src/sampling.rs
@@ -30,9 +30,9 @@
     let costly_sample = random.random::<f64>();
     let factor_sample = random.random::<f64>();
     let factor = if costly_sample < work.costly_share {
-        work.costly_from + (work.costly_to - work.costly_from) * factor_sample
+        work.min_costly_factor + (work.max_costly_factor - work.min_costly_factor) * factor_sample
     } else {
         1.0
     };
-    (work.from + (work.to - work.from) * base_sample) * factor
+    (work.min + (work.max - work.min) * base_sample) * factor
 }
--- a/fleet/src/validate/request_classes.rs
+++ b/fleet/src/validate/request_classes.rs
@@ -90,18 +90,31 @@
 fn work(validator: &Validator, message: Option<&proto::Work>) -> Work {
     let Some(message) = message else {
         validator.report("is missing: the work of a request, from_ms to to_ms");
-        return Work { from: 1.0, to: 1.0, costly_share: 0.0, costly_from: 1.0, costly_to: 1.0 };
+        return Work {
+            min: 1.0,
+            max: 1.0,
+            costly_share: 0.0,
+            min_costly_factor: 1.0,
+            max_costly_factor: 1.0,
+        };
     };
-    let from = required_work_ms(&validator.field("from_ms"), message.from_ms);
-    let to = message.to_ms.unwrap_or(from);
-    let to = validator.field("to_ms").in_range(to, from..=MAX_MS, "ms of work");
+    let min_ms = required_work_ms(&validator.field("from_ms"), message.from_ms);
+    let max_ms = message.to_ms.unwrap_or(min_ms);
+    let max_ms = validator.field("to_ms").in_range(max_ms, min_ms..=MAX_MS, "ms of work");
     let costly_share = message.costly_share.unwrap_or(0.0);
     let costly_share = validator.field("costly_share").in_range(costly_share, 0.0..=1.0, "of the requests");
-    let costly_from = message.costly_from.unwrap_or(1.0);
-    let costly_from = validator.field("costly_from").in_range(costly_from, 1.0..=1_000.0, "times the work");
-    let costly_to = message.costly_to.unwrap_or(costly_from);
-    let costly_to = validator.field("costly_to").in_range(costly_to, costly_from..=1_000.0, "times the work");
-    Work { from: from / 1e3, to: to / 1e3, costly_share, costly_from, costly_to }
+    let min_factor = message.costly_from.unwrap_or(1.0);
+    let min_factor = validator.field("costly_from").in_range(min_factor, 1.0..=1_000.0, "times the work");
+    let max_factor = message.costly_to.unwrap_or(min_factor);
+    let max_factor =
+        validator.field("costly_to").in_range(max_factor, min_factor..=1_000.0, "times the work");
+    Work {
+        min: min_ms / 1e3,
+        max: max_ms / 1e3,
+        costly_share,
+        min_costly_factor: min_factor,
+        max_costly_factor: max_factor,
+    }
 }
 
 fn required_work_ms(validator: &Validator, value: Option<f64>) -> f64 {
