--- a/emulator/src/control_plane_config/tests.rs
+++ b/emulator/src/control_plane_config/tests.rs
@@ -3,7 +3,8 @@
 
 fn small_fleet_config() -> Value {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/fleets/small.fleet");
-    let fleet = otterwinch_fleet::read("small.fleet", &std::fs::read_to_string(path).unwrap()).unwrap();
+    let fleet =
+        otterwinch_fleet::parse_fleet("small.fleet", &std::fs::read_to_string(path).unwrap()).unwrap();
     let config = ControlPlaneConfig {
         fleet: &fleet,
         name: "supervisor-0",
--- a/emulator/tests/testbed.rs
+++ b/emulator/tests/testbed.rs
@@ -4,7 +4,7 @@
 use otterwinch_emulator::{run_on_paused_clock, Network, TableSource, Testbed, TestbedResult};
 use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::{read_load_profile, ScheduledRequest};
+use otterwinch_fleet::{parse_load_profile, ScheduledRequest};
 use otterwinch_simulation::{
     simulate, Fault, LiftedLimits, ScheduledFault, SimulationPlan, SimulationResult,
     TableSource as SimulatedTableSource,
@@ -31,11 +31,11 @@
         assert!(text.contains(old), "{old}");
         text = text.replace(old, new);
     }
-    otterwinch_fleet::read("small.fleet", &text).unwrap()
+    otterwinch_fleet::parse_fleet("small.fleet", &text).unwrap()
 }
 
 fn load(fleet: &Fleet, profile: &str) -> Vec<ScheduledRequest> {
-    let profile = read_load_profile("profile", profile, fleet).unwrap();
+    let profile = parse_load_profile("profile", profile, fleet).unwrap();
     LoadGenerator::new(fleet, &profile, LOAD_SEED).requests().collect()
 }
 
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,7 +1,7 @@
 //! Parses and validates descriptions of fleets and their load, so that other packages only handle valid
 //! values.
 //!
-//! [`read`] turns the text of a description into a [`Fleet`] or reports all errors in it. `proto/` contains
+//! [`parse_fleet`] turns the text of a description into a [`Fleet`] or reports all errors in it. `proto/` contains
 //! the protobuf schemas, `parse.rs` parses the text format, and `validate/` validates the values and maps the
 //! names of the schemas to those of `model.rs`.
 //!
@@ -24,7 +24,7 @@
 pub use load::ScheduledRequest;
 pub use load_summary::{LoadSummary, SecondTotals};
 pub use model::Fleet;
-pub use parse::{read, read_load_profile};
+pub use parse::{parse_fleet, parse_load_profile};
 
 /// Types that prost generates from the protobuf schemas.
 mod proto {
--- a/fleet/src/parse.rs
+++ b/fleet/src/parse.rs
@@ -22,10 +22,10 @@
 /// errors.
 ///
 /// ```
-/// let errors = otterwinch_fleet::read("f", "name: 'a b'\nhals {}").unwrap_err();
+/// let errors = otterwinch_fleet::parse_fleet("f", "name: 'a b'\nhals {}").unwrap_err();
 /// assert_eq!(errors.to_string(), "f:2: there is no field 'hals' here; did you mean 'hall'?");
 /// ```
-pub fn read(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
+pub fn parse_fleet(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
     let schema = message_schema("Fleet");
     let (message, source) = otterwinch_textproto::parse::<proto::Fleet>(file, text, &schema)?;
     Validator::validate(&source, |validator| validate::fleet(validator, &message))
@@ -33,7 +33,7 @@
 
 /// Parses and validates a load profile for a fleet and reports all errors in it. `file` is the file name in
 /// the errors.
-pub fn read_load_profile(file: &str, text: &str, fleet: &Fleet) -> Result<LoadProfile, Diagnostics> {
+pub fn parse_load_profile(file: &str, text: &str, fleet: &Fleet) -> Result<LoadProfile, Diagnostics> {
     let schema = message_schema("Make");
     let (message, source) = otterwinch_textproto::parse::<proto::Make>(file, text, &schema)?;
     Validator::validate(&source, |validator| validate::load_profile(validator, &message, fleet))
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The example files that tests read.
 
-use otterwinch_fleet::{read, Fleet};
+use otterwinch_fleet::{parse_fleet, Fleet};
 
 /// The text of an example.
 pub fn example(name: &str) -> String {
@@ -9,5 +9,5 @@
 
 /// The small example fleet.
 pub fn small_fleet() -> Fleet {
-    read("small.fleet", &example("fleets/small.fleet")).unwrap()
+    parse_fleet("small.fleet", &example("fleets/small.fleet")).unwrap()
 }
--- a/fleet/tests/descriptions.rs
+++ b/fleet/tests/descriptions.rs
@@ -4,13 +4,13 @@
 
 use common::{example, small_fleet};
 use otterwinch_fleet::model::Idempotency;
-use otterwinch_fleet::read;
+use otterwinch_fleet::parse_fleet;
 
 /// The errors in the description of the small fleet after one replacement.
 fn errors_of_change(old: &str, new: &str) -> Vec<String> {
     let text = example("fleets/small.fleet");
     assert!(text.contains(old), "{old}");
-    let diagnostics = read("f", &text.replacen(old, new, 1)).unwrap_err();
+    let diagnostics = parse_fleet("f", &text.replacen(old, new, 1)).unwrap_err();
     diagnostics.to_string().lines().map(str::to_owned).collect()
 }
 
@@ -19,7 +19,8 @@
     for entry in std::fs::read_dir(format!("{}/../examples/fleets", env!("CARGO_MANIFEST_DIR"))).unwrap() {
         let path = entry.unwrap().path();
         let text = std::fs::read_to_string(&path).unwrap();
-        let fleet = read(&path.display().to_string(), &text).unwrap_or_else(|errors| panic!("{errors}"));
+        let fleet =
+            parse_fleet(&path.display().to_string(), &text).unwrap_or_else(|errors| panic!("{errors}"));
         assert!(fleet.capacity() > 0.0);
     }
 }
@@ -76,7 +77,7 @@
 #[test]
 fn errors_of_several_fields_are_reported_in_the_order_of_their_lines() {
     let text = "name: 'x'\nhall { name: 'a' }\ngroup { name: 'g' hall: 'b' cores: 1 }\nproduct { name: 'p' }";
-    let errors = read("f", text).unwrap_err().to_string();
+    let errors = parse_fleet("f", text).unwrap_err().to_string();
     let lines: Vec<&str> = errors.lines().collect();
     let expected = [
         "f:2: hall[0].forwarders: is missing",
@@ -102,7 +103,7 @@
         "{errors:?}"
     );
     let text = example("fleets/small.fleet").replace("count: 3", "count: 0");
-    let errors = read("f", &text).unwrap_err().to_string();
+    let errors = parse_fleet("f", &text).unwrap_err().to_string();
     assert!(
         errors.contains("group: 'count' is 0 in every group: it must be above 0 in at least one"),
         "{errors}"
--- a/fleet/tests/load_profiles.rs
+++ b/fleet/tests/load_profiles.rs
@@ -4,13 +4,13 @@
 
 use common::{example, small_fleet};
 use otterwinch_fleet::load_profile::LoadGenerator;
-use otterwinch_fleet::read_load_profile;
+use otterwinch_fleet::parse_load_profile;
 use otterwinch_traffic_capture::RequestRecord;
 
 #[test]
 fn a_profile_generates_the_same_load_from_the_same_seed() {
     let fleet = small_fleet();
-    let profile = read_load_profile("m", &example("loads/minute.make"), &fleet).unwrap();
+    let profile = parse_load_profile("m", &example("loads/minute.make"), &fleet).unwrap();
     let generate = |seed| LoadGenerator::new(&fleet, &profile, seed).collect::<Vec<RequestRecord>>();
     let requests = generate(3);
     assert_eq!(requests, generate(3));
@@ -28,7 +28,7 @@
 #[test]
 fn a_profile_that_names_an_unknown_class_is_refused() {
     let text = "for_s: 5 txns_per_s: 3\nburst { at_s: 1 for_s: 2 product: 'ferry' }";
-    let errors = read_load_profile("m", text, &small_fleet()).unwrap_err().to_string();
+    let errors = parse_load_profile("m", text, &small_fleet()).unwrap_err().to_string();
     let expected = "there is no product 'ferry'; there are: fare-quote, seat-hold, ticket-issue";
     assert_eq!(errors, format!("m:2: burst[0].product: {expected}"));
 }
--- a/simulation/tests/simulate.rs
+++ b/simulation/tests/simulate.rs
@@ -2,7 +2,7 @@
 
 use otterwinch_fleet::load_profile::LoadGenerator;
 use otterwinch_fleet::model::Fleet;
-use otterwinch_fleet::{read_load_profile, ScheduledRequest};
+use otterwinch_fleet::{parse_load_profile, ScheduledRequest};
 use otterwinch_simulation::{simulate, Fault, LiftedLimits, SimulationPlan, SimulationResult, TableSource};
 
 fn example(name: &str) -> String {
@@ -17,7 +17,7 @@
         assert!(text.contains(old), "{old}");
         text = text.replace(old, new);
     }
-    otterwinch_fleet::read("small.fleet", &text).unwrap_or_else(|errors| panic!("{errors}"))
+    otterwinch_fleet::parse_fleet("small.fleet", &text).unwrap_or_else(|errors| panic!("{errors}"))
 }
 
 fn plan(fleet: &Fleet) -> SimulationPlan<'_> {
@@ -31,7 +31,7 @@
 }
 
 fn load(fleet: &Fleet, profile: &str) -> Vec<ScheduledRequest> {
-    let profile = read_load_profile("profile", profile, fleet).unwrap_or_else(|errors| panic!("{errors}"));
+    let profile = parse_load_profile("profile", profile, fleet).unwrap_or_else(|errors| panic!("{errors}"));
     LoadGenerator::new(fleet, &profile, 3).requests().collect()
 }
 
@@ -88,7 +88,7 @@
     let text = "name: 'one' hall { name: 'h' forwarders: 1 } network { client_ms: 0 within_hall_ms: 0 }
         group { name: 'g' hall: 'h' count: 1 cores: 1 waiting: 10000 }
         product { name: 'p' work { from_ms: 50 to_ms: 150 } sla_ms: 600000 expiry_ms: 600000 repeats: INQUIRY_LIKE }";
-    let fleet = otterwinch_fleet::read("one", text).unwrap();
+    let fleet = otterwinch_fleet::parse_fleet("one", text).unwrap();
     let table_source = TableSource::Fixed { weights: vec![vec![1.0]], admitted: vec![1.0] };
     let result = simulated(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 40000 txns_per_s: 7");
     let (rate, (work, square)) = (7.0, fleet.request_classes[0].work.moments());
