--- a/fleet/src/captured_load/mod.rs
+++ b/fleet/src/captured_load/mod.rs
@@ -67,8 +67,8 @@
         let reader = Reader::open(source)?;
         let header = reader.header().clone();
         let class_names = header.request_classes.iter();
-        let request_classes: Vec<_> = class_names.map(|name| fleet.request_class(name)).collect();
-        let zones: Vec<_> = header.zones.iter().map(|name| fleet.zone(name)).collect();
+        let request_classes: Vec<_> = class_names.map(|name| fleet.request_class_index(name)).collect();
+        let zones: Vec<_> = header.zones.iter().map(|name| fleet.zone_index(name)).collect();
         if request_classes.iter().all(Option::is_none) {
             let names = header.request_classes.join(", ");
             return Err(CapturedLoadError::NoKnownRequestClass { names });
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -284,17 +284,17 @@
     }
 
     /// The index of the zone with this name.
-    pub fn zone(&self, name: &str) -> Option<usize> {
+    pub fn zone_index(&self, name: &str) -> Option<usize> {
         self.zones.iter().position(|zone| zone.name == name)
     }
 
     /// The index of the request class with this name.
-    pub fn request_class(&self, name: &str) -> Option<usize> {
+    pub fn request_class_index(&self, name: &str) -> Option<usize> {
         self.request_classes.iter().position(|class| class.name == name)
     }
 
     /// The index of the endpoint group with this name.
-    pub fn group(&self, name: &str) -> Option<usize> {
+    pub fn group_index(&self, name: &str) -> Option<usize> {
         self.groups.iter().position(|group| group.name == name)
     }
 
