--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -55,7 +55,7 @@
     }
 
     fn own_proxies(&self) -> impl Iterator<Item = &Proxy> {
-        let instances = self.fleet.control_plane.instances;
+        let instances = self.fleet.control_plane.instance_count;
         self.proxies.iter().filter(move |proxy| proxy.instance(instances) == self.instance)
     }
 
--- a/emulator/src/control_plane_config.rs
+++ b/emulator/src/control_plane_config.rs
@@ -58,7 +58,7 @@
             "drainGraceUs": control_plane.drain_grace.as_us(),
             "coldUs": control_plane.slow_start_window.as_us(),
         },
-        "replicasOfMe": control_plane.instances,
+        "replicasOfMe": control_plane.instance_count,
     })
 }
 
--- a/emulator/src/testbed/instance.rs
+++ b/emulator/src/testbed/instance.rs
@@ -77,7 +77,7 @@
         table_source: &TableSource,
     ) -> Result<Vec<Instance>, TestbedError> {
         let mut instances = Vec::new();
-        for index in 0..self.fleet.control_plane.instances {
+        for index in 0..self.fleet.control_plane.instance_count {
             let (channel, acknowledgements) = self.open_channel();
             let instance = match table_source {
                 TableSource::Fixed { .. } => break,
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -233,7 +233,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlPlane {
     /// The number of instances, among which the proxies are divided.
-    pub instances: u32,
+    pub instance_count: u32,
     /// The interval between load reports.
     pub report_interval: Span,
     /// The delay of a load report.
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -41,9 +41,9 @@
     let max_queued_lines = message.most_waiting.unwrap_or(channel_rate);
     let overhead_lines = message.head_lines.unwrap_or(DEFAULT_OVERHEAD_LINES);
     let slow_start_seconds = message.cold_for_s.unwrap_or(longest_warm_up.as_secs());
-    let instances = message.count.unwrap_or(1);
+    let instance_count = message.count.unwrap_or(1);
     ControlPlane {
-        instances: validator.field("count").count_in_range(instances, 1..=64, "supervisors"),
+        instance_count: validator.field("count").count_in_range(instance_count, 1..=64, "supervisors"),
         report_interval: time("report_every_ms", message.report_every_ms, 1_000.0, 100.0..=60_000.0),
         report_delay: time("report_late_ms", message.report_late_ms, 500.0, 0.0..=MAX_MESSAGE_DELAY_MS),
         endpoint_list_delay: time("list_late_ms", message.list_late_ms, 2_000.0, 0.0..=MAX_MS),
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -94,7 +94,7 @@
                 let table = table.unwrap_or_else(|| initial_table(&initial_endpoints, fleet));
                 let instance = match table_source {
                     TableSource::Fixed { .. } => None,
-                    TableSource::Controller => Some(number % fleet.control_plane.instances),
+                    TableSource::Controller => Some(number % fleet.control_plane.instance_count),
                 };
                 self.live_proxies[zone].push(number);
                 self.proxies.push(Proxy::new(zone, instance, initial_endpoints, table));
@@ -108,7 +108,7 @@
         let ids = self.endpoints.iter().map(|endpoint| endpoint.id.clone());
         let endpoint_indices: Rc<FxHashMap<EndpointId, u32>> = Rc::new(ids.zip(0..).collect());
         let endpoint_list: Vec<EndpointUpdate> = self.endpoints.iter().map(list_entry).collect();
-        for number in 0..fleet.control_plane.instances {
+        for number in 0..fleet.control_plane.instance_count {
             let seed = xxh3_64_with_seed(&number.to_le_bytes(), self.seed);
             let host = SimulatedHost::new(endpoint_indices.clone());
             let mut controller = Controller::start(host, controller_config(fleet), seed, moment(0));
