--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,9 +1,9 @@
 //! Parses and validates descriptions of fleets and their load, so that other packages only handle valid
 //! values.
 //!
-//! [`parse_fleet`] turns the text of a description into a [`Fleet`] or reports all errors in it. `proto/` contains
-//! the protobuf schemas, `parse.rs` parses the text format, and `validate/` validates the values and maps the
-//! names of the schemas to those of `model.rs`.
+//! [`parse_fleet`] turns the text of a description into a [`Fleet`] or reports all errors in it. `proto/`
+//! contains the protobuf schemas, `parse.rs` parses the text format, and `validate/` validates the values and
+//! maps the names of the schemas to those of `model.rs`.
 //!
 //! Load is a sequence of [`ScheduledRequest`]s: [`CapturedLoad`] reads them from a capture, [`load_profile`]
 //! generates them, [`scale`] changes their rate, and [`import`] converts the logs of other programs to a
