--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -74,7 +74,7 @@
     pub overload_collapse: Option<OverloadCollapse>,
     /// Whether an endpoint finishes a request that it has started when the client has stopped waiting for it.
     /// A queued request is dropped in either case.
-    pub finishes_abandoned: bool,
+    pub finishes_abandoned_requests: bool,
     /// The uptime of the endpoints when the load begins; `None` if it is long enough for them to be warm.
     pub uptime: Option<Span>,
 }
@@ -222,7 +222,7 @@
     pub idle_timeout: Span,
     /// Whether a proxy retries an attempt that is known not to have been executed, until the control plane
     /// sets another retry policy.
-    pub retries_unexecuted: bool,
+    pub retries_unexecuted_attempts: bool,
     /// How long a proxy pauses per line of a message that it applies.
     pub apply_time_per_line: Span,
     /// The number of endpoints, all of its own zone, in the initial table of a proxy.
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -21,7 +21,7 @@
     let table_size = message.standing.unwrap_or(DEFAULT_INITIAL_TABLE_SIZE);
     Proxies {
         idle_timeout: Span::from_secs(idle_seconds),
-        retries_unexecuted: message.again() != proto::Again::Never,
+        retries_unexecuted_attempts: message.again() != proto::Again::Never,
         apply_time_per_line: Span::from_secs(line_us / 1e6),
         initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "endpoints"),
     }
--- a/fleet/src/validate/endpoint_groups.rs
+++ b/fleet/src/validate/endpoint_groups.rs
@@ -66,7 +66,7 @@
         connection_work: connection_ms / 1e3,
         warm_up,
         overload_collapse,
-        finishes_abandoned: message.works_on,
+        finishes_abandoned_requests: message.works_on,
         uptime,
     }
 }
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -95,7 +95,7 @@
             hangs: false,
             open_connections: 0,
             connection_work: group.connection_work,
-            finishes_abandoned: group.finishes_abandoned,
+            finishes_abandoned: group.finishes_abandoned_requests,
             cores: group.cores,
             accepted: 0,
             rejected: 0,
