--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -1,6 +1,6 @@
-//! Proxies, the control plane, and the channel between them.
+//! Validates the proxies, the control plane and the channels between them.
 
-use super::{millis, MAX_MS};
+use super::{span_from_millis, MAX_MS};
 use crate::model::{ControlPlane, Proxies};
 use crate::proto;
 use otterwinch::time::Span;
@@ -21,9 +21,9 @@
     let table_size = message.standing.unwrap_or(DEFAULT_INITIAL_TABLE_SIZE);
     Proxies {
         idle_timeout: Span::from_secs(idle_seconds),
-        retries_unexecuted: message.again() != proto::Again::Never,
+        retries_unexecuted_attempts: message.again() != proto::Again::Never,
         apply_time_per_line: Span::from_secs(line_us / 1e6),
-        initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "nodes"),
+        initial_table_size: validator.field("standing").count_in_range(table_size, 1..=1_000, "endpoints"),
     }
 }
 
@@ -33,17 +33,17 @@
     longest_warm_up: Span,
 ) -> ControlPlane {
     let time = |field: &str, value: Option<f64>, default: f64, bounds: RangeInclusive<f64>| {
-        millis(validator.field(field).in_range(value.unwrap_or(default), bounds, "ms"))
+        span_from_millis(validator.field(field).in_range(value.unwrap_or(default), bounds, "ms"))
     };
     let channel_rate = message.lines_per_s.unwrap_or(DEFAULT_LINES_PER_SECOND);
-    let channel_rate = validator.field("lines_per_s").in_range(channel_rate, 10.0..=1e7, "lines a second");
-    // What the channel sends in a second, unless the description says otherwise.
+    let channel_rate = validator.field("lines_per_s").in_range(channel_rate, 10.0..=1e7, "lines per second");
+    // By default, as many lines may be queued as the channel sends in a second.
     let max_queued_lines = message.most_waiting.unwrap_or(channel_rate);
     let overhead_lines = message.head_lines.unwrap_or(DEFAULT_OVERHEAD_LINES);
     let slow_start_seconds = message.cold_for_s.unwrap_or(longest_warm_up.as_secs());
-    let instances = message.count.unwrap_or(1);
+    let instance_count = message.count.unwrap_or(1);
     ControlPlane {
-        instances: validator.field("count").count_in_range(instances, 1..=64, "supervisors"),
+        instance_count: validator.field("count").count_in_range(instance_count, 1..=64, "supervisors"),
         report_interval: time("report_every_ms", message.report_every_ms, 1_000.0, 100.0..=60_000.0),
         report_delay: time("report_late_ms", message.report_late_ms, 500.0, 0.0..=MAX_MESSAGE_DELAY_MS),
         endpoint_list_delay: time("list_late_ms", message.list_late_ms, 2_000.0, 0.0..=MAX_MS),
