--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -140,7 +140,7 @@
         proxy: u32,
         /// The position of the proxy's zone in the configuration.
         zone: u32,
-        /// Whether the proxy has just started, so that it still holds its initial table.
+        /// Whether the proxy has just started, so that it holds only the initial table that it selected itself.
         has_initial_table: bool,
         /// The proxy's usual rate, in requests per second.
         rate: f64,
@@ -182,7 +182,7 @@
         /// The shard's number.
         shard: u32,
     },
-    /// A weight that was already published for an assigned shard.
+    /// A weight that was already published for a newly assigned shard.
     ShardWeightRestored {
         /// The shard's number.
         shard: u32,
@@ -191,7 +191,7 @@
         /// The published weight.
         weight: f64,
     },
-    /// A proxy acknowledged commands.
+    /// A proxy acknowledged that it applied all commands up to an acknowledgement request.
     Acknowledged {
         /// The number of the acknowledgement request.
         number: u32,
