--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -140,7 +140,7 @@
         proxy: u32,
         /// The position of the proxy's zone in the configuration.
         zone: u32,
-        /// Whether the proxy has just started, so that it holds only the initial table that it selected itself.
+        /// Whether the proxy has just started and holds only the initial table that it selected itself.
         has_initial_table: bool,
         /// The proxy's usual rate, in requests per second.
         rate: f64,
