--- a/fleet/src/captured_load/findings.rs
+++ b/fleet/src/captured_load/findings.rs
@@ -1,47 +1,49 @@
-//! What is unusual about a captured load.
+//! Statistics and anomalies of a captured load.
 
 use otterwinch_traffic_capture::Corruption;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Findings of one kind that are printed in full.
+/// The maximum number of findings of one kind that are printed.
 const MAX_PRINTED: usize = 20;
 
-/// What a capture turned out to hold.
+/// What was read from a capture, left out of it or corrected in it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadFindings {
-    /// Requests that the load has.
+    /// The number of requests in the load.
     pub requests: u64,
-    /// Retries, which are left out: the fleet's clients make their own.
+    /// Captured retries. They are left out because the fleet's clients generate their own retries.
     pub retries: u64,
-    /// Requests whose work was drawn at random, since the capture doesn't know it.
+    /// Requests whose work was sampled from the request class because the capture doesn't contain it.
     pub sampled_work: u64,
-    /// Requests that only reports tell of, spread over the intervals of the reports.
+    /// Requests that only load reports count. They are spread over the intervals of the reports.
     pub spread_from_reports: u64,
-    /// Records that were written after later ones.
+    /// Records that were written after records with a later time.
     pub reordered: u64,
-    /// Where the clock of the capture was set back.
+    /// The places where the clock of the capture was set back.
     pub clock_steps: Vec<ClockStep>,
-    /// Times in which nothing was captured.
+    /// Unusually long periods without a request.
     pub gaps: Vec<Gap>,
-    /// Parts of the capture that can't be read.
+    /// Parts of the capture that are unreadable.
     pub corruption: Vec<Corruption>,
-    /// Requests that are left out because the fleet doesn't know their class or zone, by its name.
+    /// The number of requests left out because the fleet lacks their class or zone, by the name of that class
+    /// or zone.
     pub unknown: BTreeMap<String, u64>,
-    /// When the last request is due, in seconds.
+    /// The time of the last request, in seconds since the load began.
     pub last_at: f64,
 }
 
-/// A step back of the capture's clock. What follows it is moved up.
+/// A point where the capture's clock was set back. The times of all later records are shifted forward by the
+/// step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockStep {
-    /// When, in seconds.
+    /// The time just before the step, in seconds.
     pub at: f64,
-    /// By how much, in seconds.
+    /// The size of the step, in seconds.
     pub by: f64,
 }
 
-/// A time in which nothing was captured, in seconds.
+/// An unusually long period without a request, in seconds since the load began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gap {
     /// The time of the last request before it.
@@ -60,22 +62,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} txns over {:.1} s", self.requests, self.last_at)?;
         let counts = [
-            (self.retries, "repeats left out: the fleet's clients come again by themselves"),
-            (self.sampled_work, "without a known cost: drawn from the product's"),
-            (self.spread_from_reports, "known by sums only: spread evenly over their intervals"),
-            (self.reordered, "put back in order"),
+            (self.retries, "retries left out: the fleet's clients generate their own"),
+            (self.sampled_work, "without known work: sampled from the distribution of the product"),
+            (
+                self.spread_from_reports,
+                "known from load reports only: spread at random over the report intervals",
+            ),
+            (self.reordered, "captured out of order: sorted by time"),
         ];
         for (count, what) in counts.iter().filter(|(count, _)| *count > 0) {
             write!(f, "; {count} {what}")?;
         }
         for (name, count) in &self.unknown {
-            write!(f, "; {count} of '{name}', which the fleet does not know, left out")?;
+            write!(f, "; {count} of '{name}' left out: the fleet has no such name")?;
         }
         for ClockStep { at, by } in self.clock_steps.iter().take(MAX_PRINTED) {
-            write!(f, "; the clock steps back by {by:.1} s at {at:.1} s: what follows is moved up")?;
+            write!(f, "; the clock was set back by {by:.1} s at {at:.1} s: later times are shifted forward")?;
         }
         for Gap { from, to } in self.gaps.iter().take(MAX_PRINTED) {
-            write!(f, "; nothing came from {from:.1} to {to:.1} s")?;
+            write!(f, "; no requests from {from:.1} to {to:.1} s")?;
         }
         for corruption in self.corruption.iter().take(MAX_PRINTED) {
             write!(f, "; {corruption}")?;
--- a/fleet/src/captured_load/gaps.rs
+++ b/fleet/src/captured_load/gaps.rs
@@ -1,25 +1,27 @@
-//! Recognizes times in which a capture has nothing though it should.
+//! Detects unusually long periods without requests in a capture.
 
 use super::findings::Gap;
 
-/// A gap lasts longer than this, and longer than this many times the mean time between requests.
+/// A gap lasts longer than this.
 const MIN_GAP_SECONDS: f64 = 1.0;
+/// A gap also lasts longer than this many times the mean time between requests.
 const MIN_GAP_MEANS: f64 = 200.0;
-/// Requests before which the mean is not known well enough.
+/// No gap is reported until more than this many requests have been seen: the mean is not reliable before.
 const MIN_REQUESTS: u64 = 100;
-/// The number of requests over which the mean is taken.
+/// The mean is a cumulative average up to this many requests, and an exponential moving average after that
+/// with the inverse of this number as its weight.
 const MEAN_REQUESTS: f64 = 1_000.0;
 
-/// Watches the times between requests.
+/// Detects gaps from the times between requests.
 #[derive(Default)]
 pub(super) struct GapDetector {
     previous_at: Option<f64>,
-    /// The moving mean of the time between requests, without gaps.
+    /// The moving average of the time between requests, gaps excluded.
     mean_seconds: f64,
 }
 
 impl GapDetector {
-    /// Observes a request after so many others; returns the gap before it, if there is one.
+    /// Observes the next request, which `requests_before` others precede; returns the gap before it, if any.
     pub(super) fn observe(&mut self, at: f64, requests_before: u64) -> Option<Gap> {
         let seconds = at - self.previous_at.unwrap_or(at);
         self.previous_at = Some(at);
--- a/fleet/src/captured_load/mod.rs
+++ b/fleet/src/captured_load/mod.rs
@@ -1,5 +1,6 @@
-//! Captured load made ready for a fleet: its names are looked up in the fleet, its clock is made to go forward, and what
-//! is unusual about it is reported. Requests are read one block at a time, so that memory doesn't grow with the capture.
+//! Prepares captured load for a fleet: maps the names of request classes and zones to the fleet's indices,
+//! sorts records by time, corrects clock steps and reports anomalies. The capture is read one block at a
+//! time, so memory usage doesn't grow with its size.
 
 mod findings;
 mod gaps;
@@ -19,25 +20,25 @@
 use reorder::{Arrival, Reorderer};
 use std::io::Read;
 
-/// The most requests that one report is spread into.
+/// The most requests that are generated from one report.
 const MAX_REQUESTS_PER_REPORT: u64 = 1_000_000;
 
-/// Why captured load can't be used.
+/// The reason why a capture can't be used as load.
 #[derive(Debug, thiserror::Error)]
 pub enum CapturedLoadError {
-    /// The capture can't be opened.
+    /// The capture could not be opened.
     #[error(transparent)]
     Capture(#[from] OpenError),
-    /// The fleet has none of the request classes of the capture.
-    #[error("the fleet knows no product of this load ({names}); name them alike")]
+    /// The fleet has none of the capture's request classes.
+    #[error("no product of this load ({names}) is in the fleet; their names must match")]
     NoKnownRequestClass {
-        /// The capture's names.
+        /// The names of the capture's request classes.
         names: String,
     },
-    /// The fleet has none of the zones of the capture.
-    #[error("the fleet knows no hall of this load ({names}); name them alike")]
+    /// The fleet has none of the capture's zones.
+    #[error("no hall of this load ({names}) is in the fleet; their names must match")]
     NoKnownZone {
-        /// The capture's names.
+        /// The names of the capture's zones.
         names: String,
     },
 }
@@ -47,22 +48,22 @@
     fleet: &'a Fleet,
     reader: Reader<R>,
     header: CaptureHeader,
-    /// The fleet's index of each request class of the capture.
+    /// The index in the fleet of each request class of the capture; `None` where the fleet lacks it.
     request_classes: Vec<Option<usize>>,
-    /// The fleet's index of each zone of the capture.
+    /// The index in the fleet of each zone of the capture; `None` where the fleet lacks it.
     zones: Vec<Option<usize>>,
     reorderer: Reorderer,
     gaps: GapDetector,
-    /// Random numbers for work that the capture doesn't know.
+    /// Samples the work of requests for which the capture has none.
     work: Pcg64Mcg,
-    /// Random numbers for the times of requests that only reports tell of.
+    /// Samples the times of requests that only load reports count.
     spread: Pcg64Mcg,
     findings: LoadFindings,
     finished: bool,
 }
 
 impl<'a, R: Read> CapturedLoad<'a, R> {
-    /// Opens a capture for a fleet.
+    /// Opens a capture for a fleet. The seed determines all sampled values.
     pub fn open(source: R, fleet: &'a Fleet, seed: u64) -> Result<Self, CapturedLoadError> {
         let reader = Reader::open(source)?;
         let header = reader.header().clone();
@@ -91,12 +92,12 @@
         })
     }
 
-    /// What was found so far; all of it once the load has ended.
+    /// The findings so far. They are complete once the iterator is exhausted.
     pub fn findings(&self) -> &LoadFindings {
         &self.findings
     }
 
-    /// Reads on until no later record can come before the earliest that is held.
+    /// Reads until the earliest buffered record is final or the capture ends.
     fn read_until_settled(&mut self) {
         while !self.finished && !self.reorderer.is_settled() {
             match self.reader.next() {
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Adds the requests that a report counts, at random times within its interval.
+    /// Adds the requests that a report counts, at uniformly random times within its interval.
     fn spread_demand(&mut self, demand: &Demand) {
         let fleet_zone = self.zone_of_proxy(demand.proxy);
         let zone = self.zones.iter().position(|zone| *zone == fleet_zone).unwrap_or(0) as u32;
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The zone of a proxy: proxies are numbered zone by zone, in the fleet's order.
+    /// The zone of a proxy. Proxies are numbered zone by zone, in the fleet's order.
     fn zone_of_proxy(&self, proxy: u32) -> Option<usize> {
         let mut end = 0;
         self.fleet.zones.iter().position(|zone| {
@@ -154,7 +155,7 @@
         })
     }
 
-    /// The request of a record; `None` for one that is left out.
+    /// Converts a record into a request of the fleet; `None` for a record that is left out.
     fn schedule(&mut self, record: RequestRecord) -> Option<ScheduledRequest> {
         if record.attempt > 0 {
             self.findings.retries += 1;
--- a/fleet/src/captured_load/reorder.rs
+++ b/fleet/src/captured_load/reorder.rs
@@ -1,36 +1,37 @@
-//! Puts records that were written late back in order, and recognizes where the capture's clock was set back.
+//! Sorts records that were written late by time, and detects where the capture's clock was set back.
 
 use super::findings::ClockStep;
 use otterwinch_traffic_capture::RequestRecord;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A record up to this much older than the latest was written late; beyond that the clock was set back.
+/// The longest time by which a record may be older than the latest one and still count as written late. A
+/// greater difference means that the clock was set back.
 const MAX_LATENESS_US: i64 = 2_000_000;
 
-/// How a record stands to those before it.
+/// The order of a record relative to the earlier ones of the capture.
 pub(super) enum Arrival {
     InOrder,
-    /// It was written late.
+    /// The record is older than an earlier one: it was written late.
     OutOfOrder,
-    /// The clock was set back before it.
+    /// The clock was set back before this record.
     ClockStep(ClockStep),
 }
 
-/// Holds records until no later one can come before them.
+/// Buffers records until no record that is still to come can precede them.
 #[derive(Default)]
 pub(super) struct Reorderer {
     held: BinaryHeap<Held>,
-    /// Counts the records.
+    /// The sequence number of the latest record.
     sequence: u64,
-    /// The latest time so far.
+    /// The latest time so far, corrected for clock steps.
     latest_us: Option<i64>,
-    /// The sum of all steps of the clock, by which later records are moved.
+    /// The sum of all clock steps so far, which is added to the time of each further record.
     shift_us: i64,
 }
 
 impl Reorderer {
-    /// Adds the next record of the capture.
+    /// Adds the next record of the capture, and corrects its time for clock steps.
     pub(super) fn add(&mut self, record: RequestRecord) -> Arrival {
         let mut at_us = record.at_us.saturating_add(self.shift_us);
         let latest_us = self.latest_us.unwrap_or(at_us);
@@ -49,7 +50,7 @@
         arrival
     }
 
-    /// Whether no later record can come before the earliest that is held.
+    /// Whether no record that is still to come can precede the earliest buffered one.
     pub(super) fn is_settled(&self) -> bool {
         match (self.held.peek(), self.latest_us) {
             (Some(earliest), Some(latest_us)) => earliest.record.at_us + MAX_LATENESS_US < latest_us,
@@ -57,14 +58,14 @@
         }
     }
 
-    /// Takes the earliest record, with its time on a clock that goes forward.
+    /// Removes and returns the earliest record, with its corrected time.
     pub(super) fn pop(&mut self) -> Option<RequestRecord> {
         self.held.pop().map(|held| held.record)
     }
 }
 
 struct Held {
-    /// The record's place in the capture, which orders records of the same time.
+    /// The record's sequence number in the capture, which orders records with the same time.
     sequence: u64,
     record: RequestRecord,
 }
@@ -84,7 +85,7 @@
 impl Eq for Held {}
 
 impl Ord for Held {
-    /// Reversed, since the heap yields its greatest element and the earliest is wanted.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest record is needed first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
--- a/fleet/tests/captured_load.rs
+++ b/fleet/tests/captured_load.rs
@@ -1,4 +1,4 @@
-//! Captured load, as a fleet takes it.
+//! Captured load that is prepared for a fleet.
 
 mod common;
 
@@ -38,7 +38,7 @@
 fn gaps_clock_steps_unknown_classes_and_retries_are_found() {
     let fleet = small_fleet();
     let mut records: Vec<RequestRecord> = (0..400).map(|k| request(f64::from(k) * 0.01, 0)).collect();
-    // A record written late, a gap of half a minute, and then the clock is set back to the beginning.
+    // One record is written late, then follows a gap of 30 s, and then the clock is set back to 0.
     records.push(request(3.5, 0));
     records.extend((0..200).map(|k| request(34.0 + f64::from(k) * 0.01, 1)));
     records.extend((0..200).map(|k| request(f64::from(k) * 0.01, 0)));
@@ -60,7 +60,7 @@
     assert_eq!((findings.clock_steps.len(), findings.gaps.len()), (1, 1), "{findings}");
     let text = findings.to_string();
     for what in
-        ["200 of 'parcel'", "the clock steps back by", "nothing came from 4.0 to 3", "1 repeats left out"]
+        ["200 of 'parcel'", "the clock was set back by", "no requests from 4.0 to 3", "1 retries left out"]
     {
         assert!(text.contains(what), "{what} in {text}");
     }
@@ -70,13 +70,13 @@
 fn a_capture_of_unknown_classes_is_refused() {
     let file = capture(&header(&["parcel"], &["east"]), &[], &[]);
     let error = CapturedLoad::open(file.as_slice(), &small_fleet(), 1).err().unwrap();
-    assert_eq!(error.to_string(), "the fleet knows no product of this load (parcel); name them alike");
+    assert_eq!(error.to_string(), "no product of this load (parcel) is in the fleet; their names must match");
 }
 
 #[test]
 fn reports_become_requests_in_their_interval_and_the_zone_of_the_proxy() {
     let fleet = small_fleet();
-    // Proxies 0 and 1 are in the east, 2 and 3 in the west.
+    // Proxies 0 and 1 are in zone east, 2 and 3 in zone west.
     let demand = |proxy, at_us| {
         LoadReport::Demand(Demand { at_us, interval_us: 1_000_000, proxy, request_class: 0, requests: 20 })
     };
