--- a/fleet/src/import/csv_log.rs
+++ b/fleet/src/import/csv_log.rs
@@ -1,4 +1,4 @@
-//! Logs of comma-separated values with a header line.
+//! Reads logs of comma-separated values with a header line.
 
 use super::row::Row;
 use super::{ImportError, Importer};
@@ -9,7 +9,7 @@
 
 struct CsvRow<'a> {
     cells: &'a StringRecord,
-    /// The position of each column by its name.
+    /// The index of each column by its name.
     positions: &'a BTreeMap<&'a str, usize>,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Imports all rows of a log.
+/// Imports all rows of a CSV log.
 pub(super) fn import_rows<S: FnMut(RequestRecord) -> io::Result<()>>(
     log: impl Read,
     importer: &mut Importer<S>,
--- a/fleet/src/import/error.rs
+++ b/fleet/src/import/error.rs
@@ -1,117 +1,117 @@
-//! Why a log or a row of it can't be imported.
+//! Errors of an import, and of single rows of a log.
 
 use super::json_log::MAX_LINE_BYTES;
 use std::io;
 
-/// Why an import ended.
+/// An error that ends an import.
 #[derive(Debug, thiserror::Error)]
 pub enum ImportError {
-    /// The header line is not CSV.
-    #[error("its first line is no CSV: {0}")]
+    /// The header line is not valid CSV.
+    #[error("the header line is not valid CSV: {0}")]
     InvalidHeader(#[source] csv::Error),
     /// The header line lacks a required column.
-    #[error("its first line names no column '{column}'; there are: {present}")]
+    #[error("the header line has no column '{column}'; it has: {present}")]
     MissingColumn {
         /// The required column.
         column: String,
-        /// The columns that there are.
+        /// The columns of the header line.
         present: String,
     },
-    /// A row is not CSV, or can't be read.
+    /// A row is not valid CSV, or could not be read.
     #[error("line {line}: {source}")]
     InvalidCsv {
-        /// The line that the row begins on, from 1.
+        /// The first line of the row, counted from 1.
         line: u64,
-        /// What is wrong.
+        /// The error of the CSV reader.
         source: csv::Error,
     },
-    /// A line can't be read.
+    /// A line could not be read.
     #[error("line {line}: {source}")]
     Read {
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: u64,
-        /// Why.
+        /// The error of the reader.
         source: io::Error,
     },
-    /// A line is too long for a record of a request.
-    #[error("line {line} is longer than {MAX_LINE_BYTES} bytes")]
+    /// A line of a JSON log has 64 KiB or more, with its line break.
+    #[error("line {line} has {MAX_LINE_BYTES} bytes or more: it is too long for a request")]
     LineTooLong {
-        /// The line, from 1.
+        /// The line, counted from 1.
         line: u64,
     },
-    /// The sink failed.
-    #[error("it can't be written: {0}")]
+    /// The sink failed to take a request.
+    #[error("can't write an imported request: {0}")]
     Write(#[source] io::Error),
 }
 
-/// Why a row can't be used.
+/// The reason why a row is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
-    /// It is not a JSON value.
-    #[error("it is not JSON: {0}")]
+    /// The line is not a JSON value.
+    #[error("the line is not valid JSON: {0}")]
     InvalidJson(#[source] serde_json::Error),
     /// A required value is missing.
     #[error("'{column}' is missing")]
     Missing {
-        /// The column that should hold it.
+        /// The column that should contain it.
         column: String,
     },
-    /// The zone is missing, and the fleet has several.
-    #[error("'{column}' is missing, and the fleet has {zones} halls")]
+    /// The zone is missing, and the fleet has more than one.
+    #[error("'{column}' is missing; it is required because the fleet has {zones} halls")]
     MissingZone {
-        /// The column that should hold it.
+        /// The column that should contain it.
         column: String,
-        /// The number of the fleet's zones.
+        /// The number of zones of the fleet.
         zones: usize,
     },
     /// The time is not an RFC 3339 date and time.
-    #[error("'{column}' is no date and time as 2026-06-01T07:30:00Z: '{text}'")]
+    #[error("'{column}' must be an RFC 3339 date and time such as 2026-06-01T07:30:00Z, not '{text}'")]
     InvalidDate {
-        /// The column that holds it.
+        /// The column that contains it.
         column: String,
-        /// What it holds.
+        /// The value of the column.
         text: String,
     },
-    /// The time is not a number, or too large.
-    #[error("'{column}' is no time: '{text}'")]
+    /// The time is not a number, or is out of range.
+    #[error("'{column}' is not a number, or is out of range for a time: '{text}'")]
     InvalidTime {
-        /// The column that holds it.
+        /// The column that contains it.
         column: String,
-        /// What it holds.
+        /// The value of the column.
         text: String,
     },
     /// The fleet has no request class or zone of this name.
-    #[error("the fleet has no {what} '{name}' (it has {known}); name it with --as")]
+    #[error("the fleet has no {what} '{name}'; it has: {known}; map the name with --as")]
     UnknownName {
-        /// What the name stands for.
+        /// What the name denotes, in the terms of the schema: `product` or `hall`.
         what: &'static str,
-        /// The name, after aliases.
+        /// The name, with aliases resolved.
         name: String,
-        /// The names that there are.
+        /// The names that the fleet has.
         known: String,
     },
     /// The work is not a number.
-    #[error("'{column}' is no number: '{text}'")]
+    #[error("'{column}' must be a number of milliseconds, not '{text}'")]
     InvalidWork {
-        /// The column that holds it.
+        /// The column that contains it.
         column: String,
-        /// What it holds.
+        /// The value of the column.
         text: String,
     },
     /// The work is negative or too large.
-    #[error("'{column}' is {work_ms}: 0 to 600,000 ms of work are allowed")]
+    #[error("'{column}' must be 0 to 600,000 ms of work, not {work_ms}")]
     WorkOutOfRange {
-        /// The column that holds it.
+        /// The column that contains it.
         column: String,
-        /// What it holds.
+        /// The value of the column.
         work_ms: f64,
     },
-    /// The attempt is not a number, or too large.
-    #[error("'{column}' is no number of tries: '{text}'")]
+    /// The attempt is not a whole number, or is too large.
+    #[error("'{column}' must be the number of an attempt, 0 to 1,000, not '{text}'")]
     InvalidAttempt {
-        /// The column that holds it.
+        /// The column that contains it.
         column: String,
-        /// What it holds.
+        /// The value of the column.
         text: String,
     },
 }
--- a/fleet/src/import/json_log.rs
+++ b/fleet/src/import/json_log.rs
@@ -1,4 +1,4 @@
-//! Logs of one JSON object a line.
+//! Reads logs with one JSON object per line.
 
 use super::row::Row;
 use super::{ImportError, Importer, RowError};
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::io::{self, BufRead, BufReader, Read};
 
-/// A longer line is no record of a request.
+/// A line of this length or more can't be the record of one request; the import ends there.
 pub(super) const MAX_LINE_BYTES: u64 = 64 << 10;
 
 impl Row for Value {
@@ -19,7 +19,7 @@
     }
 }
 
-/// Imports all lines of a log but blank ones.
+/// Imports all lines of a JSON log except blank ones.
 pub(super) fn import_rows<S: FnMut(RequestRecord) -> io::Result<()>>(
     log: impl Read,
     importer: &mut Importer<S>,
--- a/fleet/src/import/mod.rs
+++ b/fleet/src/import/mod.rs
@@ -1,4 +1,4 @@
-//! Imports captured load from the logs of other programs: CSV and JSON lines.
+//! Imports captured load from logs of other programs, in CSV or JSON Lines format.
 
 mod csv_log;
 mod error;
@@ -14,9 +14,9 @@
 use std::fmt;
 use std::io::{self, Read};
 
-/// Row errors that are kept; further ones are only counted.
+/// The number of rejected rows that a summary lists; further ones are only counted.
 const MAX_ROW_ERRORS: usize = 20;
-/// Numbers above this, in microseconds, are Unix times: 2001 and later.
+/// Times above this many microseconds are taken for Unix times (September 2001 or later).
 const MIN_UNIX_TIME_US: i64 = 1_000_000_000_000_000;
 
 /// The format of a log.
@@ -24,11 +24,11 @@
 pub enum LogFormat {
     /// Comma-separated values with a header line.
     Csv,
-    /// One JSON object a line.
+    /// One JSON object per line.
     JsonLines,
 }
 
-/// How times are written.
+/// The format of the times in a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimeFormat {
     /// A number of seconds.
@@ -37,22 +37,23 @@
     Millis,
     /// A number of microseconds.
     Micros,
-    /// Date and time, such as 2026-06-01T07:30:00.5+01:00.
+    /// An RFC 3339 date and time, such as 2026-06-01T07:30:00.5+01:00.
     Rfc3339,
 }
 
-/// Which column or field holds what. Those but `at` and `request_class` may be absent from a log.
+/// The names of the columns of a CSV log, or of the fields of a JSON log. All except `at` and `request_class`
+/// are optional in a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Columns {
     /// The time of the request.
     pub at: String,
-    /// The name of its class.
+    /// The name of the request class.
     pub request_class: String,
-    /// The name of its client's zone.
+    /// The name of the client's zone.
     pub zone: String,
-    /// Its work in milliseconds on a core of speed 1.
+    /// The work in milliseconds on a core of speed 1.
     pub work_ms: String,
-    /// Its idempotency key.
+    /// The idempotency key.
     pub idempotency_key: String,
     /// The number of the client's attempt, from 0.
     pub attempt: String,
@@ -71,40 +72,40 @@
     }
 }
 
-/// How a log is read.
+/// The options of an import.
 #[derive(Clone, Debug)]
 pub struct ImportOptions<'a> {
     /// The fleet whose request classes and zones the log names.
     pub fleet: &'a Fleet,
     /// The format of the log.
     pub log_format: LogFormat,
-    /// How its times are written.
+    /// The format of its times.
     pub time_format: TimeFormat,
-    /// Which column holds what.
+    /// The names of its columns or fields.
     pub columns: Columns,
-    /// The fleet's names for names in the log.
+    /// Maps names of request classes and zones in the log to the fleet's names for them.
     pub aliases: BTreeMap<String, String>,
 }
 
-/// What an import came to.
+/// The outcome of an import.
 #[derive(Debug, Default)]
 pub struct ImportSummary {
-    /// Requests that were imported.
+    /// The number of imported requests.
     pub requests: u64,
-    /// Rows that could not be used.
+    /// The number of rows that were rejected.
     pub rejected_rows: u64,
-    /// Why, for the first of them.
+    /// The first rejected rows; their number is limited.
     pub rejections: Vec<Rejection>,
     /// The Unix time of the first request in milliseconds; 0 where the log has no Unix times.
     pub started_unix_ms: u64,
 }
 
-/// A row that could not be used.
+/// A rejected row.
 #[derive(Debug)]
 pub struct Rejection {
-    /// The line that it begins on, from 1.
+    /// The first line of the row, counted from 1.
     pub line: u64,
-    /// What is wrong with it.
+    /// The reason.
     pub error: RowError,
 }
 
@@ -112,14 +113,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} txns", self.requests)?;
         if self.rejected_rows > 0 {
-            write!(f, ", {} rows refused", self.rejected_rows)?;
+            write!(f, ", {} rows rejected", self.rejected_rows)?;
         }
         Ok(())
     }
 }
 
-/// Reads a log, and hands each request to `sink` with its time since the first one. A row that can't be used is
-/// rejected by itself; a log that can't be read, and a sink that fails, end the import.
+/// Reads a log and passes each request to `sink`, with its time relative to the first request. An invalid row
+/// is rejected and the import goes on; an unreadable log or an error of the sink ends the import.
 pub fn import(
     log: impl Read,
     options: &ImportOptions,
@@ -133,17 +134,17 @@
     Ok(importer.summary)
 }
 
-/// An import under way.
+/// The state of a running import.
 struct Importer<'a, S> {
     options: &'a ImportOptions<'a>,
     sink: S,
-    /// The time of the first request, from which the others count.
+    /// The time of the first request, to which all times are relative.
     first_at_us: Option<i64>,
     summary: ImportSummary,
 }
 
 impl<S: FnMut(RequestRecord) -> io::Result<()>> Importer<'_, S> {
-    /// Imports a row, or rejects it.
+    /// Imports a row, or rejects it if it is invalid.
     fn import_row(&mut self, line: u64, row: &dyn Row) -> Result<(), ImportError> {
         match ParsedRow::parse(row, self.options) {
             Ok(parsed) => self.accept(parsed),
@@ -164,7 +165,7 @@
         (self.sink)(RequestRecord { at_us, ..row.record }).map_err(ImportError::Write)
     }
 
-    /// Takes the time of the first request, and returns it.
+    /// Stores the time of the first request, and returns it.
     fn begin(&mut self, at_us: i64) -> i64 {
         let is_unix_time = self.options.time_format == TimeFormat::Rfc3339 || at_us > MIN_UNIX_TIME_US;
         self.summary.started_unix_ms = if is_unix_time { (at_us / 1000) as u64 } else { 0 };
--- a/fleet/src/import/row.rs
+++ b/fleet/src/import/row.rs
@@ -1,4 +1,4 @@
-//! One row of a log.
+//! Parses one row of a log.
 
 use super::{ImportOptions, RowError, TimeFormat};
 use otterwinch_traffic_capture::RequestRecord;
@@ -8,20 +8,20 @@
 
 const MAX_WORK_MS: f64 = 600_000.0;
 const MAX_ATTEMPT: u32 = 1_000;
-/// Beyond this many microseconds a double doesn't hold every whole one.
+/// Above about this many microseconds (2^53) an `f64` can't represent every whole number.
 const MAX_TIME_US: f64 = 9e15;
 
-/// The values of a row by the names of their columns.
+/// Access to the values of a row by the names of their columns.
 pub(super) trait Row {
     /// The value in a column; `None` where it is absent or empty.
     fn value(&self, column: &str) -> Option<String>;
 }
 
-/// A row that can be used.
+/// A valid row.
 pub(super) struct ParsedRow {
-    /// The time in microseconds, as the log counts.
+    /// The time in microseconds, relative to the epoch of the log.
     pub at_us: i64,
-    /// The request, without its time.
+    /// The request, with 0 as its time.
     pub record: RequestRecord,
 }
 
@@ -50,7 +50,7 @@
     position_of(&name, &known, "product", options)
 }
 
-/// The zone of a row; a log of a fleet with one zone need not name it.
+/// The index of the zone of a row. If the fleet has only one zone, a log may omit it.
 fn parse_zone(row: &dyn Row, options: &ImportOptions) -> Result<u32, RowError> {
     let known: Vec<&str> = options.fleet.zones.iter().map(|zone| zone.name.as_str()).collect();
     match row.value(&options.columns.zone) {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The position of a name, or of the name that it is an alias for.
+/// The index in `known` of a name, or of the name for which it is an alias.
 fn position_of(
     name: &str,
     known: &[&str],
@@ -93,7 +93,7 @@
     }
 }
 
-/// A time in microseconds.
+/// Parses a time, and converts it to microseconds.
 fn parse_time(column: &str, text: String, format: TimeFormat) -> Result<i64, RowError> {
     let column = column.to_owned();
     match format {
--- a/fleet/tests/import.rs
+++ b/fleet/tests/import.rs
@@ -1,4 +1,4 @@
-//! Logs of other programs, imported.
+//! Import of logs of other programs.
 
 mod common;
 
@@ -57,5 +57,5 @@
     let log = "when,product\n1,fare-quote";
     let error = import(log.as_bytes(), &options(&fleet, LogFormat::Csv, TimeFormat::Seconds), |_| Ok(()))
         .unwrap_err();
-    assert_eq!(error.to_string(), "its first line names no column 'at'; there are: when, product");
+    assert_eq!(error.to_string(), "the header line has no column 'at'; it has: when, product");
 }
