--- a/examples/loads/minute.make
+++ b/examples/loads/minute.make
@@ -1,4 +1,4 @@
-# A minute at 55 txns a second, with one minute's wave and a burst of costly quotes.
+# One minute at a mean of 55 txns per second, with one period of the curve and a burst of costly quotes.
 for_s: 60
 txns_per_s: 55
 curve { depth: 0.15 period_s: 60 }
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -1,4 +1,4 @@
-//! Load as simulations and emulations take it.
+//! The form of load that simulations and emulations take.
 
 /// A request and the time at which its client sends it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -11,6 +11,6 @@
     pub zone: usize,
     /// Seconds of work on a core of speed 1.
     pub work: f64,
-    /// A hash that all requests with the same reference share.
+    /// The idempotency key or a hash of it, equal for requests with the same key; `None` if there is none.
     pub idempotency_key: Option<u64>,
 }
--- a/fleet/src/load_profile/generator.rs
+++ b/fleet/src/load_profile/generator.rs
@@ -9,16 +9,17 @@
 use rand_distr::{Distribution, Exp, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// Requests in the order of their arrival. The same seed generates the same ones.
+/// Generates requests in the order of their arrival. The same seed generates the same requests.
 ///
-/// Arrivals are a Poisson process whose rate varies: they are drawn at the highest rate that occurs, and each is kept
-/// with the probability of the present rate against the highest.
+/// Arrivals are a non-homogeneous Poisson process, sampled by thinning: candidates are sampled at the maximum
+/// rate, and each is kept with a probability of the current rate divided by the maximum.
 pub struct LoadGenerator {
     fleet: Fleet,
     profile: LoadProfile,
     /// The time of the latest arrival, in seconds.
     at: f64,
-    /// An upper bound of the rate at any time.
+    /// The rate at which candidates are sampled: the highest rate at the start and at the start of any burst,
+    /// times the peak of the curve.
     max_rate: f64,
     key_distribution: Option<Zipf<f64>>,
     arrivals: Pcg64Mcg,
@@ -28,7 +29,7 @@
 }
 
 impl LoadGenerator {
-    /// The load of a profile for a fleet.
+    /// A generator of the load that a profile describes for a fleet.
     pub fn new(fleet: &Fleet, profile: &LoadProfile, seed: u64) -> Self {
         let changes = profile.bursts.iter().map(|burst| burst.starts_at).chain([0.0]);
         let max_rate = changes.map(|at| profile.rate(fleet, at)).fold(0.0, f64::max);
@@ -47,7 +48,7 @@
         }
     }
 
-    /// The same requests as a simulation or an emulation takes them.
+    /// The same requests in the form that simulations and emulations take.
     pub fn requests(self) -> impl Iterator<Item = ScheduledRequest> {
         self.map(|record| ScheduledRequest {
             at: record.at_us as f64 / 1e6,
@@ -58,7 +59,8 @@
         })
     }
 
-    /// Moves on to the next arrival, and returns the rate then; `None` when the load is over.
+    /// Advances to the next arrival and returns the rate at that time, without the curve; `None` at the end
+    /// of the load.
     fn next_arrival(&mut self) -> Option<f64> {
         if self.max_rate <= 0.0 {
             return None;
@@ -77,7 +79,8 @@
         }
     }
 
-    /// Draws the request class and the zone of a request that arrives now, by their parts of the rate.
+    /// Samples the request class and the zone of a request that arrives now, in proportion to their shares of
+    /// the rate.
     fn sample_class_and_zone(&mut self, rate: f64) -> (usize, usize) {
         let mut remaining = self.places.random::<f64>() * rate;
         let mut latest_possible = (0, 0);
@@ -94,11 +97,11 @@
                 }
             }
         }
-        // Rounding may leave a rest.
+        // Rounding errors may leave a remainder after the last share.
         latest_possible
     }
 
-    /// Draws the work of a request that arrives now, in seconds.
+    /// Samples the work of a request that arrives now, in seconds.
     fn sample_work(&mut self, request_class: usize, zone: usize) -> f64 {
         let mut work = sample_work(&self.fleet.request_classes[request_class].work, &mut self.work);
         for burst in &self.profile.bursts {
--- a/fleet/src/load_profile/mod.rs
+++ b/fleet/src/load_profile/mod.rs
@@ -1,4 +1,4 @@
-//! Load profiles: load that is generated where none was captured.
+//! Load profiles, from which load is generated where none was captured.
 
 mod generator;
 
@@ -6,27 +6,27 @@
 
 use crate::model::Fleet;
 
-/// What load to generate for a fleet, validated.
+/// A validated description of the load to generate for a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadProfile {
-    /// How long the load lasts.
+    /// The duration of the load.
     pub duration_seconds: f64,
-    /// The mean rate of all request classes and zones, without bursts.
+    /// The mean rate over all request classes and zones, without bursts.
     pub requests_per_second: f64,
-    /// How the rate changes slowly.
+    /// A slow, periodic change of the rate.
     pub curve: RateCurve,
-    /// How it changes for a while. Bursts may overlap.
+    /// Temporary changes of the rate or of the work. Bursts may overlap.
     pub bursts: Vec<Burst>,
-    /// The idempotency keys of the requests; `None` where they have none.
+    /// The idempotency keys of the requests; `None` if they carry none.
     pub keys: Option<IdempotencyKeys>,
 }
 
-/// A sine on top of the rate, which begins at its mean and rises.
+/// A sine wave that modulates the rate. It starts at the mean and rises.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateCurve {
     /// The amplitude, as a fraction of the rate.
     pub depth: f64,
-    /// The time from crest to crest.
+    /// The period of the sine wave.
     pub period_seconds: f64,
 }
 
@@ -40,28 +40,28 @@
 /// The idempotency keys that requests carry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdempotencyKeys {
-    /// How many there are.
+    /// The number of distinct keys.
     pub distinct: u32,
-    /// The exponent of their Zipf distribution; 0 makes all alike.
+    /// The exponent of their Zipf distribution; 0 makes all keys equally frequent.
     pub skew: f64,
 }
 
-/// A time in which some requests are more frequent or cost more.
+/// A period in which the rate of some requests changes, or their work increases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Burst {
-    /// Seconds since the load began.
+    /// The start, in seconds since the load began.
     pub starts_at: f64,
-    /// How long it lasts.
+    /// The duration.
     pub duration_seconds: f64,
     /// The factor on the rate.
     pub rate_factor: f64,
-    /// The only request class that it concerns; `None` for all.
+    /// The only request class that it affects; `None` for all.
     pub request_class: Option<usize>,
-    /// The only zone whose clients it concerns; `None` for all.
+    /// The only client zone that it affects; `None` for all.
     pub zone: Option<usize>,
-    /// The fraction of its requests that cost more.
+    /// The fraction of the affected requests whose work is multiplied by a factor.
     pub costly_share: f64,
-    /// The least and the greatest factor by which they cost more.
+    /// The least and the greatest factor on the work. The factor is sampled uniformly.
     pub costly_factor: (f64, f64),
 }
 
@@ -75,14 +75,15 @@
 }
 
 impl LoadProfile {
-    /// The fraction of the mean rate that a request class and zone have at a time, without the curve.
+    /// The rate of a request class and zone at a time, as a fraction of the mean rate of the profile; without
+    /// the curve.
     fn rate_share(&self, fleet: &Fleet, at: f64, request_class: usize, zone: usize) -> f64 {
         let bursts = self.bursts.iter().filter(|burst| burst.concerns(at, request_class, zone));
         let burst_factor: f64 = bursts.map(|burst| burst.rate_factor).product();
         fleet.request_classes[request_class].share * fleet.zones[zone].client_share * burst_factor
     }
 
-    /// Requests a second at a time, without the curve.
+    /// The rate at a time over all request classes and zones, in requests per second; without the curve.
     fn rate(&self, fleet: &Fleet, at: f64) -> f64 {
         let zones = 0..fleet.zones.len();
         let classes = 0..fleet.request_classes.len();
--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -3,43 +3,44 @@
 use crate::load::ScheduledRequest;
 use crate::model::Fleet;
 
-/// A summary of a load for its reader.
+/// Totals and peaks of a load, which are updated request by request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSummary {
-    /// All requests.
+    /// The number of requests.
     pub requests: u64,
-    /// When the last request is due.
+    /// The time of the last request, in seconds since the load began.
     pub seconds: f64,
-    /// Requests by class.
+    /// The number of requests of each class.
     pub requests_by_class: Vec<u64>,
-    /// Requests by the zone of the client.
+    /// The number of requests from the clients of each zone.
     pub requests_by_zone: Vec<u64>,
     /// The second with the most requests.
     pub busiest: SecondTotals,
     /// The second with the most work.
     pub heaviest: SecondTotals,
-    /// The work of all requests, in seconds on a core of speed 1.
+    /// The total work of all requests, in seconds on a core of speed 1.
     pub work: f64,
-    /// The same by class.
+    /// The total work of each class.
     pub work_by_class: Vec<f64>,
-    /// The most work of any request of each class.
+    /// The greatest work of a single request of each class.
     pub max_work_by_class: Vec<f64>,
+    /// The totals of the second of the latest request.
     current: SecondTotals,
 }
 
-/// What is due within one second.
+/// The totals of the requests within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
-    /// When the second begins.
+    /// The start of the second, in seconds since the load began.
     pub second: u64,
-    /// Requests.
+    /// The number of requests.
     pub requests: u64,
-    /// Their work, in seconds on a core of speed 1.
+    /// Their total work, in seconds on a core of speed 1.
     pub work: f64,
 }
 
 impl LoadSummary {
-    /// The summary of an empty load for a fleet.
+    /// An empty summary of load for a fleet.
     pub fn of(fleet: &Fleet) -> Self {
         let (request_classes, zones) = (fleet.request_classes.len(), fleet.zones.len());
         LoadSummary {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Adds a request, which is due no earlier than those before it.
+    /// Adds a request. Requests must be added in order of time.
     pub fn add(&mut self, request: &ScheduledRequest) {
         let class = request.request_class;
         self.requests += 1;
--- a/fleet/src/sampling.rs
+++ b/fleet/src/sampling.rs
@@ -1,5 +1,6 @@
-//! Seeded randomness: a stream of random numbers for each purpose, so that one more number for one purpose changes no
-//! other, and two runs that differ in their decisions meet the same arrivals, work and failures.
+//! Seeded random number streams, one for each purpose. Drawing an additional number for one purpose doesn't
+//! affect the others, so runs in which the controller decides differently still get the same arrivals, work
+//! and failures.
 
 use crate::model::Work;
 use rand::RngExt;
@@ -7,8 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
-/// The random numbers of a purpose. `number` distinguishes the streams of one purpose, such as those of endpoints. The
-/// numbers hang on the name of the purpose: renaming one changes the results of a seed.
+/// Creates the random number stream of a purpose. `number` distinguishes the streams of one purpose, such as
+/// those of different endpoints. The name of the purpose is part of the seed: renaming a purpose changes the
+/// results.
 ///
 /// ```
 /// use otterwinch_fleet::sampling::random_stream;
@@ -23,8 +25,8 @@
     Pcg64Mcg::from_seed(xxh3_128_with_seed(&name, seed).to_le_bytes())
 }
 
-/// Draws the work of one request. It takes three numbers in any case, so that the work of one request doesn't change
-/// that of others.
+/// Samples the work of one request. It always draws three numbers, so that the outcome for one request
+/// doesn't affect the samples of later ones.
 pub fn sample_work(work: &Work, random: &mut Pcg64Mcg) -> f64 {
     let base_sample = random.random::<f64>();
     let costly_sample = random.random::<f64>();
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -1,4 +1,4 @@
-//! A load made heavier or lighter.
+//! Scales the number of requests of a load.
 
 use crate::load::ScheduledRequest;
 use crate::sampling::random_stream;
@@ -7,12 +7,13 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A copy is due up to this long before or after its original: near enough to keep the shape of the load, far enough not
-/// to coincide with it.
+/// The time of a copy differs from that of its original by up to this much: little enough to preserve the
+/// shape of the load, and enough that the two don't coincide.
 const JITTER_SECONDS: f64 = 0.5;
 
-/// A load with `factor` times as many requests. Each request occurs `factor` times in the mean, with its own class, zone
-/// and work; the shape through time stays, with bursts and gaps. A factor of 1 leaves the load as it is.
+/// A load with `factor` times as many requests. Each request occurs `factor` times on average, with its
+/// class, zone and work. The shape of the load over time is preserved, including bursts and gaps. A factor of
+/// 1 leaves the load unchanged.
 ///
 /// ```
 /// use otterwinch_fleet::{scale::ScaledLoad, ScheduledRequest};
@@ -26,14 +27,14 @@
     factor: f64,
     random: Pcg64Mcg,
     held: BinaryHeap<Held>,
-    /// Counts the requests that were held.
+    /// The sequence number of the request that was buffered last.
     sequence: u64,
-    /// No request that is still to come is due before this, in seconds.
+    /// No copy that is still to come has an earlier time than this, in seconds.
     settled_until: f64,
 }
 
 impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
-    /// Scales a load, which is ordered by time.
+    /// Scales a load, which must be ordered by time.
     pub fn new(load: I, factor: f64, seed: u64) -> Self {
         ScaledLoad {
             load,
@@ -50,7 +51,7 @@
         self.held.push(Held { request, sequence: self.sequence });
     }
 
-    /// Holds as many copies of a request as the factor asks for. The first is the original at its own time.
+    /// Buffers `factor` copies of a request on average. The first is the original, which keeps its time.
     fn copy(&mut self, request: ScheduledRequest) {
         let copies = (self.factor + self.random.random::<f64>()) as u64;
         for number in 0..copies {
@@ -79,7 +80,7 @@
 
 struct Held {
     request: ScheduledRequest,
-    /// Orders requests of the same time.
+    /// Orders requests with the same time.
     sequence: u64,
 }
 
@@ -92,7 +93,7 @@
 impl Eq for Held {}
 
 impl Ord for Held {
-    /// Reversed, since the heap yields its greatest element and the earliest is wanted.
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest request is needed first.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_time = other.request.at.total_cmp(&self.request.at);
         by_time.then(other.sequence.cmp(&self.sequence))
--- a/fleet/src/validate/load_profile.rs
+++ b/fleet/src/validate/load_profile.rs
@@ -1,4 +1,4 @@
-//! Load profiles.
+//! Validation of load profiles.
 
 use super::reported_number;
 use crate::load_profile::{Burst, IdempotencyKeys, LoadProfile, RateCurve};
@@ -11,21 +11,21 @@
 const DAY_SECONDS: f64 = 86_400.0;
 const MAX_REQUESTS_PER_SECOND: f64 = 200_000.0;
 
-/// A validated load profile. Where something is reported, a valid value stands in its place.
+/// Converts the message to a load profile. Each value that is reported as invalid is replaced by a valid one.
 pub(crate) fn load_profile(validator: &Validator, message: &proto::Make, fleet: &Fleet) -> LoadProfile {
     let duration_seconds = required_number(
         &validator.field("for_s"),
         message.for_s,
         0.1..=DAY_SECONDS,
-        "how long the load lasts",
+        "the duration of the load",
         "s",
     );
     let requests_per_second = required_number(
         &validator.field("txns_per_s"),
         message.txns_per_s,
         0.0..=MAX_REQUESTS_PER_SECOND,
-        "first tries a second",
-        "txns a second",
+        "the mean rate over all classes and zones, without retries",
+        "txns per second",
     );
     let curve = rate_curve(&validator.field("curve"), &message.curve.unwrap_or_default());
     validator.field("burst").require(message.burst.len() <= MAX_BURSTS, || {
@@ -41,7 +41,7 @@
     LoadProfile { duration_seconds, requests_per_second, curve, bursts, keys }
 }
 
-/// A required number; the lower bound where it is missing.
+/// A required number. If it is missing, that is reported, and the lower bound is returned.
 fn required_number(
     validator: &Validator,
     value: Option<f64>,
@@ -70,8 +70,8 @@
     let distinct = message.distinct.unwrap_or(0);
     let skew = message.skew.unwrap_or(0.0);
     IdempotencyKeys {
-        distinct: validator.field("distinct").count_in_range(distinct, 1..=10_000_000, "references"),
-        skew: validator.field("skew").in_range(skew, 0.0..=3.0, "of skew"),
+        distinct: validator.field("distinct").count_in_range(distinct, 1..=10_000_000, "distinct keys"),
+        skew: validator.field("skew").in_range(skew, 0.0..=3.0, "as the Zipf exponent"),
     }
 }
 
@@ -88,7 +88,7 @@
     let least_factor = validator.field("costly_from").in_range(least_factor, 1.0..=1_000.0, "times the work");
     let greatest_factor = message.costly_to.unwrap_or(least_factor);
     let duration = validator.field("for_s");
-    duration.required(message.for_s, "how long the burst lasts, in seconds");
+    duration.required(message.for_s, "the duration of the burst, in seconds");
     let starts_at = message.at_s.unwrap_or(0.0);
     let rate_factor = message.times.unwrap_or(1.0);
     let costly_share = message.costly_share.unwrap_or(0.0);
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! The example files that tests read.
+//! Access to the example files that the tests read.
 
 use otterwinch_fleet::{read, Fleet};
 
-/// The text of an example.
+/// The text of an example file.
 pub fn example(name: &str) -> String {
     std::fs::read_to_string(format!("{}/../examples/{name}", env!("CARGO_MANIFEST_DIR"))).unwrap()
 }
--- a/fleet/tests/load_profiles.rs
+++ b/fleet/tests/load_profiles.rs
@@ -15,7 +15,7 @@
     let requests = generate(3);
     assert_eq!(requests, generate(3));
     assert_ne!(requests, generate(4));
-    // About 55 requests a second for a minute.
+    // About 55 requests per second for one minute.
     assert!((3_000..3_600).contains(&requests.len()), "{}", requests.len());
     let costly = |from: i64, to: i64| {
         let within = requests.iter().filter(|t| (from..to).contains(&t.at_us));
