--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -56,7 +56,7 @@
 
     fn own_proxies(&self) -> impl Iterator<Item = &Proxy> {
         let instances = self.fleet.control_plane.instances;
-        self.proxies.iter().filter(move |proxy| proxy.instance(instances) == self.instance)
+        self.proxies.iter().filter(move |proxy| proxy.instance_index(instances) == self.instance)
     }
 
     fn interval_ms(&self) -> f64 {
@@ -65,7 +65,7 @@
 
     fn outcomes_message(&self, outcomes: &EndpointOutcomes) -> Value {
         let sums = &outcomes.sums;
-        let mean_latency_ms = sums.answered_us as f64 / 1e3 / sums.answered().max(1) as f64;
+        let mean_latency_ms = sums.answered_latency_us as f64 / 1e3 / sums.answered().max(1) as f64;
         json!({
             "msg": "outcomes",
             "locality": self.fleet.zones[outcomes.zone].name,
