--- a/fleet/src/captured_load/findings.rs
+++ b/fleet/src/captured_load/findings.rs
@@ -28,9 +28,9 @@
     pub corruption: Vec<Corruption>,
     /// The number of requests left out because the fleet lacks their class or zone, by the name of that class
     /// or zone.
-    pub unknown: BTreeMap<String, u64>,
+    pub unknown_names: BTreeMap<String, u64>,
     /// The time of the last request, in seconds since the load began.
-    pub last_at: f64,
+    pub last_request_at: f64,
 }
 
 /// A point where the capture's clock was set back. The times of all later records are shifted forward by the
@@ -40,7 +40,7 @@
     /// The time just before the step, in seconds.
     pub at: f64,
     /// The size of the step, in seconds.
-    pub by: f64,
+    pub step_seconds: f64,
 }
 
 /// An unusually long period without a request, in seconds since the load began.
@@ -54,13 +54,13 @@
 
 impl LoadFindings {
     pub(super) fn count_unknown(&mut self, name: &str) {
-        *self.unknown.entry(name.to_owned()).or_default() += 1;
+        *self.unknown_names.entry(name.to_owned()).or_default() += 1;
     }
 }
 
 impl fmt::Display for LoadFindings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} txns over {:.1} s", self.requests, self.last_at)?;
+        write!(f, "{} txns over {:.1} s", self.requests, self.last_request_at)?;
         let counts = [
             (self.retries, "retries left out: the fleet's clients generate their own"),
             (self.sampled_work, "without known work: sampled from the distribution of the product"),
@@ -70,14 +70,17 @@
             ),
             (self.reordered, "captured out of order: sorted by time"),
         ];
-        for (count, what) in counts.iter().filter(|(count, _)| *count > 0) {
-            write!(f, "; {count} {what}")?;
+        for (count, description) in counts.iter().filter(|(count, _)| *count > 0) {
+            write!(f, "; {count} {description}")?;
         }
-        for (name, count) in &self.unknown {
+        for (name, count) in &self.unknown_names {
             write!(f, "; {count} of '{name}' left out: the fleet has no such name")?;
         }
-        for ClockStep { at, by } in self.clock_steps.iter().take(MAX_PRINTED) {
-            write!(f, "; the clock was set back by {by:.1} s at {at:.1} s: later times are shifted forward")?;
+        for ClockStep { at, step_seconds: step } in self.clock_steps.iter().take(MAX_PRINTED) {
+            write!(
+                f,
+                "; the clock was set back by {step:.1} s at {at:.1} s: later times are shifted forward"
+            )?;
         }
         for Gap { from, to } in self.gaps.iter().take(MAX_PRINTED) {
             write!(f, "; no requests from {from:.1} to {to:.1} s")?;
--- a/fleet/src/captured_load/mod.rs
+++ b/fleet/src/captured_load/mod.rs
@@ -17,7 +17,7 @@
 };
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
-use reorder::{Arrival, Reorderer};
+use reorder::{RecordOrder, ReorderBuffer};
 use std::io::Read;
 
 /// The most requests that are generated from one report.
@@ -52,12 +52,12 @@
     request_classes: Vec<Option<usize>>,
     /// The index in the fleet of each zone of the capture; `None` where the fleet lacks it.
     zones: Vec<Option<usize>>,
-    reorderer: Reorderer,
+    reorder_buffer: ReorderBuffer,
     gaps: GapDetector,
     /// Samples the work of requests for which the capture has none.
-    work: Pcg64Mcg,
+    work_rng: Pcg64Mcg,
     /// Samples the times of requests that only load reports count.
-    spread: Pcg64Mcg,
+    report_rng: Pcg64Mcg,
     findings: LoadFindings,
     finished: bool,
 }
@@ -83,10 +83,10 @@
             header,
             request_classes,
             zones,
-            reorderer: Reorderer::default(),
+            reorder_buffer: ReorderBuffer::default(),
             gaps: GapDetector::default(),
-            work: random_stream(seed, "work", 0),
-            spread: random_stream(seed, "spread", 0),
+            work_rng: random_stream(seed, "work", 0),
+            report_rng: random_stream(seed, "spread", 0),
             findings: LoadFindings::default(),
             finished: false,
         })
@@ -98,8 +98,8 @@
     }
 
     /// Reads until the earliest buffered record is final or the capture ends.
-    fn read_until_settled(&mut self) {
-        while !self.finished && !self.reorderer.is_settled() {
+    fn fill_reorder_buffer(&mut self) {
+        while !self.finished && !self.reorder_buffer.is_earliest_final() {
             match self.reader.next() {
                 None => self.finished = true,
                 Some(CaptureItem::Requests(records)) => {
@@ -114,10 +114,10 @@
     }
 
     fn add(&mut self, record: RequestRecord) {
-        match self.reorderer.add(record) {
-            Arrival::InOrder => {}
-            Arrival::OutOfOrder => self.findings.reordered += 1,
-            Arrival::ClockStep(step) => self.findings.clock_steps.push(step),
+        match self.reorder_buffer.add(record) {
+            RecordOrder::InOrder => {}
+            RecordOrder::OutOfOrder => self.findings.reordered += 1,
+            RecordOrder::ClockStep(step) => self.findings.clock_steps.push(step),
         }
     }
 
@@ -133,11 +133,11 @@
     fn spread_demand(&mut self, demand: &Demand) {
         let fleet_zone = self.zone_of_proxy(demand.proxy);
         let zone = self.zones.iter().position(|zone| *zone == fleet_zone).unwrap_or(0) as u32;
-        let begin = demand.at_us - demand.interval_us as i64;
+        let begin_us = demand.at_us - demand.interval_us as i64;
         let count = demand.requests.min(MAX_REQUESTS_PER_REPORT);
         let interval_us = demand.interval_us as f64;
         let mut times: Vec<i64> =
-            (0..count).map(|_| begin + (self.spread.random::<f64>() * interval_us) as i64).collect();
+            (0..count).map(|_| begin_us + (self.report_rng.random::<f64>() * interval_us) as i64).collect();
         times.sort_unstable();
         for at_us in times {
             self.findings.spread_from_reports += 1;
@@ -175,7 +175,7 @@
             self.findings.gaps.push(gap);
         }
         let work = self.work_of(&record, request_class);
-        self.findings.last_at = at;
+        self.findings.last_request_at = at;
         self.findings.requests += 1;
         Some(ScheduledRequest { at, request_class, zone, work, idempotency_key: record.idempotency_key })
     }
@@ -185,7 +185,7 @@
             return work_us as f64 / 1e6;
         }
         self.findings.sampled_work += 1;
-        sample_work(&self.fleet.request_classes[request_class].work, &mut self.work)
+        sample_work(&self.fleet.request_classes[request_class].work, &mut self.work_rng)
     }
 }
 
@@ -194,8 +194,8 @@
 
     fn next(&mut self) -> Option<ScheduledRequest> {
         loop {
-            self.read_until_settled();
-            let record = self.reorderer.pop()?;
+            self.fill_reorder_buffer();
+            let record = self.reorder_buffer.pop()?;
             if let Some(request) = self.schedule(record) {
                 return Some(request);
             }
--- a/fleet/src/captured_load/reorder.rs
+++ b/fleet/src/captured_load/reorder.rs
@@ -10,7 +10,7 @@
 const MAX_LATENESS_US: i64 = 2_000_000;
 
 /// The order of a record relative to the earlier ones of the capture.
-pub(super) enum Arrival {
+pub(super) enum RecordOrder {
     InOrder,
     /// The record is older than an earlier one: it was written late.
     OutOfOrder,
@@ -20,39 +20,43 @@
 
 /// Buffers records until no record that is still to come can precede them.
 #[derive(Default)]
-pub(super) struct Reorderer {
-    held: BinaryHeap<Held>,
+pub(super) struct ReorderBuffer {
+    records: BinaryHeap<BufferedRecord>,
     /// The sequence number of the latest record.
-    sequence: u64,
+    last_sequence: u64,
     /// The latest time so far, corrected for clock steps.
     latest_us: Option<i64>,
     /// The sum of all clock steps so far, which is added to the time of each further record.
-    shift_us: i64,
+    clock_correction_us: i64,
 }
 
-impl Reorderer {
+impl ReorderBuffer {
     /// Adds the next record of the capture, and corrects its time for clock steps.
-    pub(super) fn add(&mut self, record: RequestRecord) -> Arrival {
-        let mut at_us = record.at_us.saturating_add(self.shift_us);
+    pub(super) fn add(&mut self, record: RequestRecord) -> RecordOrder {
+        let mut at_us = record.at_us.saturating_add(self.clock_correction_us);
         let latest_us = self.latest_us.unwrap_or(at_us);
-        let mut arrival = Arrival::InOrder;
+        let mut order = RecordOrder::InOrder;
         if at_us < latest_us.saturating_sub(MAX_LATENESS_US) {
-            let by_us = latest_us - at_us;
-            self.shift_us = self.shift_us.saturating_add(by_us);
-            arrival = Arrival::ClockStep(ClockStep { at: latest_us as f64 / 1e6, by: by_us as f64 / 1e6 });
+            let step_us = latest_us - at_us;
+            self.clock_correction_us = self.clock_correction_us.saturating_add(step_us);
+            order = RecordOrder::ClockStep(ClockStep {
+                at: latest_us as f64 / 1e6,
+                step_seconds: step_us as f64 / 1e6,
+            });
             at_us = latest_us;
         } else if at_us < latest_us {
-            arrival = Arrival::OutOfOrder;
+            order = RecordOrder::OutOfOrder;
         }
         self.latest_us = Some(latest_us.max(at_us));
-        self.sequence += 1;
-        self.held.push(Held { sequence: self.sequence, record: RequestRecord { at_us, ..record } });
-        arrival
+        self.last_sequence += 1;
+        self.records
+            .push(BufferedRecord { sequence: self.last_sequence, record: RequestRecord { at_us, ..record } });
+        order
     }
 
     /// Whether no record that is still to come can precede the earliest buffered one.
-    pub(super) fn is_settled(&self) -> bool {
-        match (self.held.peek(), self.latest_us) {
+    pub(super) fn is_earliest_final(&self) -> bool {
+        match (self.records.peek(), self.latest_us) {
             (Some(earliest), Some(latest_us)) => earliest.record.at_us + MAX_LATENESS_US < latest_us,
             _ => false,
         }
@@ -60,38 +64,38 @@
 
     /// Removes and returns the earliest record, with its corrected time.
     pub(super) fn pop(&mut self) -> Option<RequestRecord> {
-        self.held.pop().map(|held| held.record)
+        self.records.pop().map(|buffered| buffered.record)
     }
 }
 
-struct Held {
+struct BufferedRecord {
     /// The record's sequence number in the capture, which orders records with the same time.
     sequence: u64,
     record: RequestRecord,
 }
 
-impl Held {
+impl BufferedRecord {
     fn key(&self) -> (i64, u64) {
         (self.record.at_us, self.sequence)
     }
 }
 
-impl PartialEq for Held {
+impl PartialEq for BufferedRecord {
     fn eq(&self, other: &Self) -> bool {
         self.key() == other.key()
     }
 }
 
-impl Eq for Held {}
+impl Eq for BufferedRecord {}
 
-impl Ord for Held {
+impl Ord for BufferedRecord {
     /// Reversed, because `BinaryHeap` is a max-heap and the earliest record is needed first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.key().cmp(&self.key())
     }
 }
 
-impl PartialOrd for Held {
+impl PartialOrd for BufferedRecord {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
--- a/fleet/tests/captured_load.rs
+++ b/fleet/tests/captured_load.rs
@@ -21,8 +21,12 @@
 }
 
 fn header(classes: &[&str], zones: &[&str]) -> CaptureHeader {
-    let own = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
-    CaptureHeader { request_classes: own(classes), zones: own(zones), ..CaptureHeader::default() }
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    CaptureHeader {
+        request_classes: to_strings(classes),
+        zones: to_strings(zones),
+        ..CaptureHeader::default()
+    }
 }
 
 fn request(at_seconds: f64, request_class: u32) -> RequestRecord {
@@ -56,7 +60,7 @@
         (findings.requests, findings.retries, findings.sampled_work, findings.reordered),
         (602, 1, 1, 1)
     );
-    assert_eq!(findings.unknown, BTreeMap::from([("parcel".to_owned(), 200)]));
+    assert_eq!(findings.unknown_names, BTreeMap::from([("parcel".to_owned(), 200)]));
     assert_eq!((findings.clock_steps.len(), findings.gaps.len()), (1, 1), "{findings}");
     let text = findings.to_string();
     for what in
