--- a/fleet/src/import/csv_log.rs
+++ b/fleet/src/import/csv_log.rs
@@ -8,15 +8,15 @@
 use std::io::{self, Read};
 
 struct CsvRow<'a> {
-    cells: &'a StringRecord,
+    fields: &'a StringRecord,
     /// The index of each column by its name.
     positions: &'a BTreeMap<&'a str, usize>,
 }
 
 impl Row for CsvRow<'_> {
     fn value(&self, column: &str) -> Option<String> {
-        let cell = self.cells.get(*self.positions.get(column)?)?;
-        (!cell.is_empty()).then(|| cell.to_owned())
+        let field = self.fields.get(*self.positions.get(column)?)?;
+        (!field.is_empty()).then(|| field.to_owned())
     }
 }
 
@@ -29,13 +29,13 @@
     let header = reader.headers().map_err(ImportError::InvalidHeader)?.clone();
     require_columns(&header, importer)?;
     let positions = header.iter().enumerate().map(|(position, column)| (column, position)).collect();
-    let mut cells = StringRecord::new();
+    let mut fields = StringRecord::new();
     loop {
-        match reader.read_record(&mut cells) {
+        match reader.read_record(&mut fields) {
             Ok(false) => return Ok(()),
             Ok(true) => {
-                let line = cells.position().map_or(0, csv::Position::line);
-                importer.import_row(line, &CsvRow { cells: &cells, positions: &positions })?;
+                let line = fields.position().map_or(0, csv::Position::line);
+                importer.import_row(line, &CsvRow { fields: &fields, positions: &positions })?;
             }
             Err(source) => {
                 let line = source.position().map_or(0, csv::Position::line);
@@ -48,9 +48,9 @@
 fn require_columns<S>(header: &StringRecord, importer: &Importer<S>) -> Result<(), ImportError> {
     let columns = &importer.options.columns;
     for column in [&columns.at, &columns.request_class] {
-        if !header.iter().any(|present| present == column) {
-            let present = header.iter().collect::<Vec<_>>().join(", ");
-            return Err(ImportError::MissingColumn { column: column.clone(), present });
+        if !header.iter().any(|name| name == column) {
+            let available = header.iter().collect::<Vec<_>>().join(", ");
+            return Err(ImportError::MissingColumn { column: column.clone(), available });
         }
     }
     Ok(())
--- a/fleet/src/import/error.rs
+++ b/fleet/src/import/error.rs
@@ -10,12 +10,12 @@
     #[error("the header line is not valid CSV: {0}")]
     InvalidHeader(#[source] csv::Error),
     /// The header line lacks a required column.
-    #[error("the header line has no column '{column}'; it has: {present}")]
+    #[error("the header line has no column '{column}'; it has: {available}")]
     MissingColumn {
         /// The required column.
         column: String,
         /// The columns of the header line.
-        present: String,
+        available: String,
     },
     /// A row is not valid CSV, or could not be read.
     #[error("line {line}: {source}")]
@@ -81,10 +81,10 @@
         text: String,
     },
     /// The fleet has no request class or zone of this name.
-    #[error("the fleet has no {what} '{name}'; it has: {known}; map the name with --as")]
+    #[error("the fleet has no {kind} '{name}'; it has: {known}; map the name with --as")]
     UnknownName {
         /// What the name denotes, in the terms of the schema: `product` or `hall`.
-        what: &'static str,
+        kind: &'static str,
         /// The name, with aliases resolved.
         name: String,
         /// The names that the fleet has.
--- a/fleet/src/import/mod.rs
+++ b/fleet/src/import/mod.rs
@@ -15,7 +15,7 @@
 use std::io::{self, Read};
 
 /// The number of rejected rows that a summary lists; further ones are only counted.
-const MAX_ROW_ERRORS: usize = 20;
+const MAX_REJECTIONS: usize = 20;
 /// Times above this many microseconds are taken for Unix times (September 2001 or later).
 const MIN_UNIX_TIME_US: i64 = 1_000_000_000_000_000;
 
@@ -158,7 +158,7 @@
     fn accept(&mut self, row: ParsedRow) -> Result<(), ImportError> {
         let first_at_us = match self.first_at_us {
             Some(first_at_us) => first_at_us,
-            None => self.begin(row.at_us),
+            None => self.set_first_time(row.at_us),
         };
         self.summary.requests += 1;
         let at_us = row.at_us.saturating_sub(first_at_us);
@@ -166,7 +166,7 @@
     }
 
     /// Stores the time of the first request, and returns it.
-    fn begin(&mut self, at_us: i64) -> i64 {
+    fn set_first_time(&mut self, at_us: i64) -> i64 {
         let is_unix_time = self.options.time_format == TimeFormat::Rfc3339 || at_us > MIN_UNIX_TIME_US;
         self.summary.started_unix_ms = if is_unix_time { (at_us / 1000) as u64 } else { 0 };
         self.first_at_us = Some(at_us);
@@ -175,7 +175,7 @@
 
     fn reject(&mut self, line: u64, error: RowError) {
         self.summary.rejected_rows += 1;
-        if self.summary.rejections.len() < MAX_ROW_ERRORS {
+        if self.summary.rejections.len() < MAX_REJECTIONS {
             self.summary.rejections.push(Rejection { line, error });
         }
     }
--- a/fleet/src/import/row.rs
+++ b/fleet/src/import/row.rs
@@ -28,10 +28,10 @@
 impl ParsedRow {
     pub(super) fn parse(row: &dyn Row, options: &ImportOptions) -> Result<Self, RowError> {
         let columns = &options.columns;
-        let at_us = parse_time(&columns.at, required(row, &columns.at)?, options.time_format)?;
+        let at_us = parse_time(&columns.at, required_value(row, &columns.at)?, options.time_format)?;
         let request_class = parse_request_class(row, options)?;
         let zone = parse_zone(row, options)?;
-        let work_us = parse_work(row, &columns.work_ms)?;
+        let work_us = parse_work_us(row, &columns.work_ms)?;
         let attempt = parse_attempt(row, &columns.attempt)?;
         let idempotency_key = row.value(&columns.idempotency_key).map(|key| xxh3_64(key.as_bytes()));
         let record = RequestRecord { at_us: 0, request_class, zone, work_us, idempotency_key, attempt };
@@ -39,12 +39,12 @@
     }
 }
 
-fn required(row: &dyn Row, column: &str) -> Result<String, RowError> {
+fn required_value(row: &dyn Row, column: &str) -> Result<String, RowError> {
     row.value(column).ok_or_else(|| RowError::Missing { column: column.to_owned() })
 }
 
 fn parse_request_class(row: &dyn Row, options: &ImportOptions) -> Result<u32, RowError> {
-    let name = required(row, &options.columns.request_class)?;
+    let name = required_value(row, &options.columns.request_class)?;
     let classes = options.fleet.request_classes.iter();
     let known: Vec<&str> = classes.map(|class| class.name.as_str()).collect();
     position_of(&name, &known, "product", options)
@@ -64,17 +64,17 @@
 fn position_of(
     name: &str,
     known: &[&str],
-    what: &'static str,
+    kind: &'static str,
     options: &ImportOptions,
 ) -> Result<u32, RowError> {
     let name = options.aliases.get(name).map_or(name, String::as_str);
     match known.iter().position(|known_name| *known_name == name) {
         Some(position) => Ok(position as u32),
-        None => Err(RowError::UnknownName { what, name: name.to_owned(), known: known.join(", ") }),
+        None => Err(RowError::UnknownName { kind, name: name.to_owned(), known: known.join(", ") }),
     }
 }
 
-fn parse_work(row: &dyn Row, column: &str) -> Result<Option<u64>, RowError> {
+fn parse_work_us(row: &dyn Row, column: &str) -> Result<Option<u64>, RowError> {
     let Some(text) = row.value(column) else { return Ok(None) };
     let Ok(work_ms) = text.parse::<f64>() else {
         return Err(RowError::InvalidWork { column: column.to_owned(), text });
@@ -97,21 +97,21 @@
 fn parse_time(column: &str, text: String, format: TimeFormat) -> Result<i64, RowError> {
     let column = column.to_owned();
     match format {
-        TimeFormat::Rfc3339 => parse_date(&text).ok_or(RowError::InvalidDate { column, text }),
-        TimeFormat::Seconds => parse_number(&text, 1e6).ok_or(RowError::InvalidTime { column, text }),
-        TimeFormat::Millis => parse_number(&text, 1e3).ok_or(RowError::InvalidTime { column, text }),
-        TimeFormat::Micros => parse_number(&text, 1.0).ok_or(RowError::InvalidTime { column, text }),
+        TimeFormat::Rfc3339 => parse_rfc3339(&text).ok_or(RowError::InvalidDate { column, text }),
+        TimeFormat::Seconds => parse_numeric_time(&text, 1e6).ok_or(RowError::InvalidTime { column, text }),
+        TimeFormat::Millis => parse_numeric_time(&text, 1e3).ok_or(RowError::InvalidTime { column, text }),
+        TimeFormat::Micros => parse_numeric_time(&text, 1.0).ok_or(RowError::InvalidTime { column, text }),
     }
 }
 
-fn parse_date(text: &str) -> Option<i64> {
+fn parse_rfc3339(text: &str) -> Option<i64> {
     let time = OffsetDateTime::parse(text, &Rfc3339).ok()?;
     i64::try_from(time.unix_timestamp_nanos() / 1_000).ok()
 }
 
-fn parse_number(text: &str, micros_per_unit: f64) -> Option<i64> {
+fn parse_numeric_time(text: &str, micros_per_unit: f64) -> Option<i64> {
     let number: f64 = text.parse().ok()?;
     let micros = number * micros_per_unit;
-    let is_exact = micros.is_finite() && micros.abs() < MAX_TIME_US;
-    is_exact.then_some(micros.round() as i64)
+    let is_in_range = micros.is_finite() && micros.abs() < MAX_TIME_US;
+    is_in_range.then_some(micros.round() as i64)
 }
