--- a/fleet/src/load_profile/generator.rs
+++ b/fleet/src/load_profile/generator.rs
@@ -22,29 +22,29 @@
     /// times the peak of the curve.
     max_rate: f64,
     key_distribution: Option<Zipf<f64>>,
-    arrivals: Pcg64Mcg,
-    places: Pcg64Mcg,
-    work: Pcg64Mcg,
-    keys: Pcg64Mcg,
+    arrival_rng: Pcg64Mcg,
+    class_and_zone_rng: Pcg64Mcg,
+    work_rng: Pcg64Mcg,
+    key_rng: Pcg64Mcg,
 }
 
 impl LoadGenerator {
     /// A generator of the load that a profile describes for a fleet.
     pub fn new(fleet: &Fleet, profile: &LoadProfile, seed: u64) -> Self {
-        let changes = profile.bursts.iter().map(|burst| burst.starts_at).chain([0.0]);
-        let max_rate = changes.map(|at| profile.rate(fleet, at)).fold(0.0, f64::max);
+        let change_times = profile.bursts.iter().map(|burst| burst.starts_at).chain([0.0]);
+        let max_rate = change_times.map(|at| profile.rate_without_curve(fleet, at)).fold(0.0, f64::max);
         let key_distribution =
             profile.keys.and_then(|keys| Zipf::new(f64::from(keys.distinct), keys.skew).ok());
         LoadGenerator {
             fleet: fleet.clone(),
             profile: profile.clone(),
             at: 0.0,
-            max_rate: max_rate * (1.0 + profile.curve.depth),
+            max_rate: max_rate * (1.0 + profile.curve.amplitude),
             key_distribution,
-            arrivals: random_stream(seed, "arrivals", 0),
-            places: random_stream(seed, "places", 0),
-            work: random_stream(seed, "work", 0),
-            keys: random_stream(seed, "keys", 0),
+            arrival_rng: random_stream(seed, "arrivals", 0),
+            class_and_zone_rng: random_stream(seed, "places", 0),
+            work_rng: random_stream(seed, "work", 0),
+            key_rng: random_stream(seed, "keys", 0),
         }
     }
 
@@ -65,15 +65,15 @@
         if self.max_rate <= 0.0 {
             return None;
         }
-        let gap = Exp::new(self.max_rate).expect("the rate is above 0");
+        let interarrival_time = Exp::new(self.max_rate).expect("the rate is above 0");
         loop {
-            self.at += gap.sample(&mut self.arrivals);
+            self.at += interarrival_time.sample(&mut self.arrival_rng);
             if self.at >= self.profile.duration_seconds {
                 return None;
             }
-            let rate = self.profile.rate(&self.fleet, self.at);
-            let kept_below = rate * self.profile.curve.factor(self.at);
-            if self.arrivals.random::<f64>() * self.max_rate < kept_below {
+            let rate = self.profile.rate_without_curve(&self.fleet, self.at);
+            let rate_with_curve = rate * self.profile.curve.factor(self.at);
+            if self.arrival_rng.random::<f64>() * self.max_rate < rate_with_curve {
                 return Some(rate);
             }
         }
@@ -82,8 +82,8 @@
     /// Samples the request class and the zone of a request that arrives now, in proportion to their shares of
     /// the rate.
     fn sample_class_and_zone(&mut self, rate: f64) -> (usize, usize) {
-        let mut remaining = self.places.random::<f64>() * rate;
-        let mut latest_possible = (0, 0);
+        let mut remaining = self.class_and_zone_rng.random::<f64>() * rate;
+        let mut last_candidate = (0, 0);
         for request_class in 0..self.fleet.request_classes.len() {
             for zone in 0..self.fleet.zones.len() {
                 let share = self.profile.rate_share(&self.fleet, self.at, request_class, zone);
@@ -91,25 +91,25 @@
                 if share <= 0.0 {
                     continue;
                 }
-                latest_possible = (request_class, zone);
+                last_candidate = (request_class, zone);
                 if remaining < 0.0 {
-                    return latest_possible;
+                    return last_candidate;
                 }
             }
         }
         // Rounding errors may leave a remainder after the last share.
-        latest_possible
+        last_candidate
     }
 
     /// Samples the work of a request that arrives now, in seconds.
     fn sample_work(&mut self, request_class: usize, zone: usize) -> f64 {
-        let mut work = sample_work(&self.fleet.request_classes[request_class].work, &mut self.work);
+        let mut work = sample_work(&self.fleet.request_classes[request_class].work, &mut self.work_rng);
         for burst in &self.profile.bursts {
-            if !burst.concerns(self.at, request_class, zone) {
+            if !burst.applies_to(self.at, request_class, zone) {
                 continue;
             }
-            let costly_sample = self.work.random::<f64>();
-            let factor_sample = self.work.random::<f64>();
+            let costly_sample = self.work_rng.random::<f64>();
+            let factor_sample = self.work_rng.random::<f64>();
             if costly_sample < burst.costly_share {
                 let (least, greatest) = burst.costly_factor;
                 work *= least + (greatest - least) * factor_sample;
@@ -126,7 +126,7 @@
         let rate = self.next_arrival()?;
         let (request_class, zone) = self.sample_class_and_zone(rate);
         let work = self.sample_work(request_class, zone);
-        let key = self.key_distribution.as_ref().map(|keys| keys.sample(&mut self.keys) as u64);
+        let key = self.key_distribution.as_ref().map(|keys| keys.sample(&mut self.key_rng) as u64);
         Some(RequestRecord {
             at_us: (self.at * 1e6) as i64,
             request_class: request_class as u32,
--- a/fleet/src/load_profile/mod.rs
+++ b/fleet/src/load_profile/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateCurve {
     /// The amplitude, as a fraction of the rate.
-    pub depth: f64,
+    pub amplitude: f64,
     /// The period of the sine wave.
     pub period_seconds: f64,
 }
@@ -33,7 +33,7 @@
 impl RateCurve {
     /// The factor on the rate at a time in seconds.
     fn factor(&self, at: f64) -> f64 {
-        1.0 + self.depth * (at / self.period_seconds * std::f64::consts::TAU).sin()
+        1.0 + self.amplitude * (at / self.period_seconds * std::f64::consts::TAU).sin()
     }
 }
 
@@ -66,7 +66,7 @@
 }
 
 impl Burst {
-    fn concerns(&self, at: f64, request_class: usize, zone: usize) -> bool {
+    fn applies_to(&self, at: f64, request_class: usize, zone: usize) -> bool {
         let ends_at = self.starts_at + self.duration_seconds;
         (self.starts_at..ends_at).contains(&at)
             && self.request_class.is_none_or(|only| only == request_class)
@@ -78,13 +78,13 @@
     /// The rate of a request class and zone at a time, as a fraction of the mean rate of the profile; without
     /// the curve.
     fn rate_share(&self, fleet: &Fleet, at: f64, request_class: usize, zone: usize) -> f64 {
-        let bursts = self.bursts.iter().filter(|burst| burst.concerns(at, request_class, zone));
+        let bursts = self.bursts.iter().filter(|burst| burst.applies_to(at, request_class, zone));
         let burst_factor: f64 = bursts.map(|burst| burst.rate_factor).product();
         fleet.request_classes[request_class].share * fleet.zones[zone].client_share * burst_factor
     }
 
     /// The rate at a time over all request classes and zones, in requests per second; without the curve.
-    fn rate(&self, fleet: &Fleet, at: f64) -> f64 {
+    fn rate_without_curve(&self, fleet: &Fleet, at: f64) -> f64 {
         let zones = 0..fleet.zones.len();
         let classes = 0..fleet.request_classes.len();
         let pairs = classes.flat_map(|class| zones.clone().map(move |zone| (class, zone)));
--- a/fleet/src/validate/load_profile.rs
+++ b/fleet/src/validate/load_profile.rs
@@ -58,10 +58,10 @@
 }
 
 fn rate_curve(validator: &Validator, message: &proto::Curve) -> RateCurve {
-    let depth = message.depth.unwrap_or(0.0);
+    let amplitude = message.depth.unwrap_or(0.0);
     let period_seconds = message.period_s.unwrap_or(DAY_SECONDS);
     RateCurve {
-        depth: validator.field("depth").in_range(depth, 0.0..=1.0, "of the rate"),
+        amplitude: validator.field("depth").in_range(amplitude, 0.0..=1.0, "of the rate"),
         period_seconds: validator.field("period_s").in_range(period_seconds, 0.1..=864_000.0, "s"),
     }
 }
