--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -9,23 +9,23 @@
     /// The number of requests.
     pub requests: u64,
     /// The time of the last request, in seconds since the load began.
-    pub seconds: f64,
+    pub last_request_at: f64,
     /// The number of requests of each class.
     pub requests_by_class: Vec<u64>,
     /// The number of requests from the clients of each zone.
     pub requests_by_zone: Vec<u64>,
     /// The second with the most requests.
-    pub busiest: SecondTotals,
+    pub peak_requests_second: SecondTotals,
     /// The second with the most work.
-    pub heaviest: SecondTotals,
+    pub peak_work_second: SecondTotals,
     /// The total work of all requests, in seconds on a core of speed 1.
-    pub work: f64,
+    pub total_work: f64,
     /// The total work of each class.
     pub work_by_class: Vec<f64>,
     /// The greatest work of a single request of each class.
     pub max_work_by_class: Vec<f64>,
     /// The totals of the second of the latest request.
-    current: SecondTotals,
+    current_second: SecondTotals,
 }
 
 /// The totals of the requests within one second.
@@ -41,7 +41,7 @@
 
 impl LoadSummary {
     /// An empty summary of load for a fleet.
-    pub fn of(fleet: &Fleet) -> Self {
+    pub fn new(fleet: &Fleet) -> Self {
         let (request_classes, zones) = (fleet.request_classes.len(), fleet.zones.len());
         LoadSummary {
             requests_by_class: vec![0; request_classes],
@@ -56,10 +56,10 @@
     pub fn add(&mut self, request: &ScheduledRequest) {
         let class = request.request_class;
         self.requests += 1;
-        self.seconds = self.seconds.max(request.at);
+        self.last_request_at = self.last_request_at.max(request.at);
         self.requests_by_class[class] += 1;
         self.requests_by_zone[request.zone] += 1;
-        self.work += request.work;
+        self.total_work += request.work;
         self.work_by_class[class] += request.work;
         self.max_work_by_class[class] = self.max_work_by_class[class].max(request.work);
         self.add_to_second(request);
@@ -67,16 +67,16 @@
 
     fn add_to_second(&mut self, request: &ScheduledRequest) {
         let second = request.at.max(0.0) as u64;
-        if second != self.current.second {
-            self.current = SecondTotals { second, ..SecondTotals::default() };
+        if second != self.current_second.second {
+            self.current_second = SecondTotals { second, ..SecondTotals::default() };
         }
-        self.current.requests += 1;
-        self.current.work += request.work;
-        if self.current.requests > self.busiest.requests {
-            self.busiest = self.current;
+        self.current_second.requests += 1;
+        self.current_second.work += request.work;
+        if self.current_second.requests > self.peak_requests_second.requests {
+            self.peak_requests_second = self.current_second;
         }
-        if self.current.work > self.heaviest.work {
-            self.heaviest = self.current;
+        if self.current_second.work > self.peak_work_second.work {
+            self.peak_work_second = self.current_second;
         }
     }
 }
--- a/fleet/src/sampling.rs
+++ b/fleet/src/sampling.rs
@@ -8,7 +8,7 @@
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_128_with_seed;
 
-/// Creates the random number stream of a purpose. `number` distinguishes the streams of one purpose, such as
+/// Creates the random number stream of a purpose. `index` distinguishes the streams of one purpose, such as
 /// those of different endpoints. The name of the purpose is part of the seed: renaming a purpose changes the
 /// results.
 ///
@@ -19,18 +19,18 @@
 /// assert_eq!(draw("work"), draw("work"));
 /// assert_ne!(draw("work"), draw("arrivals"));
 /// ```
-pub fn random_stream(seed: u64, purpose: &str, number: u64) -> Pcg64Mcg {
+pub fn random_stream(seed: u64, purpose: &str, index: u64) -> Pcg64Mcg {
     let mut name = purpose.as_bytes().to_vec();
-    name.extend_from_slice(&number.to_le_bytes());
+    name.extend_from_slice(&index.to_le_bytes());
     Pcg64Mcg::from_seed(xxh3_128_with_seed(&name, seed).to_le_bytes())
 }
 
 /// Samples the work of one request. It always draws three numbers, so that the outcome for one request
 /// doesn't affect the samples of later ones.
-pub fn sample_work(work: &Work, random: &mut Pcg64Mcg) -> f64 {
-    let base_sample = random.random::<f64>();
-    let costly_sample = random.random::<f64>();
-    let factor_sample = random.random::<f64>();
+pub fn sample_work(work: &Work, rng: &mut Pcg64Mcg) -> f64 {
+    let base_sample = rng.random::<f64>();
+    let costly_sample = rng.random::<f64>();
+    let factor_sample = rng.random::<f64>();
     let factor = if costly_sample < work.costly_share {
         work.costly_from + (work.costly_to - work.costly_from) * factor_sample
     } else {
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -25,12 +25,12 @@
 pub struct ScaledLoad<I> {
     load: I,
     factor: f64,
-    random: Pcg64Mcg,
-    held: BinaryHeap<Held>,
+    rng: Pcg64Mcg,
+    buffer: BinaryHeap<BufferedRequest>,
     /// The sequence number of the request that was buffered last.
-    sequence: u64,
+    last_sequence: u64,
     /// No copy that is still to come has an earlier time than this, in seconds.
-    settled_until: f64,
+    final_until: f64,
 }
 
 impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
@@ -39,25 +39,25 @@
         ScaledLoad {
             load,
             factor,
-            random: random_stream(seed, "copies", 0),
-            held: BinaryHeap::new(),
-            sequence: 0,
-            settled_until: f64::NEG_INFINITY,
+            rng: random_stream(seed, "copies", 0),
+            buffer: BinaryHeap::new(),
+            last_sequence: 0,
+            final_until: f64::NEG_INFINITY,
         }
     }
 
-    fn hold(&mut self, request: ScheduledRequest) {
-        self.sequence += 1;
-        self.held.push(Held { request, sequence: self.sequence });
+    fn push(&mut self, request: ScheduledRequest) {
+        self.last_sequence += 1;
+        self.buffer.push(BufferedRequest { request, sequence: self.last_sequence });
     }
 
     /// Buffers `factor` copies of a request on average. The first is the original, which keeps its time.
-    fn copy(&mut self, request: ScheduledRequest) {
-        let copies = (self.factor + self.random.random::<f64>()) as u64;
-        for number in 0..copies {
-            let offset = JITTER_SECONDS * (2.0 * self.random.random::<f64>() - 1.0);
-            let at = if number == 0 { request.at } else { (request.at + offset).max(0.0) };
-            self.hold(ScheduledRequest { at, ..request });
+    fn push_copies(&mut self, request: ScheduledRequest) {
+        let copies = (self.factor + self.rng.random::<f64>()) as u64;
+        for copy in 0..copies {
+            let offset = JITTER_SECONDS * (2.0 * self.rng.random::<f64>() - 1.0);
+            let at = if copy == 0 { request.at } else { (request.at + offset).max(0.0) };
+            self.push(ScheduledRequest { at, ..request });
         }
     }
 }
@@ -69,30 +69,30 @@
         if self.factor == 1.0 {
             return self.load.next();
         }
-        while self.held.peek().is_none_or(|earliest| earliest.request.at > self.settled_until) {
+        while self.buffer.peek().is_none_or(|earliest| earliest.request.at > self.final_until) {
             let Some(request) = self.load.next() else { break };
-            self.settled_until = request.at - JITTER_SECONDS;
-            self.copy(request);
+            self.final_until = request.at - JITTER_SECONDS;
+            self.push_copies(request);
         }
-        self.held.pop().map(|held| held.request)
+        self.buffer.pop().map(|buffered| buffered.request)
     }
 }
 
-struct Held {
+struct BufferedRequest {
     request: ScheduledRequest,
     /// Orders requests with the same time.
     sequence: u64,
 }
 
-impl PartialEq for Held {
+impl PartialEq for BufferedRequest {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Held {}
+impl Eq for BufferedRequest {}
 
-impl Ord for Held {
+impl Ord for BufferedRequest {
     /// Reversed, because `BinaryHeap` is a max-heap and the earliest request is needed first.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_time = other.request.at.total_cmp(&self.request.at);
@@ -100,7 +100,7 @@
     }
 }
 
-impl PartialOrd for Held {
+impl PartialOrd for BufferedRequest {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
--- a/fleet/tests/captured_load.rs
+++ b/fleet/tests/captured_load.rs
@@ -87,10 +87,10 @@
     let reports = [demand(0, 1_000_000), demand(3, 1_000_000), demand(3, 2_000_000)];
     let file = capture(&header(&["fare-quote"], &["east", "west"]), &[], &reports);
     let mut load = CapturedLoad::open(file.as_slice(), &fleet, 1).unwrap();
-    let mut summary = LoadSummary::of(&fleet);
+    let mut summary = LoadSummary::new(&fleet);
     for request in load.by_ref() {
         summary.add(&request);
     }
     assert_eq!((summary.requests_by_zone.clone(), load.findings().spread_from_reports), (vec![20, 40], 60));
-    assert!(summary.busiest.requests >= 40 && summary.seconds < 2.0);
+    assert!(summary.peak_requests_second.requests >= 40 && summary.last_request_at < 2.0);
 }
--- a/fleet/tests/load_profiles.rs
+++ b/fleet/tests/load_profiles.rs
@@ -17,12 +17,12 @@
     assert_ne!(requests, generate(4));
     // About 55 requests per second for one minute.
     assert!((3_000..3_600).contains(&requests.len()), "{}", requests.len());
-    let costly = |from: i64, to: i64| {
-        let within = requests.iter().filter(|t| (from..to).contains(&t.at_us));
-        within.filter(|t| t.request_class == 0 && t.work_us > Some(800_000)).count()
+    let count_costly = |from: i64, to: i64| {
+        let within = requests.iter().filter(|request| (from..to).contains(&request.at_us));
+        within.filter(|request| request.request_class == 0 && request.work_us > Some(800_000)).count()
     };
-    assert_eq!(costly(0, 25_000_000), 0);
-    assert!(costly(25_000_000, 33_000_000) > 0);
+    assert_eq!(count_costly(0, 25_000_000), 0);
+    assert!(count_costly(25_000_000, 33_000_000) > 0);
 }
 
 #[test]
