--- a/emulator/src/collector.rs
+++ b/emulator/src/collector.rs
@@ -56,7 +56,7 @@
     }
 
     fn instance_proxies(&self) -> impl Iterator<Item = &Proxy> {
-        let instances = self.fleet.control_plane.instances;
+        let instances = self.fleet.control_plane.instance_count;
         self.proxies.iter().filter(move |proxy| proxy.instance_index(instances) == self.instance)
     }
 
--- a/fleet/tests/common/mod.rs
+++ b/fleet/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Access to the example files that the tests read.
 
-use otterwinch_fleet::{read, Fleet};
+use otterwinch_fleet::{parse_fleet, Fleet};
 
 /// The text of an example file.
 pub fn example(name: &str) -> String {
@@ -9,5 +9,5 @@
 
 /// The small example fleet.
 pub fn small_fleet() -> Fleet {
-    read("small.fleet", &example("fleets/small.fleet")).unwrap()
+    parse_fleet("small.fleet", &example("fleets/small.fleet")).unwrap()
 }
