--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -3,44 +3,45 @@
 use crate::load::ScheduledRequest;
 use crate::model::Fleet;
 
-/// A summary of a load for its reader.
+/// Totals and peaks of a load, which are updated request by request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSummary {
-    /// All requests.
+    /// The number of requests.
     pub requests: u64,
-    /// When the last request is due.
-    pub seconds: f64,
-    /// Requests by class.
+    /// The time of the last request, in seconds since the load began.
+    pub last_request_at: f64,
+    /// The number of requests of each class.
     pub requests_by_class: Vec<u64>,
-    /// Requests by the zone of the client.
+    /// The number of requests from the clients of each zone.
     pub requests_by_zone: Vec<u64>,
     /// The second with the most requests.
-    pub busiest: SecondTotals,
+    pub peak_requests_second: SecondTotals,
     /// The second with the most work.
-    pub heaviest: SecondTotals,
-    /// The work of all requests, in seconds on a core of speed 1.
-    pub work: f64,
-    /// The same by class.
+    pub peak_work_second: SecondTotals,
+    /// The total work of all requests, in seconds on a core of speed 1.
+    pub total_work: f64,
+    /// The total work of each class.
     pub work_by_class: Vec<f64>,
-    /// The most work of any request of each class.
+    /// The greatest work of a single request of each class.
     pub max_work_by_class: Vec<f64>,
-    current: SecondTotals,
+    /// The totals of the second of the latest request.
+    current_second: SecondTotals,
 }
 
-/// What is due within one second.
+/// The totals of the requests within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
-    /// When the second begins.
+    /// The start of the second, in seconds since the load began.
     pub second: u64,
-    /// Requests.
+    /// The number of requests.
     pub requests: u64,
-    /// Their work, in seconds on a core of speed 1.
+    /// Their total work, in seconds on a core of speed 1.
     pub work: f64,
 }
 
 impl LoadSummary {
-    /// The summary of an empty load for a fleet.
-    pub fn of(fleet: &Fleet) -> Self {
+    /// An empty summary of load for a fleet.
+    pub fn new(fleet: &Fleet) -> Self {
         let (request_classes, zones) = (fleet.request_classes.len(), fleet.zones.len());
         LoadSummary {
             requests_by_class: vec![0; request_classes],
@@ -51,14 +52,14 @@
         }
     }
 
-    /// Adds a request, which is due no earlier than those before it.
+    /// Adds a request. Requests must be added in order of time.
     pub fn add(&mut self, request: &ScheduledRequest) {
         let class = request.request_class;
         self.requests += 1;
-        self.seconds = self.seconds.max(request.at);
+        self.last_request_at = self.last_request_at.max(request.at);
         self.requests_by_class[class] += 1;
         self.requests_by_zone[request.zone] += 1;
-        self.work += request.work;
+        self.total_work += request.work;
         self.work_by_class[class] += request.work;
         self.max_work_by_class[class] = self.max_work_by_class[class].max(request.work);
         self.add_to_second(request);
@@ -66,16 +67,16 @@
 
     fn add_to_second(&mut self, request: &ScheduledRequest) {
         let second = request.at.max(0.0) as u64;
-        if second != self.current.second {
-            self.current = SecondTotals { second, ..SecondTotals::default() };
+        if second != self.current_second.second {
+            self.current_second = SecondTotals { second, ..SecondTotals::default() };
         }
-        self.current.requests += 1;
-        self.current.work += request.work;
-        if self.current.requests > self.busiest.requests {
-            self.busiest = self.current;
+        self.current_second.requests += 1;
+        self.current_second.work += request.work;
+        if self.current_second.requests > self.peak_requests_second.requests {
+            self.peak_requests_second = self.current_second;
         }
-        if self.current.work > self.heaviest.work {
-            self.heaviest = self.current;
+        if self.current_second.work > self.peak_work_second.work {
+            self.peak_work_second = self.current_second;
         }
     }
 }
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -1,4 +1,4 @@
-//! A load made heavier or lighter.
+//! Scales the number of requests of a load.
 
 use crate::load::ScheduledRequest;
 use crate::sampling::random_stream;
@@ -7,12 +7,13 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// A copy is due up to this long before or after its original: near enough to keep the shape of the load, far enough not
-/// to coincide with it.
+/// The time of a copy differs from that of its original by up to this much: little enough to preserve the
+/// shape of the load, and enough that the two don't coincide.
 const JITTER_SECONDS: f64 = 0.5;
 
-/// A load with `factor` times as many requests. Each request occurs `factor` times in the mean, with its own class, zone
-/// and work; the shape through time stays, with bursts and gaps. A factor of 1 leaves the load as it is.
+/// A load with `factor` times as many requests. Each request occurs `factor` times on average, with its
+/// class, zone and work. The shape of the load over time is preserved, including bursts and gaps. A factor of
+/// 1 leaves the load unchanged.
 ///
 /// ```
 /// use otterwinch_fleet::{scale::ScaledLoad, ScheduledRequest};
@@ -24,39 +25,39 @@
 pub struct ScaledLoad<I> {
     load: I,
     factor: f64,
-    random: Pcg64Mcg,
-    held: BinaryHeap<Held>,
-    /// Counts the requests that were held.
-    sequence: u64,
-    /// No request that is still to come is due before this, in seconds.
-    settled_until: f64,
+    rng: Pcg64Mcg,
+    buffer: BinaryHeap<BufferedRequest>,
+    /// The sequence number of the request that was buffered last.
+    last_sequence: u64,
+    /// No copy that is still to come has an earlier time than this, in seconds.
+    final_until: f64,
 }
 
 impl<I: Iterator<Item = ScheduledRequest>> ScaledLoad<I> {
-    /// Scales a load, which is ordered by time.
+    /// Scales a load, which must be ordered by time.
     pub fn new(load: I, factor: f64, seed: u64) -> Self {
         ScaledLoad {
             load,
             factor,
-            random: random_stream(seed, "copies", 0),
-            held: BinaryHeap::new(),
-            sequence: 0,
-            settled_until: f64::NEG_INFINITY,
+            rng: random_stream(seed, "copies", 0),
+            buffer: BinaryHeap::new(),
+            last_sequence: 0,
+            final_until: f64::NEG_INFINITY,
         }
     }
 
-    fn hold(&mut self, request: ScheduledRequest) {
-        self.sequence += 1;
-        self.held.push(Held { request, sequence: self.sequence });
+    fn push(&mut self, request: ScheduledRequest) {
+        self.last_sequence += 1;
+        self.buffer.push(BufferedRequest { request, sequence: self.last_sequence });
     }
 
-    /// Holds as many copies of a request as the factor asks for. The first is the original at its own time.
-    fn copy(&mut self, request: ScheduledRequest) {
-        let copies = (self.factor + self.random.random::<f64>()) as u64;
-        for number in 0..copies {
-            let offset = JITTER_SECONDS * (2.0 * self.random.random::<f64>() - 1.0);
-            let at = if number == 0 { request.at } else { (request.at + offset).max(0.0) };
-            self.hold(ScheduledRequest { at, ..request });
+    /// Buffers `factor` copies of a request on average. The first is the original, which keeps its time.
+    fn push_copies(&mut self, request: ScheduledRequest) {
+        let copies = (self.factor + self.rng.random::<f64>()) as u64;
+        for copy in 0..copies {
+            let offset = JITTER_SECONDS * (2.0 * self.rng.random::<f64>() - 1.0);
+            let at = if copy == 0 { request.at } else { (request.at + offset).max(0.0) };
+            self.push(ScheduledRequest { at, ..request });
         }
     }
 }
@@ -68,38 +69,38 @@
         if self.factor == 1.0 {
             return self.load.next();
         }
-        while self.held.peek().is_none_or(|earliest| earliest.request.at > self.settled_until) {
+        while self.buffer.peek().is_none_or(|earliest| earliest.request.at > self.final_until) {
             let Some(request) = self.load.next() else { break };
-            self.settled_until = request.at - JITTER_SECONDS;
-            self.copy(request);
+            self.final_until = request.at - JITTER_SECONDS;
+            self.push_copies(request);
         }
-        self.held.pop().map(|held| held.request)
+        self.buffer.pop().map(|buffered| buffered.request)
     }
 }
 
-struct Held {
+struct BufferedRequest {
     request: ScheduledRequest,
-    /// Orders requests of the same time.
+    /// Orders requests with the same time.
     sequence: u64,
 }
 
-impl PartialEq for Held {
+impl PartialEq for BufferedRequest {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Held {}
+impl Eq for BufferedRequest {}
 
-impl Ord for Held {
-    /// Reversed, since the heap yields its greatest element and the earliest is wanted.
+impl Ord for BufferedRequest {
+    /// Reversed, because `BinaryHeap` is a max-heap and the earliest request is needed first.
     fn cmp(&self, other: &Self) -> Ordering {
         let by_time = other.request.at.total_cmp(&self.request.at);
         by_time.then(other.sequence.cmp(&self.sequence))
     }
 }
 
-impl PartialOrd for Held {
+impl PartialOrd for BufferedRequest {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
