--- a/textproto/src/diagnostics.rs
+++ b/textproto/src/diagnostics.rs
@@ -1,15 +1,15 @@
-//! The errors of a file.
+//! The errors found in a configuration file.
 
 use std::fmt;
 
-/// One error: where it is, and what it takes to correct it.
+/// An error, its location in the file, and what would be valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// The name of the file.
+    /// The name of the file in which the error is.
     pub file: String,
-    /// The line, from 1; 0 for an error of the whole file.
+    /// The line number, from 1; 0 if the error concerns the whole file.
     pub line: usize,
-    /// The path of the field, such as `group[2].cores`; empty for an error of the whole file.
+    /// The path of the field, such as `group[2].cores`; empty if the error concerns the whole file.
     pub field: String,
     /// What is wrong and what is allowed.
     pub message: String,
@@ -28,12 +28,12 @@
     }
 }
 
-/// All errors of a file, in the order of their lines.
+/// The errors found in a file, sorted by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Diagnostics(pub Vec<Diagnostic>);
 
 impl Diagnostics {
-    /// A single error of a whole file, which can't be opened, for example.
+    /// A single error that concerns the whole file, for example that it can't be opened.
     pub fn of_file(file: &str, message: impl fmt::Display) -> Self {
         Diagnostics(vec![Diagnostic {
             file: file.to_owned(),
--- a/textproto/src/lib.rs
+++ b/textproto/src/lib.rs
@@ -1,9 +1,10 @@
-//! Configuration files in protobuf text format, read by a schema. A file is accepted or rejected as a whole, and a
-//! rejection reports every error at once: its line, the field by its path, what is wrong and what is allowed.
+//! Reads configuration files in protobuf text format against a schema. A file is accepted or rejected as a
+//! whole. A rejection reports all errors that were found rather than only the first, each with its line, the
+//! path of its field, what is wrong and what is allowed.
 //!
-//! [`parse`] reads a text into the generated type of its schema; a package that owns a schema then validates the values
-//! with a [`Validator`]. `locations` finds the line of each field, `tokens` cuts the text into tokens, `diagnostics`
-//! holds the errors.
+//! [`parse`] decodes text into the generated type of its schema. The package that owns the schema then checks
+//! the values with a [`Validator`]. `locations` maps field paths to lines, `tokens` is the tokenizer, and
+//! `diagnostics` defines the error types.
 
 mod diagnostics;
 mod locations;
--- a/textproto/src/locations.rs
+++ b/textproto/src/locations.rs
@@ -1,59 +1,62 @@
-//! Where each field of a text stands: a pass over its tokens that knows the names of the schema and no values. It finds
-//! every unknown field at once, and the line of a value that turns out to be invalid later.
+//! Locates the fields in a text. A pass over the tokens compares field names with the schema and doesn't
+//! interpret values. It finds all unknown fields, and records the lines that later errors about values refer
+//! to.
 
 use crate::tokens::{Token, Tokens};
 use prost_reflect::{Kind, MessageDescriptor};
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Messages are scanned to this depth. Schemas are a few levels deep; a deeper text is left to the parser to reject.
+/// Nesting depth to which messages are scanned. Schemas are a few levels deep; deeper text is left to the
+/// parser to reject.
 const MAX_DEPTH: usize = 32;
 
-/// A name that is less similar to an unknown one is not suggested in its place; 1 is equality.
+/// Minimum similarity of a field name that is suggested in place of an unknown one; 1 means equal.
 const MIN_SIMILARITY: f64 = 0.5;
 
-/// Where the fields of a text stand, by their paths such as `group[2].cores`.
+/// The lines and byte ranges of the fields in a text, by paths such as `group[2].cores`.
 #[derive(Clone, Debug, Default)]
 pub struct FieldLocations {
     lines: HashMap<String, usize>,
-    /// Fields that hold plain values.
+    /// The fields that hold scalar values or lists.
     values: Vec<ValueLocation>,
     pub(crate) unknown_fields: Vec<UnknownField>,
 }
 
-/// A field that holds a plain value or a list.
+/// A field that holds a scalar value or a list.
 #[derive(Clone, Debug)]
 pub(crate) struct ValueLocation {
-    /// Its path.
+    /// The path of the field.
     pub path: String,
-    /// Its bytes, name and value.
+    /// The byte range from the start of the name to the end of the value.
     pub bytes: Range<usize>,
 }
 
-/// A field that the schema does not have.
+/// A field that its message's schema doesn't define.
 #[derive(Clone, Debug)]
 pub(crate) struct UnknownField {
-    /// Its line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// The path of the message that it stands in.
+    /// The path of the message that contains the field.
     pub parent: String,
-    /// Its name.
+    /// The name of the field.
     pub name: String,
-    /// The field of the schema that may have been meant.
+    /// A similar field name in the schema, which may have been meant.
     pub suggestion: Option<String>,
-    /// Its bytes, name and value.
+    /// The byte range from the start of the name to the end of the value.
     pub bytes: Range<usize>,
 }
 
 impl FieldLocations {
-    /// Scans a text that is to hold one message of the schema.
+    /// Scans a text that should contain one message of the given schema.
     pub fn scan(text: &str, schema: &MessageDescriptor) -> FieldLocations {
         let mut scanner = Scanner { tokens: Tokens::new(text), found: FieldLocations::default() };
         scanner.scan_message(Some(schema), "", 0);
         scanner.found
     }
 
-    /// The line of a field, or of the innermost message around it that the text has; 0 where it has none of them.
+    /// The line of a field. If the text doesn't contain it, the line of the innermost enclosing message that
+    /// the text does contain, or 0 if there is none.
     pub fn line(&self, path: &str) -> usize {
         let mut path = path;
         loop {
@@ -67,35 +70,35 @@
         }
     }
 
-    /// The field with a plain value that a byte belongs to.
+    /// The field with a scalar value or list whose byte range contains the offset.
     pub(crate) fn value_at(&self, offset: usize) -> Option<&ValueLocation> {
         self.values.iter().find(|value| value.bytes.contains(&offset))
     }
 
-    /// A field that stands several times is located by the first.
+    /// Records the line of a field; the first occurrence counts if the same path occurs again.
     fn add_line(&mut self, path: String, line: usize) {
         self.lines.entry(path).or_insert(line);
     }
 }
 
-/// A field whose name was read and whose value comes next.
+/// A field whose name has been read and whose value comes next.
 struct Field<'a> {
     name: Token<'a>,
     line: usize,
     is_list: bool,
-    /// The schema of its value, where that is a message.
+    /// The schema of the value, if the value is a message.
     message_schema: Option<MessageDescriptor>,
 }
 
-/// The paths of the fields of one message.
+/// Builds the paths of the fields of one message.
 struct FieldPaths<'p> {
     parent: &'p str,
-    /// How often each name stood.
+    /// How often each field name has occurred so far.
     counts: HashMap<String, usize>,
 }
 
 impl FieldPaths<'_> {
-    /// A path one step below the message.
+    /// The path of a direct child of the message.
     fn join(&self, step: &str) -> String {
         if self.parent.is_empty() {
             step.to_owned()
@@ -104,7 +107,7 @@
         }
     }
 
-    /// The path of the next value of a field.
+    /// The path of the next value of a field; repeated fields are numbered from 0.
     fn of_next_value(&mut self, field: &Field) -> String {
         let name = field.name.text;
         let count = self.counts.entry(name.to_owned()).or_default();
@@ -124,14 +127,14 @@
 }
 
 impl<'a> Scanner<'a> {
-    /// Scans fields up to the end of the message. Within an unknown field there is no schema.
+    /// Scans fields up to the end of the message. `schema` is `None` within an unknown field.
     fn scan_message(&mut self, schema: Option<&MessageDescriptor>, path: &str, depth: usize) {
         let mut paths = FieldPaths { parent: path, counts: HashMap::new() };
         while let Some(token) = self.tokens.next() {
             if matches!(token.text, "}" | ">") {
                 return;
             }
-            // Separators, and what is not a field: the parser reports that.
+            // Skips separators, and malformed text, which the parser reports.
             if !is_name(token.text) {
                 continue;
             }
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Notes a field that its schema does not have, and returns its position among the unknown ones.
+    /// Records a field that the schema doesn't define, and returns its index in `unknown_fields`.
     fn add_if_unknown(
         &mut self,
         name: Token,
@@ -231,7 +234,8 @@
         self.found.values.push(ValueLocation { path, bytes });
     }
 
-    /// Whether a plain value goes on: a minus is followed by its number, and adjacent strings are one.
+    /// Whether a scalar value continues after this token: a minus sign is followed by its number, and
+    /// adjacent string literals are concatenated.
     fn is_continued_after(&mut self, token: Token) -> bool {
         if token.text == "-" {
             return true;
@@ -248,7 +252,7 @@
     token.starts_with(['"', '\''])
 }
 
-/// The field of a message whose name is most similar to one that it does not have.
+/// The field name of a schema that is most similar to an unknown name; `None` if none is similar enough.
 fn most_similar_field(name: &str, schema: &MessageDescriptor) -> Option<String> {
     let similarity = |field: &str| strsim::normalized_damerau_levenshtein(name, field);
     let names = schema.fields().map(|field| field.name().to_owned());
--- a/textproto/src/parse.rs
+++ b/textproto/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads a text by a schema into a message of that schema's generated type.
+//! Parses text in protobuf text format into the generated type of a schema.
 
 use crate::diagnostics::{Diagnostic, Diagnostics};
 use crate::locations::FieldLocations;
@@ -8,22 +8,22 @@
 use prost_reflect::{DynamicMessage, MessageDescriptor};
 use std::ops::Range;
 
-/// A configuration file is written by a person; a larger one is something else.
+/// Configuration files are written by hand; a larger file is taken to be something else.
 const MAX_FILE_BYTES: usize = 4 << 20;
-/// Beyond so many errors no further values are looked at.
+/// Parsing isn't retried to find further errors once there are this many.
 const MAX_DIAGNOSTICS: usize = 64;
 
-/// A file that was read, with the locations of its fields.
+/// A configuration file that has been parsed, and the locations of its fields.
 #[derive(Clone, Debug, Default)]
 pub struct SourceFile {
-    /// The name of the file.
+    /// The name of the file, as errors give it.
     pub file: String,
-    /// Where its fields stand.
+    /// The locations of the fields in the file.
     pub locations: FieldLocations,
 }
 
 impl SourceFile {
-    /// An error of a field of this file.
+    /// Creates an error about a field in this file.
     pub fn diagnostic(&self, field: &str, message: impl Into<String>) -> Diagnostic {
         Diagnostic {
             file: self.file.clone(),
@@ -34,8 +34,8 @@
     }
 }
 
-/// Reads a text as one message of a schema whose generated type is `T`. Fails with every unknown field, and with every
-/// value that is not of its field's type.
+/// Parses a text as one message of a schema whose generated type is `T`. `file` is the name that errors give
+/// the file. Reports all unknown fields, and values that don't have the type of their field.
 pub fn parse<T: Message + Default>(
     file: &str,
     text: &str,
@@ -63,7 +63,7 @@
             field: value.map(|value| value.path.clone()).unwrap_or_default(),
             message: error.to_string(),
         });
-        // The parser stops at the first error: the value is blanked, so that the next one is found.
+        // The parser stops at the first error. Blanking the invalid value lets it find the next one.
         let blanked = value.is_some_and(|value| blank(&mut remaining, value.bytes.clone()));
         if !blanked {
             break;
@@ -73,7 +73,7 @@
     Err(Diagnostics(diagnostics))
 }
 
-/// Reports each unknown field, and blanks it, so that the parser goes on to what follows.
+/// Reports each unknown field, and blanks it, so that the parser doesn't stop there.
 fn blank_unknown_fields(source: &SourceFile, text: &mut String) -> Vec<Diagnostic> {
     let mut diagnostics = Vec::new();
     for unknown in &source.locations.unknown_fields {
@@ -97,7 +97,8 @@
     transcoded.map_err(|error| Diagnostics::of_file(file, format!("not of its schema: {error}")))
 }
 
-/// Replaces some bytes by blanks, so that all others keep their offsets; false where they were blank already.
+/// Overwrites a byte range with spaces, keeping line breaks, so that all other bytes keep their offsets and
+/// lines. Returns false if the range was blank already.
 fn blank(text: &mut String, bytes: Range<usize>) -> bool {
     let original = &text[bytes.clone()];
     let blanks: String = original.bytes().map(|byte| if byte == b'\n' { '\n' } else { ' ' }).collect();
--- a/textproto/src/tokens.rs
+++ b/textproto/src/tokens.rs
@@ -1,36 +1,37 @@
-//! Cuts a text into tokens, without comments and blanks. It accepts any text: what is malformed is left to the parser.
+//! Splits text into tokens, skipping comments and whitespace. It accepts any text; the parser reports
+//! malformed input.
 
-/// A name, number, string or sign.
+/// A name, a number, a string literal or a punctuation character.
 #[derive(Clone, Copy, Debug)]
 pub struct Token<'a> {
-    /// Its text, with the quotes of a string.
+    /// The text of the token, including the quotes of a string literal.
     pub text: &'a str,
-    /// The offset of its first byte.
+    /// The offset of the first byte.
     pub start: usize,
-    /// The offset of the byte after it.
+    /// The offset after the last byte.
     pub end: usize,
 }
 
-/// The tokens of a text, with one of look-ahead.
+/// Iterates over the tokens of a text, with one token of lookahead.
 pub struct Tokens<'a> {
     text: &'a str,
-    /// The end of the last token that was taken.
+    /// The end of the last consumed token.
     position: usize,
     peeked: Option<Token<'a>>,
 }
 
 impl<'a> Tokens<'a> {
-    /// Starts at the beginning of a text.
+    /// A tokenizer at the beginning of a text.
     pub fn new(text: &'a str) -> Self {
         Tokens { text, position: 0, peeked: None }
     }
 
-    /// The end of the last token that was taken.
+    /// The end offset of the last consumed token.
     pub fn position(&self) -> usize {
         self.position
     }
 
-    /// The text of the next token, which is not taken.
+    /// The text of the next token, without consuming it.
     pub fn peek(&mut self) -> Option<&'a str> {
         if self.peeked.is_none() {
             self.peeked = self.scan();
@@ -38,7 +39,7 @@
         self.peeked.map(|token| token.text)
     }
 
-    /// Takes the next token.
+    /// Consumes the next token.
     pub fn next(&mut self) -> Option<Token<'a>> {
         let token = self.peeked.take().or_else(|| self.scan())?;
         self.position = token.end;
@@ -57,13 +58,13 @@
         Some(Token { text: &self.text[start..end], start, end })
     }
 
-    /// The line on which a byte stands, from 1.
+    /// The line number of a byte offset, from 1.
     pub fn line_at(&self, offset: usize) -> usize {
         line_at(self.text, offset)
     }
 }
 
-/// Where the next token starts; `None` at the end of the text.
+/// The offset at which the next token starts; `None` if there is none.
 fn skip_blanks_and_comments(bytes: &[u8], from: usize) -> Option<usize> {
     let mut at = from;
     loop {
@@ -75,7 +76,7 @@
     }
 }
 
-/// The end of a string. It ends with its line at the latest, closed or not.
+/// The end offset of a string literal. An unterminated one ends at the end of its line.
 fn string_end(bytes: &[u8], start: usize) -> usize {
     let quote = bytes[start];
     let mut end = start + 1;
@@ -88,7 +89,7 @@
     end.min(bytes.len())
 }
 
-/// The end of a name or number.
+/// The end offset of a name or number.
 fn word_end(bytes: &[u8], start: usize) -> usize {
     let mut end = start + 1;
     while bytes.get(end).is_some_and(|byte| is_word_byte(*byte)) || is_exponent_sign(bytes, start, end) {
@@ -101,14 +102,14 @@
     byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'.')
 }
 
-/// Whether the byte is the sign in a number such as 1e-6.
+/// Whether the byte is the sign of an exponent, as in 1e-6.
 fn is_exponent_sign(bytes: &[u8], number_start: usize, at: usize) -> bool {
     bytes[number_start].is_ascii_digit()
         && matches!(bytes.get(at), Some(b'+' | b'-'))
         && matches!(bytes[at - 1], b'e' | b'E')
 }
 
-/// The line on which a byte of a text stands, from 1.
+/// The line number of a byte offset in a text, from 1.
 pub fn line_at(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.len())];
     1 + before.iter().filter(|byte| **byte == b'\n').count()
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -1,5 +1,5 @@
-//! Validates the values of a message once they are of their types: ranges, names, required fields. All errors are
-//! collected; a check that fails returns a valid value in place of the wrong one, so that validation goes on.
+//! Validates the values of a parsed message: ranges, names, required fields. All errors are collected; a
+//! check that fails reports the error and still returns a value, so that validation can continue.
 
 use crate::diagnostics::{Diagnostic, Diagnostics};
 use crate::parse::SourceFile;
@@ -10,16 +10,17 @@
 
 const MAX_IDENTIFIER_BYTES: usize = 64;
 
-/// A field or message of a file, and all errors of that file so far.
+/// Validates one field or message of a file, and collects its errors with those of the rest of the file.
 pub struct Validator<'a> {
     source: &'a SourceFile,
-    /// The path of the field; empty for the whole message.
+    /// The path of the field or message; empty for the top-level message.
     path: String,
     diagnostics: &'a RefCell<Vec<Diagnostic>>,
 }
 
 impl<'a> Validator<'a> {
-    /// Validates a whole message. What `convert` returns is kept only if it reported no error.
+    /// Validates a top-level message. Returns the result of `convert` if it reported no errors, else the
+    /// errors.
     pub fn validate<T>(source: &SourceFile, convert: impl FnOnce(&Validator) -> T) -> Result<T, Diagnostics> {
         let diagnostics = RefCell::default();
         let value = convert(&Validator { source, path: String::new(), diagnostics: &diagnostics });
@@ -36,29 +37,30 @@
         Validator { source: self.source, path, diagnostics: self.diagnostics }
     }
 
-    /// A field of this message.
+    /// The validator of a field of this message.
     pub fn field(&self, name: &str) -> Validator<'a> {
         self.child(name.to_owned())
     }
 
-    /// An element of a repeated field of this message, from 0.
+    /// The validator of one element of a repeated field of this message; `position` counts from 0.
     pub fn element(&self, name: &str, position: usize) -> Validator<'a> {
         self.child(format!("{name}[{position}]"))
     }
 
-    /// Reports an error of this field.
+    /// Reports an error about this field.
     pub fn report(&self, message: impl Into<String>) {
         self.diagnostics.borrow_mut().push(self.source.diagnostic(&self.path, message));
     }
 
-    /// Reports an error of this field unless the condition holds.
+    /// Reports an error about this field unless the condition holds.
     pub fn require(&self, condition: bool, message: impl FnOnce() -> String) {
         if !condition {
             self.report(message());
         }
     }
 
-    /// The value if it is within bounds, else the lower bound; `unit` says what it measures.
+    /// Returns the value if it is within bounds; else reports an error and returns the lower bound. `unit` is
+    /// the unit of the value in the error.
     pub fn in_range(&self, value: f64, bounds: RangeInclusive<f64>, unit: &str) -> f64 {
         if bounds.contains(&value) {
             return value;
@@ -68,7 +70,8 @@
         least
     }
 
-    /// The whole number if it is within bounds, else the lower bound; `unit` says what it counts.
+    /// Returns the integer if it is within bounds; else reports an error and returns the lower bound. `unit`
+    /// names the counted things in the error.
     pub fn count_in_range(&self, value: u32, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
         if bounds.contains(&value) {
             return value;
@@ -78,7 +81,8 @@
         least
     }
 
-    /// The value, which has to be an identifier: short, and without characters that would break a table or a path.
+    /// Returns the value, and reports an error unless it is an identifier: short, and without characters that
+    /// would break a table or a path.
     pub fn identifier(&self, value: &str) -> String {
         let allowed = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.');
         let valid = !value.is_empty() && value.len() <= MAX_IDENTIFIER_BYTES && value.chars().all(allowed);
@@ -88,7 +92,8 @@
         value.to_owned()
     }
 
-    /// The position of a name among those that exist, or 0; `what` says what the names stand for.
+    /// Returns the position of a name in the known names; if it isn't one of them, reports an error and
+    /// returns 0. `what` is the kind of thing that the names refer to.
     pub fn position_of(&self, name: &str, known: &[String], what: &str) -> usize {
         if let Some(position) = known.iter().position(|known_name| known_name == name) {
             return position;
@@ -97,7 +102,7 @@
         0
     }
 
-    /// Reports each element of a repeated field whose `name` an earlier one has.
+    /// Reports each element of a repeated field whose `name` field repeats that of an earlier element.
     pub fn unique_names<'n>(&self, field: &str, names: impl Iterator<Item = &'n str>) {
         let mut positions = HashMap::new();
         for (position, name) in names.enumerate() {
@@ -108,7 +113,8 @@
         }
     }
 
-    /// The value, which has to be there, or the default; `what` says what it is.
+    /// Returns the value; if there is none, reports an error and returns the default. `what` describes the
+    /// value in the error.
     pub fn required<T: Default>(&self, value: Option<T>, what: impl Display) -> T {
         value.unwrap_or_else(|| {
             self.report(format!("is missing: {what}"));
--- a/textproto/tests/parse.rs
+++ b/textproto/tests/parse.rs
@@ -1,4 +1,5 @@
-//! Texts of a well-known schema, `google.protobuf.FileDescriptorProto`: what is accepted, and how errors are reported.
+//! Parses and validates texts of a well-known schema, `google.protobuf.FileDescriptorProto`: which are
+//! accepted, and how errors are reported.
 
 use otterwinch_textproto::{parse, Diagnostics, FieldLocations, SourceFile, Validator};
 use proptest::prelude::*;
@@ -103,7 +104,7 @@
 }
 
 proptest! {
-    /// Whatever the text, it is accepted or rejected with at least one error, without a panic.
+    /// Any text is either accepted or rejected with at least one error, and none causes a panic.
     #[test]
     fn any_text_is_accepted_or_rejected(parts in prop::collection::vec(prop::sample::select(vec![
         "{", "}", "<", ">", "[", "]", ":", ",", ";", "-", "\"", "'", "\\", "#", "\n", " ", "1e-6", "7", "ü",
