--- a/emulator/src/endpoint/executor.rs
+++ b/emulator/src/endpoint/executor.rs
@@ -1,4 +1,5 @@
-//! The cores of an endpoint and the queue before them. Execution is a sleep for as long as the work takes.
+//! The cores of an endpoint and the queue in front of them. Executing a request is a sleep for its execution
+//! time.
 
 use super::counters::GaugeGuard;
 use crate::sync::lock;
@@ -8,21 +9,22 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{sleep, Instant};
 
-/// The most that one late timer adds to the timer debt, in seconds. A longer delay is the machine's load, not the
-/// timer's granularity.
-const MAX_TIMER_DEBT_STEP_SECS: f64 = 0.01;
+/// The most that one sleep adds to the accumulated overshoot, in seconds. A longer delay is caused by the
+/// load of the machine, not by the granularity of its timers.
+const MAX_RECORDED_OVERSHOOT_SECS: f64 = 0.01;
 
-/// Executes requests on a number of cores.
+/// Executes requests on a fixed number of cores.
 pub(super) struct Executor {
     cores: Arc<Semaphore>,
     queued: AtomicU32,
     max_queued: u32,
-    /// Seconds by which sleeps were too long. Timers have a granularity of a millisecond; later sleeps are shortened by
-    /// the debt, so that the core time in use is right on average.
-    timer_debt: Mutex<f64>,
+    /// Seconds by which earlier sleeps were too long, less what has been deducted since. Timers have a
+    /// granularity of one millisecond; deducting the overshoot from later sleeps keeps the used core time
+    /// correct on average.
+    overshoot: Mutex<f64>,
 }
 
-/// The queue is full.
+/// The error of a request that arrives while the queue is full.
 pub(super) struct QueueFull;
 
 impl Executor {
@@ -31,16 +33,16 @@
             cores: Arc::new(Semaphore::new(cores as usize)),
             queued: AtomicU32::new(0),
             max_queued,
-            timer_debt: Mutex::new(0.0),
+            overshoot: Mutex::new(0.0),
         }
     }
 
-    /// Forgets the queue of a former incarnation.
+    /// Resets the queue length at a restart.
     pub(super) fn reset_queue(&self) {
         self.queued.store(0, Ordering::SeqCst);
     }
 
-    /// Takes a free core, or queues for one.
+    /// Takes a free core, or waits in the queue for one.
     pub(super) async fn acquire_core(&self) -> Result<OwnedSemaphorePermit, QueueFull> {
         if let Ok(core) = self.cores.clone().try_acquire_owned() {
             return Ok(core);
@@ -53,20 +55,21 @@
         Ok(self.cores.clone().acquire_owned().await.expect("the semaphore is never closed"))
     }
 
-    /// Sleeps for a number of seconds, less the timer debt.
-    pub(super) async fn occupy(&self, seconds: f64) {
-        let requested = self.repay_timer_debt(seconds);
-        let began = Instant::now();
+    /// Sleeps for the execution time of a request, less the accumulated overshoot.
+    pub(super) async fn occupy_core(&self, seconds: f64) {
+        let requested = self.deduct_overshoot(seconds);
+        let started_at = Instant::now();
         sleep(Duration::from_secs_f64(requested)).await;
-        let excess = began.elapsed().as_secs_f64() - requested;
-        *lock(&self.timer_debt) += excess.clamp(0.0, MAX_TIMER_DEBT_STEP_SECS);
+        let excess = started_at.elapsed().as_secs_f64() - requested;
+        *lock(&self.overshoot) += excess.clamp(0.0, MAX_RECORDED_OVERSHOOT_SECS);
     }
 
-    /// Shortens a sleep by the timer debt, as far as it goes; returns what remains to sleep.
-    fn repay_timer_debt(&self, seconds: f64) -> f64 {
-        let mut timer_debt = lock(&self.timer_debt);
-        let remaining = (seconds - *timer_debt).max(0.0);
-        *timer_debt -= seconds - remaining;
+    /// Deducts the accumulated overshoot from a sleep, at most its whole length. Returns the remaining sleep
+    /// in seconds.
+    fn deduct_overshoot(&self, seconds: f64) -> f64 {
+        let mut overshoot = lock(&self.overshoot);
+        let remaining = (seconds - *overshoot).max(0.0);
+        *overshoot -= seconds - remaining;
         remaining
     }
 }
