--- a/fleet/src/parse.rs
+++ b/fleet/src/parse.rs
@@ -22,7 +22,7 @@
 ///
 /// ```
 /// let errors = otterwinch_fleet::read("f", "name: 'a b'\nhals {}").unwrap_err();
-/// assert_eq!(errors.to_string(), "f:2: there is no field 'hals' here; did you mean 'hall'?");
+/// assert_eq!(errors.to_string(), "f:2: unknown field 'hals'; did you mean 'hall'?");
 /// ```
 pub fn read(file: &str, text: &str) -> Result<Fleet, Diagnostics> {
     let schema = message_schema("Fleet");
--- a/textproto/src/parse.rs
+++ b/textproto/src/parse.rs
@@ -42,7 +42,7 @@
     schema: &MessageDescriptor,
 ) -> Result<(T, SourceFile), Diagnostics> {
     if text.len() > MAX_FILE_BYTES {
-        let message = format!("{} bytes; a settings file has at most {MAX_FILE_BYTES}", text.len());
+        let message = format!("{} bytes; at most {MAX_FILE_BYTES} are allowed", text.len());
         return Err(Diagnostics::of_file(file, message));
     }
     let source = SourceFile { file: file.to_owned(), locations: FieldLocations::scan(text, schema) };
@@ -77,7 +77,7 @@
 fn blank_unknown_fields(source: &SourceFile, text: &mut String) -> Vec<Diagnostic> {
     let mut diagnostics = Vec::new();
     for unknown in &source.locations.unknown_fields {
-        let mut message = format!("there is no field '{}' here", unknown.name);
+        let mut message = format!("unknown field '{}'", unknown.name);
         if let Some(suggestion) = &unknown.suggestion {
             message.push_str(&format!("; did you mean '{suggestion}'?"));
         }
@@ -94,7 +94,7 @@
 
 fn transcode<T: Message + Default>(file: &str, message: &DynamicMessage) -> Result<T, Diagnostics> {
     let transcoded = message.transcode_to::<T>();
-    transcoded.map_err(|error| Diagnostics::of_file(file, format!("not of its schema: {error}")))
+    transcoded.map_err(|error| Diagnostics::of_file(file, format!("does not match its schema: {error}")))
 }
 
 /// Overwrites a byte range with spaces, keeping line breaks, so that all other bytes keep their offsets and
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -66,7 +66,7 @@
             return value;
         }
         let (least, most) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is not allowed: {least} to {most} {unit}"));
+        self.report(format!("{value} {unit} is out of range; expected {least} to {most} {unit}"));
         least
     }
 
@@ -77,17 +77,18 @@
             return value;
         }
         let (least, most) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is not allowed: {least} to {most}"));
+        self.report(format!("{value} {unit} is out of range; expected {least} to {most}"));
         least
     }
 
     /// Returns the value, and reports an error unless it is an identifier: short, and without characters that
     /// would break a table or a path.
     pub fn identifier(&self, value: &str) -> String {
-        let allowed = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.');
-        let valid = !value.is_empty() && value.len() <= MAX_IDENTIFIER_BYTES && value.chars().all(allowed);
+        let is_allowed = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.');
+        let valid = !value.is_empty() && value.len() <= MAX_IDENTIFIER_BYTES && value.chars().all(is_allowed);
         self.require(valid, || {
-            format!("'{value}' is no name: 1 to {MAX_IDENTIFIER_BYTES} letters, digits, '-', '_' or '.'")
+            let allowed = "letters, digits, '-', '_' or '.'";
+            format!("'{value}' is not a valid name; expected 1 to {MAX_IDENTIFIER_BYTES} bytes: {allowed}")
         });
         value.to_owned()
     }
@@ -98,7 +99,7 @@
         if let Some(position) = known.iter().position(|known_name| known_name == name) {
             return position;
         }
-        self.report(format!("there is no {what} '{name}'; there are: {}", known.join(", ")));
+        self.report(format!("unknown {what} '{name}'; expected one of: {}", known.join(", ")));
         0
     }
 
@@ -107,7 +108,7 @@
         let mut positions = HashMap::new();
         for (position, name) in names.enumerate() {
             if let Some(earlier) = positions.insert(name, position) {
-                let message = format!("'{name}' is the name of {field}[{earlier}] already");
+                let message = format!("duplicate name '{name}'; {field}[{earlier}] already has it");
                 self.element(field, position).field("name").report(message);
             }
         }
