--- a/textproto/src/diagnostics.rs
+++ b/textproto/src/diagnostics.rs
@@ -34,7 +34,7 @@
 
 impl Diagnostics {
     /// A single error that concerns the whole file, for example that it can't be opened.
-    pub fn of_file(file: &str, message: impl fmt::Display) -> Self {
+    pub fn for_file(file: &str, message: impl fmt::Display) -> Self {
         Diagnostics(vec![Diagnostic {
             file: file.to_owned(),
             line: 0,
--- a/textproto/src/locations.rs
+++ b/textproto/src/locations.rs
@@ -2,7 +2,7 @@
 //! interpret values. It finds all unknown fields, and records the lines that later errors about values refer
 //! to.
 
-use crate::tokens::{Token, Tokens};
+use crate::tokens::{Token, Tokenizer};
 use prost_reflect::{Kind, MessageDescriptor};
 use std::collections::HashMap;
 use std::ops::Range;
@@ -29,7 +29,7 @@
     /// The path of the field.
     pub path: String,
     /// The byte range from the start of the name to the end of the value.
-    pub bytes: Range<usize>,
+    pub span: Range<usize>,
 }
 
 /// A field that its message's schema doesn't define.
@@ -44,15 +44,15 @@
     /// A similar field name in the schema, which may have been meant.
     pub suggestion: Option<String>,
     /// The byte range from the start of the name to the end of the value.
-    pub bytes: Range<usize>,
+    pub span: Range<usize>,
 }
 
 impl FieldLocations {
     /// Scans a text that should contain one message of the given schema.
     pub fn scan(text: &str, schema: &MessageDescriptor) -> FieldLocations {
-        let mut scanner = Scanner { tokens: Tokens::new(text), found: FieldLocations::default() };
+        let mut scanner = Scanner { tokenizer: Tokenizer::new(text), locations: FieldLocations::default() };
         scanner.scan_message(Some(schema), "", 0);
-        scanner.found
+        scanner.locations
     }
 
     /// The line of a field. If the text doesn't contain it, the line of the innermost enclosing message that
@@ -72,11 +72,11 @@
 
     /// The field with a scalar value or list whose byte range contains the offset.
     pub(crate) fn value_at(&self, offset: usize) -> Option<&ValueLocation> {
-        self.values.iter().find(|value| value.bytes.contains(&offset))
+        self.values.iter().find(|value| value.span.contains(&offset))
     }
 
-    /// Records the line of a field; the first occurrence counts if the same path occurs again.
-    fn add_line(&mut self, path: String, line: usize) {
+    /// Records the line of a field; the first occurrence counts if a path occurs more than once.
+    fn record_line(&mut self, path: String, line: usize) {
         self.lines.entry(path).or_insert(line);
     }
 }
@@ -94,23 +94,23 @@
 struct FieldPaths<'p> {
     parent: &'p str,
     /// How often each field name has occurred so far.
-    counts: HashMap<String, usize>,
+    occurrences: HashMap<String, usize>,
 }
 
 impl FieldPaths<'_> {
     /// The path of a direct child of the message.
-    fn join(&self, step: &str) -> String {
+    fn join(&self, segment: &str) -> String {
         if self.parent.is_empty() {
-            step.to_owned()
+            segment.to_owned()
         } else {
-            format!("{}.{step}", self.parent)
+            format!("{}.{segment}", self.parent)
         }
     }
 
     /// The path of the next value of a field; repeated fields are numbered from 0.
-    fn of_next_value(&mut self, field: &Field) -> String {
+    fn next_value_path(&mut self, field: &Field) -> String {
         let name = field.name.text;
-        let count = self.counts.entry(name.to_owned()).or_default();
+        let count = self.occurrences.entry(name.to_owned()).or_default();
         let position = *count;
         *count += 1;
         if field.is_list {
@@ -122,15 +122,15 @@
 }
 
 struct Scanner<'a> {
-    tokens: Tokens<'a>,
-    found: FieldLocations,
+    tokenizer: Tokenizer<'a>,
+    locations: FieldLocations,
 }
 
 impl<'a> Scanner<'a> {
     /// Scans fields up to the end of the message. `schema` is `None` within an unknown field.
     fn scan_message(&mut self, schema: Option<&MessageDescriptor>, path: &str, depth: usize) {
-        let mut paths = FieldPaths { parent: path, counts: HashMap::new() };
-        while let Some(token) = self.tokens.next() {
+        let mut paths = FieldPaths { parent: path, occurrences: HashMap::new() };
+        while let Some(token) = self.tokenizer.next() {
             if matches!(token.text, "}" | ">") {
                 return;
             }
@@ -138,27 +138,27 @@
             if !is_name(token.text) {
                 continue;
             }
-            let unknown = self.add_if_unknown(token, schema, path);
-            let field = self.field(token, schema);
-            if self.tokens.peek() == Some(":") {
-                self.tokens.next();
+            let unknown = self.record_if_unknown(token, schema, path);
+            let field = self.resolve_field(token, schema);
+            if self.tokenizer.peek() == Some(":") {
+                self.tokenizer.next();
             }
-            if self.tokens.peek().is_none() {
+            if self.tokenizer.peek().is_none() {
                 return;
             }
             self.scan_value(&field, &mut paths, depth);
             if let Some(unknown) = unknown {
-                self.found.unknown_fields[unknown].bytes.end = self.tokens.position();
+                self.locations.unknown_fields[unknown].span.end = self.tokenizer.position();
             }
         }
     }
 
-    fn field(&self, name: Token<'a>, schema: Option<&MessageDescriptor>) -> Field<'a> {
+    fn resolve_field(&self, name: Token<'a>, schema: Option<&MessageDescriptor>) -> Field<'a> {
         let descriptor = schema.and_then(|schema| schema.get_field_by_name(name.text));
         let kind = descriptor.as_ref().map(|descriptor| descriptor.kind());
         Field {
             name,
-            line: self.tokens.line_at(name.start),
+            line: self.tokenizer.line_at(name.start),
             is_list: descriptor.is_some_and(|descriptor| descriptor.is_list()),
             message_schema: match kind {
                 Some(Kind::Message(message)) => Some(message),
@@ -168,7 +168,7 @@
     }
 
     /// Records a field that the schema doesn't define, and returns its index in `unknown_fields`.
-    fn add_if_unknown(
+    fn record_if_unknown(
         &mut self,
         name: Token,
         schema: Option<&MessageDescriptor>,
@@ -178,69 +178,69 @@
         if schema.get_field_by_name(name.text).is_some() {
             return None;
         }
-        self.found.unknown_fields.push(UnknownField {
-            line: self.tokens.line_at(name.start),
+        self.locations.unknown_fields.push(UnknownField {
+            line: self.tokenizer.line_at(name.start),
             parent: parent.to_owned(),
             name: name.text.to_owned(),
             suggestion: most_similar_field(name.text, schema),
-            bytes: name.start..name.start,
+            span: name.start..name.start,
         });
-        Some(self.found.unknown_fields.len() - 1)
+        Some(self.locations.unknown_fields.len() - 1)
     }
 
     fn scan_value(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
-        match self.tokens.peek() {
+        match self.tokenizer.peek() {
             Some("{" | "<") => {
-                self.tokens.next();
-                let path = paths.of_next_value(field);
-                self.found.add_line(path.clone(), field.line);
+                self.tokenizer.next();
+                let path = paths.next_value_path(field);
+                self.locations.record_line(path.clone(), field.line);
                 if depth < MAX_DEPTH {
                     self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
                 }
             }
             Some("[") => self.scan_list(field, paths, depth),
-            _ => self.scan_plain_value(field, paths),
+            _ => self.scan_scalar(field, paths),
         }
     }
 
     fn scan_list(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
-        self.tokens.next();
-        while let Some(token) = self.tokens.next() {
+        self.tokenizer.next();
+        while let Some(token) = self.tokenizer.next() {
             match token.text {
                 "]" => break,
                 "," => {}
                 text => {
-                    let path = paths.of_next_value(field);
-                    self.found.add_line(path.clone(), self.tokens.line_at(token.start));
+                    let path = paths.next_value_path(field);
+                    self.locations.record_line(path.clone(), self.tokenizer.line_at(token.start));
                     if matches!(text, "{" | "<") && depth < MAX_DEPTH {
                         self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
                     }
                 }
             }
         }
-        let bytes = field.name.start..self.tokens.position();
-        self.found.values.push(ValueLocation { path: paths.join(field.name.text), bytes });
+        let span = field.name.start..self.tokenizer.position();
+        self.locations.values.push(ValueLocation { path: paths.join(field.name.text), span });
     }
 
-    fn scan_plain_value(&mut self, field: &Field, paths: &mut FieldPaths) {
-        let path = paths.of_next_value(field);
-        self.found.add_line(path.clone(), field.line);
-        while let Some(token) = self.tokens.next() {
-            if !self.is_continued_after(token) {
+    fn scan_scalar(&mut self, field: &Field, paths: &mut FieldPaths) {
+        let path = paths.next_value_path(field);
+        self.locations.record_line(path.clone(), field.line);
+        while let Some(token) = self.tokenizer.next() {
+            if !self.continues_after(token) {
                 break;
             }
         }
-        let bytes = field.name.start..self.tokens.position();
-        self.found.values.push(ValueLocation { path, bytes });
+        let span = field.name.start..self.tokenizer.position();
+        self.locations.values.push(ValueLocation { path, span });
     }
 
     /// Whether a scalar value continues after this token: a minus sign is followed by its number, and
     /// adjacent string literals are concatenated.
-    fn is_continued_after(&mut self, token: Token) -> bool {
+    fn continues_after(&mut self, token: Token) -> bool {
         if token.text == "-" {
             return true;
         }
-        is_string(token.text) && self.tokens.peek().is_some_and(is_string)
+        is_string(token.text) && self.tokenizer.peek().is_some_and(is_string)
     }
 }
 
--- a/textproto/src/parse.rs
+++ b/textproto/src/parse.rs
@@ -43,7 +43,7 @@
 ) -> Result<(T, SourceFile), Diagnostics> {
     if text.len() > MAX_FILE_BYTES {
         let message = format!("{} bytes; at most {MAX_FILE_BYTES} are allowed", text.len());
-        return Err(Diagnostics::of_file(file, message));
+        return Err(Diagnostics::for_file(file, message));
     }
     let source = SourceFile { file: file.to_owned(), locations: FieldLocations::scan(text, schema) };
     let mut remaining = text.to_owned();
@@ -64,7 +64,7 @@
             message: error.to_string(),
         });
         // The parser stops at the first error. Blanking the invalid value lets it find the next one.
-        let blanked = value.is_some_and(|value| blank(&mut remaining, value.bytes.clone()));
+        let blanked = value.is_some_and(|value| blank_range(&mut remaining, value.span.clone()));
         if !blanked {
             break;
         }
@@ -87,22 +87,22 @@
             field: unknown.parent.clone(),
             message,
         });
-        blank(text, unknown.bytes.clone());
+        blank_range(text, unknown.span.clone());
     }
     diagnostics
 }
 
 fn transcode<T: Message + Default>(file: &str, message: &DynamicMessage) -> Result<T, Diagnostics> {
     let transcoded = message.transcode_to::<T>();
-    transcoded.map_err(|error| Diagnostics::of_file(file, format!("does not match its schema: {error}")))
+    transcoded.map_err(|error| Diagnostics::for_file(file, format!("does not match its schema: {error}")))
 }
 
 /// Overwrites a byte range with spaces, keeping line breaks, so that all other bytes keep their offsets and
 /// lines. Returns false if the range was blank already.
-fn blank(text: &mut String, bytes: Range<usize>) -> bool {
-    let original = &text[bytes.clone()];
+fn blank_range(text: &mut String, range: Range<usize>) -> bool {
+    let original = &text[range.clone()];
     let blanks: String = original.bytes().map(|byte| if byte == b'\n' { '\n' } else { ' ' }).collect();
     let changed = original != blanks;
-    text.replace_range(bytes, &blanks);
+    text.replace_range(range, &blanks);
     changed
 }
--- a/textproto/src/tokens.rs
+++ b/textproto/src/tokens.rs
@@ -13,17 +13,17 @@
 }
 
 /// Iterates over the tokens of a text, with one token of lookahead.
-pub struct Tokens<'a> {
+pub struct Tokenizer<'a> {
     text: &'a str,
     /// The end of the last consumed token.
     position: usize,
     peeked: Option<Token<'a>>,
 }
 
-impl<'a> Tokens<'a> {
+impl<'a> Tokenizer<'a> {
     /// A tokenizer at the beginning of a text.
     pub fn new(text: &'a str) -> Self {
-        Tokens { text, position: 0, peeked: None }
+        Tokenizer { text, position: 0, peeked: None }
     }
 
     /// The end offset of the last consumed token.
@@ -34,21 +34,21 @@
     /// The text of the next token, without consuming it.
     pub fn peek(&mut self) -> Option<&'a str> {
         if self.peeked.is_none() {
-            self.peeked = self.scan();
+            self.peeked = self.scan_token();
         }
         self.peeked.map(|token| token.text)
     }
 
     /// Consumes the next token.
     pub fn next(&mut self) -> Option<Token<'a>> {
-        let token = self.peeked.take().or_else(|| self.scan())?;
+        let token = self.peeked.take().or_else(|| self.scan_token())?;
         self.position = token.end;
         Some(token)
     }
 
-    fn scan(&self) -> Option<Token<'a>> {
+    fn scan_token(&self) -> Option<Token<'a>> {
         let bytes = self.text.as_bytes();
-        let start = skip_blanks_and_comments(bytes, self.position)?;
+        let start = skip_whitespace_and_comments(bytes, self.position)?;
         let end = match bytes[start] {
             b'"' | b'\'' => string_end(bytes, start),
             byte if is_word_byte(byte) => word_end(bytes, start),
@@ -65,13 +65,13 @@
 }
 
 /// The offset at which the next token starts; `None` if there is none.
-fn skip_blanks_and_comments(bytes: &[u8], from: usize) -> Option<usize> {
-    let mut at = from;
+fn skip_whitespace_and_comments(bytes: &[u8], start: usize) -> Option<usize> {
+    let mut offset = start;
     loop {
-        match bytes.get(at)? {
-            b'#' => at += bytes[at..].iter().take_while(|byte| **byte != b'\n').count(),
-            byte if byte.is_ascii_whitespace() => at += 1,
-            _ => return Some(at),
+        match bytes.get(offset)? {
+            b'#' => offset += bytes[offset..].iter().take_while(|byte| **byte != b'\n').count(),
+            byte if byte.is_ascii_whitespace() => offset += 1,
+            _ => return Some(offset),
         }
     }
 }
@@ -103,10 +103,10 @@
 }
 
 /// Whether the byte is the sign of an exponent, as in 1e-6.
-fn is_exponent_sign(bytes: &[u8], number_start: usize, at: usize) -> bool {
+fn is_exponent_sign(bytes: &[u8], number_start: usize, offset: usize) -> bool {
     bytes[number_start].is_ascii_digit()
-        && matches!(bytes.get(at), Some(b'+' | b'-'))
-        && matches!(bytes[at - 1], b'e' | b'E')
+        && matches!(bytes.get(offset), Some(b'+' | b'-'))
+        && matches!(bytes[offset - 1], b'e' | b'E')
 }
 
 /// The line number of a byte offset in a text, from 1.
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -32,8 +32,8 @@
         Err(Diagnostics(diagnostics))
     }
 
-    fn child(&self, step: String) -> Validator<'a> {
-        let path = if self.path.is_empty() { step } else { format!("{}.{step}", self.path) };
+    fn child(&self, segment: String) -> Validator<'a> {
+        let path = if self.path.is_empty() { segment } else { format!("{}.{segment}", self.path) };
         Validator { source: self.source, path, diagnostics: self.diagnostics }
     }
 
@@ -59,26 +59,26 @@
         }
     }
 
-    /// Returns the value if it is within bounds; else reports an error and returns the lower bound. `unit` is
-    /// the unit of the value in the error.
+    /// Returns the value if it is within bounds; else reports an error and returns the lower bound. `unit`
+    /// follows the value in the error.
     pub fn in_range(&self, value: f64, bounds: RangeInclusive<f64>, unit: &str) -> f64 {
         if bounds.contains(&value) {
             return value;
         }
-        let (least, most) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {least} to {most} {unit}"));
-        least
+        let (min, max) = (*bounds.start(), *bounds.end());
+        self.report(format!("{value} {unit} is out of range; expected {min} to {max} {unit}"));
+        min
     }
 
     /// Returns the integer if it is within bounds; else reports an error and returns the lower bound. `unit`
-    /// names the counted things in the error.
+    /// follows the value in the error.
     pub fn count_in_range(&self, value: u32, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
         if bounds.contains(&value) {
             return value;
         }
-        let (least, most) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {least} to {most}"));
-        least
+        let (min, max) = (*bounds.start(), *bounds.end());
+        self.report(format!("{value} {unit} is out of range; expected {min} to {max}"));
+        min
     }
 
     /// Returns the value, and reports an error unless it is an identifier: short, and without characters that
@@ -94,12 +94,12 @@
     }
 
     /// Returns the position of a name in the known names; if it isn't one of them, reports an error and
-    /// returns 0. `what` is the kind of thing that the names refer to.
-    pub fn position_of(&self, name: &str, known: &[String], what: &str) -> usize {
+    /// returns 0. `kind` says what kind of thing the names refer to.
+    pub fn position_of(&self, name: &str, known: &[String], kind: &str) -> usize {
         if let Some(position) = known.iter().position(|known_name| known_name == name) {
             return position;
         }
-        self.report(format!("unknown {what} '{name}'; expected one of: {}", known.join(", ")));
+        self.report(format!("unknown {kind} '{name}'; expected one of: {}", known.join(", ")));
         0
     }
 
@@ -114,11 +114,11 @@
         }
     }
 
-    /// Returns the value; if there is none, reports an error and returns the default. `what` describes the
-    /// value in the error.
-    pub fn required<T: Default>(&self, value: Option<T>, what: impl Display) -> T {
+    /// Returns the value; if there is none, reports an error and returns the default. `description`
+    /// describes the value in the error.
+    pub fn required<T: Default>(&self, value: Option<T>, description: impl Display) -> T {
         value.unwrap_or_else(|| {
-            self.report(format!("is missing: {what}"));
+            self.report(format!("is missing: {description}"));
             T::default()
         })
     }
--- a/textproto/tests/parse.rs
+++ b/textproto/tests/parse.rs
@@ -14,7 +14,7 @@
     parse("f", text, &schema())
 }
 
-fn rejection(text: &str) -> String {
+fn error_text(text: &str) -> String {
     parse_file(text).unwrap_err().to_string()
 }
 
@@ -56,7 +56,7 @@
     let expected = "f:1: unknown field 'nam'; did you mean 'name'?\n\
                     f:3: message_type[0]: unknown field 'feild'; did you mean 'field'?\n\
                     f:4: message_type[0]: unknown field 'zzzzzzzzzz'";
-    assert_eq!(rejection(text), expected);
+    assert_eq!(error_text(text), expected);
 }
 
 #[test]
@@ -71,7 +71,7 @@
 #[test]
 fn a_text_that_is_too_large_is_rejected_unread() {
     let text = " ".repeat((4 << 20) + 1);
-    assert_eq!(rejection(&text), "f: 4194305 bytes; at most 4194304 are allowed");
+    assert_eq!(error_text(&text), "f: 4194305 bytes; at most 4194304 are allowed");
 }
 
 #[test]
