--- a/traffic-capture/src/block.rs
+++ b/traffic-capture/src/block.rs
@@ -1,41 +1,42 @@
-//! The framing of a block. All numbers are little-endian.
+//! The framing of blocks. A block starts with this header, in which all integers are little-endian:
 //!
 //! | bytes | content |
 //! | --- | --- |
-//! | 4 | the sync marker, by which a reader finds the next block after corrupt bytes |
+//! | 4 | sync marker, by which a reader finds the next block after corrupt bytes |
 //! | 1 | kind |
-//! | 4 | length of the payload, uncompressed |
-//! | 4 | length of the payload as stored, compressed |
-//! | 4 | CRC-32 of the payload as stored |
-//! | 4 | CRC-32 of the 17 bytes before |
+//! | 4 | length of the uncompressed payload |
+//! | 4 | length of the stored (compressed) payload |
+//! | 4 | CRC-32 of the stored payload |
+//! | 4 | CRC-32 of the preceding 17 bytes |
 //!
-//! The payload follows, compressed by LZ4.
+//! The payload follows, compressed with LZ4.
 
 use crate::corruption::BlockError;
 
-/// The first bytes of a file. The last of them is the version of the format.
+/// The magic bytes at the start of a file. The last byte is the format version.
 pub const FILE_MAGIC: &[u8; 8] = b"OTWLOAD1";
-/// What all versions of the format begin with.
+/// The part of the magic bytes that all format versions share.
 pub const VERSIONLESS_MAGIC: &[u8] = b"OTWLOAD";
-/// The first bytes of a block.
+/// The bytes that start every block.
 pub const SYNC_MARKER: [u8; 4] = [0xb7, 0x4f, 0x57, 0x0d];
-/// The length of a block's header.
+/// The length of a block header.
 pub const HEADER_BYTES: usize = 21;
-/// The part of the header that its own checksum covers.
+/// The length of the part of the header that the header checksum covers.
 const CHECKED_HEADER_BYTES: usize = 17;
-/// No writer makes a larger block, so that a corrupt length can't exhaust the memory.
+/// Writers make no larger blocks. A reader takes a header with a larger length for corrupt, so that such a
+/// length can't exhaust the memory.
 const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
-/// What a block contains. The numbers are stored.
+/// What a block contains. The discriminants are stored in files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockKind {
-    /// The header of the file.
+    /// The file header.
     Header = 1,
-    /// Single requests.
+    /// Individual requests.
     Requests = 2,
     /// Load reports.
     Reports = 3,
-    /// The end of a complete file.
+    /// The end of a complete file, with the record counts.
     End = 9,
 }
 
@@ -47,20 +48,21 @@
     }
 }
 
-/// The header of a block.
+/// A decoded block header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockHeader {
-    /// `None` for kinds that this version does not know: newer writers may add some, and readers skip them.
+    /// `None` for kinds that this version doesn't know. Newer writers may add kinds; readers skip unknown
+    /// ones.
     pub kind: Option<BlockKind>,
-    /// The length of the payload, uncompressed.
+    /// The length of the uncompressed payload.
     pub uncompressed_len: usize,
-    /// The length of the payload as stored.
+    /// The length of the stored (compressed) payload.
     pub stored_len: usize,
     checksum: u32,
 }
 
 impl BlockHeader {
-    /// Decodes the header at the beginning of some bytes; `None` where there is no valid one.
+    /// Decodes the header that the bytes start with; `None` if they don't start with a valid header.
     pub fn decode(bytes: &[u8]) -> Option<BlockHeader> {
         let bytes: &[u8; HEADER_BYTES] = bytes.get(..HEADER_BYTES)?.try_into().ok()?;
         let header_checksum = crc32fast::hash(&bytes[..CHECKED_HEADER_BYTES]);
@@ -82,7 +84,7 @@
     u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
 }
 
-/// A complete block with the given payload.
+/// Encodes a complete block with the given payload.
 pub fn encode_block(kind: BlockKind, payload: &[u8]) -> Vec<u8> {
     let stored = lz4_flex::block::compress(payload);
     let mut block = Vec::with_capacity(HEADER_BYTES + stored.len());
@@ -97,7 +99,7 @@
     block
 }
 
-/// The payload of a block, verified and uncompressed.
+/// Verifies the checksum of a stored payload and decompresses it.
 pub fn decode_payload(header: &BlockHeader, stored: &[u8]) -> Result<Vec<u8>, BlockError> {
     let actual = crc32fast::hash(stored);
     if actual != header.checksum {
--- a/traffic-capture/src/block_reader.rs
+++ b/traffic-capture/src/block_reader.rs
@@ -1,15 +1,17 @@
-//! Reads a file block by block, verifies each, and finds the next one after corrupt bytes.
+//! Reads a file block by block, verifies each block, and resynchronizes at the next block after corrupt
+//! bytes.
 
 use crate::block::{decode_payload, BlockHeader, BlockKind, HEADER_BYTES, SYNC_MARKER};
 use crate::corruption::Corruption;
 use crate::input::Input;
 use std::io::{self, Read};
 
-/// What stands next in a file.
+/// The result of reading the next block.
 pub enum NextBlock {
     /// A valid block.
     Block(Block),
-    /// Something that can't be read. Unless it is [`Corruption::TruncatedBlock`], more may follow.
+    /// A part of the file that can't be read. More blocks may follow unless it is
+    /// [`Corruption::TruncatedBlock`].
     Corrupt(Corruption),
     /// The end of the file.
     EndOfFile,
@@ -17,15 +19,15 @@
 
 /// A valid block.
 pub struct Block {
-    /// Where in the file it begins.
+    /// The offset of the block in the file.
     pub offset: u64,
-    /// `None` for kinds that this version does not know.
+    /// `None` for kinds that this version doesn't know.
     pub kind: Option<BlockKind>,
-    /// Its payload, uncompressed.
+    /// The uncompressed payload.
     pub payload: Vec<u8>,
 }
 
-/// Reads the next block.
+/// Reads the next block; errors only if the input fails.
 pub fn read_block<R: Read>(input: &mut Input<R>) -> io::Result<NextBlock> {
     let offset = input.offset();
     let truncated = NextBlock::Corrupt(Corruption::TruncatedBlock { offset });
@@ -48,8 +50,8 @@
     })
 }
 
-/// Skips bytes up to the next valid header or the end of the file, and returns how many they were. The input must not
-/// begin with a valid header.
+/// Skips bytes up to the next valid block header or the end of the file, and returns how many were skipped.
+/// The input must not start with a valid header.
 fn skip_to_block<R: Read>(input: &mut Input<R>) -> io::Result<u64> {
     let start = input.offset();
     loop {
@@ -57,7 +59,7 @@
             input.consume(position);
             return Ok(input.offset() - start);
         }
-        // The last bytes may be the beginning of a header.
+        // The remaining bytes may be the start of a header.
         let kept = input.buffered().len().min(HEADER_BYTES - 1);
         input.consume(input.buffered().len() - kept);
         if !input.fill(kept + 1)? {
@@ -70,7 +72,7 @@
     }
 }
 
-/// Where behind the first byte a valid header begins.
+/// The position of the first valid block header after the first byte.
 fn find_header(bytes: &[u8]) -> Option<usize> {
     let is_header = |window: &[u8]| window.starts_with(&SYNC_MARKER) && BlockHeader::decode(window).is_some();
     let position = bytes.windows(HEADER_BYTES).skip(1).position(is_header)?;
--- a/traffic-capture/src/corruption.rs
+++ b/traffic-capture/src/corruption.rs
@@ -1,48 +1,49 @@
-//! What can be wrong with a file that was opened. None of it ends the reading, except the end of the file.
+//! The defects that a reader can find in a file it has opened. Reading continues after each of them, except
+//! where the file is truncated or the input fails.
 
 use crate::records::RecordCounts;
 use std::io;
 
-/// A part of a file that could not be read. Offsets are in bytes from the beginning of the file.
+/// A defect in a file. Offsets are in bytes from the start of the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// A block was skipped.
     #[error("the block at byte {offset} is left out: {source}")]
     CorruptBlock {
-        /// Where the block begins.
+        /// The offset of the block.
         offset: u64,
-        /// Why it can't be used.
+        /// Why the block was skipped.
         source: BlockError,
     },
-    /// Bytes that are no block were skipped.
+    /// Bytes that don't belong to a valid block were skipped.
     #[error("{length} bytes at byte {offset} are no block and are left out")]
     UnknownBytes {
-        /// Where they begin.
+        /// The offset of the first skipped byte.
         offset: u64,
-        /// How many they are.
+        /// How many bytes were skipped.
         length: u64,
     },
     /// The file ends within a block.
     #[error("the file was cut off within the block at byte {offset}; what came later is missing")]
     TruncatedBlock {
-        /// Where the block begins.
+        /// The offset of the block.
         offset: u64,
     },
-    /// The file ends after a block, but that is not its end block.
+    /// The file ends after a complete block, but has no end block.
     #[error("the file ends at byte {offset} without its end: more may be missing")]
     MissingEnd {
         /// The length of the file.
         offset: u64,
     },
-    /// The end block counts other records than were read.
+    /// The record counts in the end block differ from the records that were read.
     #[error(
         "{} of {} requests and {} of {} load reports could be read",
         read.requests, expected.requests, read.reports, expected.reports
     )]
     CountMismatch {
-        /// What could be read.
+        /// The records that were read.
         read: RecordCounts,
-        /// What the end block counts.
+        /// The counts in the end block.
         expected: RecordCounts,
     },
 }
@@ -50,10 +51,10 @@
 /// Why a block can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockError {
-    /// The payload was changed after it was written.
+    /// The stored payload doesn't match its checksum.
     #[error("its checksum is {actual:08x} where its header says {expected:08x}")]
     ChecksumMismatch {
-        /// The checksum in the header.
+        /// The checksum in the block header.
         expected: u32,
         /// The checksum of the payload.
         actual: u32,
@@ -61,30 +62,31 @@
     /// The payload is not valid LZ4.
     #[error("it can't be decompressed: {message}")]
     Decompression {
-        /// What the decompressor says.
+        /// The error of the decompressor.
         message: String,
     },
     /// The payload is not a valid protobuf message.
     #[error(transparent)]
     Protobuf(#[from] prost::DecodeError),
-    /// The columns of the requests don't fit each other.
+    /// The columns of a block of requests differ in length.
     #[error("its columns are not of one length")]
     ColumnLengths,
-    /// A record refers to a request class or zone outside the lists of the file's header.
+    /// A record refers to a request class or zone that isn't in the lists of the file header.
     #[error("it names a request class or zone that the header of the file does not list")]
     UnknownName,
-    /// A record refers to an endpoint outside the list of its block.
+    /// A load report refers to an endpoint that isn't in the list of its block.
     #[error("it names an endpoint that it does not list")]
     UnknownEndpoint,
-    /// A second header.
+    /// A file header after the first block.
     #[error("a file has one header")]
     RepeatedHeader,
-    /// The input failed. An `io::Error` can be neither cloned nor compared, so its kind and text stand for it.
+    /// The input failed. Holds the kind and the text of the `io::Error`, which can be neither cloned nor
+    /// compared.
     #[error("it can't be read: {message}")]
     Io {
-        /// What kind of error it was.
+        /// The kind of the I/O error.
         kind: io::ErrorKind,
-        /// What it said.
+        /// The text of the I/O error.
         message: String,
     },
 }
--- a/traffic-capture/src/input.rs
+++ b/traffic-capture/src/input.rs
@@ -1,36 +1,36 @@
-//! Buffered input that can be looked at before it is consumed, and knows its place in the file.
+//! Buffered input with lookahead that tracks its offset in the file.
 
 use std::io::{self, Read};
 
-/// How much is read at a time, at least.
+/// Minimum buffer size of a read call.
 const READ_BYTES: usize = 64 << 10;
 
-/// The bytes of a file from the current offset on.
+/// Reads a file through a buffer whose bytes can be examined before they are consumed.
 pub struct Input<R: Read> {
     source: R,
-    /// What was read and not yet consumed.
+    /// Bytes that have been read and not yet consumed.
     buffer: Vec<u8>,
-    /// Where in the file the buffer begins.
+    /// The file offset of the first byte in the buffer.
     offset: u64,
 }
 
 impl<R: Read> Input<R> {
-    /// Starts at the beginning of a file.
+    /// Creates an input; `source` must be at the start of the file.
     pub fn new(source: R) -> Self {
         Input { source, buffer: Vec::new(), offset: 0 }
     }
 
-    /// What was read and not yet consumed.
+    /// The bytes that have been read and not yet consumed.
     pub fn buffered(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Where in the file the buffered bytes begin.
+    /// The file offset of the first buffered byte.
     pub fn offset(&self) -> u64 {
         self.offset
     }
 
-    /// Reads until so many bytes are buffered; false where the file ends before.
+    /// Reads until at least this many bytes are buffered. Returns false if the file ends first.
     pub fn fill(&mut self, bytes: usize) -> io::Result<bool> {
         while self.buffer.len() < bytes {
             if self.read_more(bytes - self.buffer.len())? == 0 {
@@ -40,7 +40,7 @@
         Ok(true)
     }
 
-    /// Reads once, and returns how many bytes came; 0 at the end of the file.
+    /// Reads once, and returns the number of bytes read, which is 0 at the end of the file.
     fn read_more(&mut self, wanted: usize) -> io::Result<usize> {
         let buffered = self.buffer.len();
         self.buffer.resize(buffered + wanted.max(READ_BYTES), 0);
@@ -54,7 +54,7 @@
         result
     }
 
-    /// Drops buffered bytes.
+    /// Discards bytes from the start of the buffer.
     pub fn consume(&mut self, bytes: usize) {
         self.buffer.drain(..bytes);
         self.offset += bytes as u64;
--- a/traffic-capture/src/lib.rs
+++ b/traffic-capture/src/lib.rs
@@ -1,10 +1,12 @@
-//! Captured traffic: what a fleet was asked, as one record for each request or as the coarser load reports that a
-//! controller gets. A file is a sequence of blocks, each compressed and with a checksum of its own: a truncated file is
-//! readable up to its last complete block, and a corrupt block costs nothing but itself.
+//! Traffic captures: files that record the load of a fleet, either as one record per request or as the less
+//! detailed load reports that a controller receives. A file is a sequence of blocks, each compressed and with
+//! its own checksum: a truncated file is readable up to its last complete block, and a corrupt block affects
+//! only its own records.
 //!
-//! [`Writer`] and [`Reader`] are the two ends. `records` holds the records, `block` the framing of a block, `payload`
-//! what a block contains, `input` and `block_reader` the reading of blocks, `corruption` what can be wrong with a file.
-//! There is no clock and no thread; bytes pass through `std::io`.
+//! [`Writer`] writes a capture and [`Reader`] reads one. `records` defines the records, `block` the framing
+//! of blocks, and `payload` the encoding of their contents; `input` and `block_reader` read blocks, and
+//! `corruption` defines the defects that a reader reports. The crate uses no clock and no threads; all I/O
+//! goes through `std::io`.
 
 mod block;
 mod block_reader;
--- a/traffic-capture/src/payload.rs
+++ b/traffic-capture/src/payload.rs
@@ -1,5 +1,5 @@
-//! The payload of each kind of block: protobuf, with one column a field where like values then stand side by side and
-//! compress well. The tags and types are stored in files and must not change.
+//! The payload of each kind of block, encoded as protobuf. Requests are stored as one column per field,
+//! because adjacent similar values compress well. Files depend on the tags and types, which must not change.
 
 use crate::corruption::BlockError;
 use crate::records::{CaptureHeader, Demand, EndpointOutcomes, LoadReport, RecordCounts, RequestRecord};
@@ -26,10 +26,10 @@
     reports: u64,
 }
 
-/// Columns of equal length, one element a request. The two last columns may be empty instead.
+/// Columns of equal length, with one element per request. The last two columns may be empty instead.
 #[derive(Clone, PartialEq, Message)]
 struct RequestsPayload {
-    /// The time since the request before; the first counts from 0.
+    /// The time since the previous request; for the first request, since the start of the capture.
     #[prost(sint64, repeated, tag = "1")]
     gap_us: Vec<i64>,
     #[prost(uint32, repeated, tag = "2")]
@@ -39,17 +39,17 @@
     /// See [`encode_optional`].
     #[prost(uint64, repeated, tag = "4")]
     work_us: Vec<u64>,
-    /// See [`encode_optional`]. Empty where no request of the block has a key.
+    /// See [`encode_optional`]. Empty if no request in the block has a key.
     #[prost(fixed64, repeated, tag = "5")]
     idempotency_key: Vec<u64>,
-    /// Empty where all are first attempts.
+    /// Empty if all requests in the block are first attempts.
     #[prost(uint32, repeated, tag = "6")]
     attempt: Vec<u32>,
 }
 
 #[derive(Clone, PartialEq, Message)]
 struct ReportsPayload {
-    /// The names to which the rows refer.
+    /// The endpoint names to which the rows refer by position.
     #[prost(string, repeated, tag = "1")]
     endpoints: Vec<String>,
     #[prost(message, repeated, tag = "2")]
@@ -66,7 +66,7 @@
     interval_us: u64,
     #[prost(uint32, tag = "3")]
     zone: u32,
-    /// The position of its name among the block's endpoints.
+    /// The position of the endpoint's name in the block's `endpoints`.
     #[prost(uint32, tag = "4")]
     endpoint: u32,
     #[prost(uint64, tag = "5")]
@@ -91,30 +91,30 @@
     requests: u64,
 }
 
-/// Encodes the header of a file.
+/// Encodes the payload of a header block.
 pub fn encode_header(header: &CaptureHeader) -> Vec<u8> {
     let CaptureHeader { request_classes, zones, started_unix_ms, source } = header.clone();
     HeaderPayload { request_classes, zones, started_unix_ms, source }.encode_to_vec()
 }
 
-/// Decodes the header of a file.
+/// Decodes the payload of a header block.
 pub fn decode_header(payload: &[u8]) -> Result<CaptureHeader, BlockError> {
     let HeaderPayload { request_classes, zones, started_unix_ms, source } = HeaderPayload::decode(payload)?;
     Ok(CaptureHeader { request_classes, zones, started_unix_ms, source })
 }
 
-/// Encodes the counts of an end block.
+/// Encodes the payload of an end block.
 pub fn encode_end(counts: RecordCounts) -> Vec<u8> {
     EndPayload { requests: counts.requests, reports: counts.reports }.encode_to_vec()
 }
 
-/// Decodes the counts of an end block.
+/// Decodes the payload of an end block.
 pub fn decode_end(payload: &[u8]) -> Result<RecordCounts, BlockError> {
     let EndPayload { requests, reports } = EndPayload::decode(payload)?;
     Ok(RecordCounts { requests, reports })
 }
 
-/// Encodes a block of requests.
+/// Encodes the payload of a block of requests.
 pub fn encode_requests(requests: &[RequestRecord]) -> Vec<u8> {
     let has_keys = requests.iter().any(|request| request.idempotency_key.is_some());
     let has_retries = requests.iter().any(|request| request.attempt > 0);
@@ -136,7 +136,8 @@
     columns.encode_to_vec()
 }
 
-/// Decodes a block of requests, and checks that its columns fit each other and the header of the file.
+/// Decodes the payload of a block of requests. Fails if its columns differ in length or refer to names that
+/// the file header doesn't list.
 pub fn decode_requests(payload: &[u8], header: &CaptureHeader) -> Result<Vec<RequestRecord>, BlockError> {
     let columns = RequestsPayload::decode(payload)?;
     check_column_lengths(&columns)?;
@@ -158,8 +159,8 @@
     Ok(requests)
 }
 
-/// A value plus one, or 0 for none. The largest value can't be told from its neighbour, which matters neither to a hash
-/// nor to a length of time.
+/// Encodes `None` as 0 and a value as the value plus one. `u64::MAX` is encoded like `u64::MAX - 1`, which
+/// matters neither for a hash nor for a duration.
 fn encode_optional(value: Option<u64>) -> u64 {
     value.map_or(0, |value| value.saturating_add(1))
 }
@@ -186,7 +187,7 @@
     Err(BlockError::UnknownName)
 }
 
-/// Encodes a block of load reports.
+/// Encodes the payload of a block of load reports.
 pub fn encode_reports(reports: &[LoadReport]) -> Vec<u8> {
     let mut payload = ReportsPayload::default();
     let mut positions = HashMap::<&str, u32>::new();
@@ -205,7 +206,9 @@
     payload.encode_to_vec()
 }
 
-/// Decodes a block of load reports, those of endpoints first, and checks them against the header of the file.
+/// Decodes the payload of a block of load reports; those about endpoints come first. Fails if a report refers
+/// to a zone or request class that the file header doesn't list, or to an endpoint that the block doesn't
+/// list.
 pub fn decode_reports(payload: &[u8], header: &CaptureHeader) -> Result<Vec<LoadReport>, BlockError> {
     let payload = ReportsPayload::decode(payload)?;
     let zones: Vec<u32> = payload.endpoint_outcomes.iter().map(|row| row.zone).collect();
--- a/traffic-capture/src/reader.rs
+++ b/traffic-capture/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads a capture block by block, so that memory does not grow with the file. What can't be read is reported with its
-//! offset and skipped.
+//! Reads a capture block by block, so that memory use doesn't grow with the file. Parts that can't be read
+//! are skipped and reported with their offset.
 
 use crate::block::{BlockKind, FILE_MAGIC, HEADER_BYTES, VERSIONLESS_MAGIC};
 use crate::block_reader::{read_block, Block, NextBlock};
@@ -9,51 +9,51 @@
 use crate::records::{CaptureHeader, LoadReport, RecordCounts, RequestRecord};
 use std::io::{self, Read};
 
-/// What a file yields, in the order of the file.
+/// An item that a reader yields, in file order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CaptureItem {
     /// The requests of one block.
     Requests(Vec<RequestRecord>),
     /// The load reports of one block.
     Reports(Vec<LoadReport>),
-    /// A part of the file that could not be read.
+    /// A defect in the file.
     Corruption(Corruption),
 }
 
-/// Why a file can't be opened.
+/// Why a capture can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
     /// The input failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The file is something else.
+    /// The file is not a traffic capture.
     #[error("no captured load: it does not begin with OTWLOAD1")]
     NotACapture,
-    /// The file was written by a newer version.
+    /// The file has a newer format version.
     #[error("captured load of a newer version than this program reads")]
     NewerVersion,
-    /// The first block is corrupt, truncated or not a header.
+    /// The first block is corrupt, truncated or not a header block.
     #[error("its first block, which names request classes and zones, can't be read")]
     UnreadableHeader,
-    /// The first block is intact but its payload is not a valid header.
+    /// The first block is intact, but its payload can't be decoded as a header.
     #[error(transparent)]
     InvalidHeader(#[from] BlockError),
 }
 
-/// Reads one file.
+/// Reads a capture.
 pub struct Reader<R: Read> {
     input: Input<R>,
     header: CaptureHeader,
-    /// Records that could be read so far.
+    /// The records that have been read so far.
     read: RecordCounts,
-    /// The end block was read.
+    /// Whether an end block has been read.
     end_block_seen: bool,
-    /// Nothing more will be read.
+    /// Whether reading has ended.
     finished: bool,
 }
 
 impl<R: Read> Reader<R> {
-    /// Opens a file and reads its header.
+    /// Opens a capture and reads its header.
     pub fn open(source: R) -> Result<Self, OpenError> {
         let mut input = Input::new(source);
         input.fill(FILE_MAGIC.len() + HEADER_BYTES)?;
@@ -75,12 +75,12 @@
         })
     }
 
-    /// The header of the file.
+    /// The file header.
     pub fn header(&self) -> &CaptureHeader {
         &self.header
     }
 
-    /// Reads the next item; `None` at the end of the file, an error where the input fails.
+    /// Reads the next item. Returns `None` at the end of the file, and an error if the input fails.
     pub fn read(&mut self) -> io::Result<Option<CaptureItem>> {
         while !self.finished {
             let item = match read_block(&mut self.input)? {
@@ -106,7 +106,8 @@
         Some(CaptureItem::Corruption(Corruption::MissingEnd { offset: self.input.offset() }))
     }
 
-    /// What a block contributes: nothing where its kind is unknown, or where it is an end block that counts right.
+    /// Decodes a block into an item. Returns `None` for a block of unknown kind, and for an end block whose
+    /// counts match the records read.
     fn decode(&mut self, block: &Block) -> Option<CaptureItem> {
         let decoded = match block.kind? {
             BlockKind::Header => Err(BlockError::RepeatedHeader),
@@ -141,7 +142,7 @@
     }
 }
 
-/// Yields the items of a file. An input that fails ends the file, with a [`Corruption`] that says so.
+/// Yields the items of a capture. If the input fails, the last item is a [`Corruption`] with the error.
 impl<R: Read> Iterator for Reader<R> {
     type Item = CaptureItem;
 
--- a/traffic-capture/src/writer.rs
+++ b/traffic-capture/src/writer.rs
@@ -1,19 +1,21 @@
-//! Writes a capture: gathers records into blocks.
+//! Writes a capture, collecting records into blocks.
 
 use crate::block::{encode_block, BlockKind, FILE_MAGIC};
 use crate::payload;
 use crate::records::{CaptureHeader, LoadReport, RecordCounts, RequestRecord};
 use std::io::{self, Write};
 
-/// Records that make a block. A writer that is killed loses no more than these.
+/// The number of requests in a full block. A writer that is killed loses at most one block of requests and
+/// one of load reports.
 const REQUESTS_PER_BLOCK: usize = 4096;
+/// The number of load reports in a full block.
 const REPORTS_PER_BLOCK: usize = 2048;
 
 /// Why a record was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The file has reached its largest size. What was not yet written is dropped; [`Writer::finish`] still makes a
-    /// complete file of what was.
+    /// The file has reached its maximum size. Records that were not yet written are dropped;
+    /// [`Writer::finish`] still completes the file, with the records written before.
     #[error("the capture has reached its largest size")]
     SizeLimitReached,
     /// The output failed.
@@ -21,7 +23,7 @@
     Io(#[from] io::Error),
 }
 
-/// Writes one file. A file without [`Writer::finish`] reads as truncated.
+/// Writes a capture. Without [`Writer::finish`], the file is read as truncated.
 ///
 /// ```
 /// use otterwinch_traffic_capture::{CaptureHeader, CaptureItem, Reader, RequestRecord, Writer};
@@ -39,8 +41,9 @@
 /// ```
 pub struct Writer<W: Write> {
     output: W,
-    /// Records that are not yet in a block.
+    /// Requests that are not yet written.
     requests: Vec<RequestRecord>,
+    /// Load reports that are not yet written.
     reports: Vec<LoadReport>,
     written: RecordCounts,
     bytes_written: u64,
@@ -48,7 +51,7 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a file of at most `max_bytes`; `None` is no limit.
+    /// Writes the start of a file of at most `max_bytes`; `None` means no limit.
     pub fn open(output: W, header: &CaptureHeader, max_bytes: Option<u64>) -> io::Result<Self> {
         let mut writer = Writer {
             output,
@@ -63,12 +66,12 @@
         Ok(writer)
     }
 
-    /// How many bytes were written, without the records that are not yet in a block.
+    /// The number of bytes written so far; records that are not yet in a block don't count.
     pub fn bytes_written(&self) -> u64 {
         self.bytes_written
     }
 
-    /// Adds a request; the error [`WriteError::SizeLimitReached`] says that no further record fits.
+    /// Adds a request. [`WriteError::SizeLimitReached`] means that no further record fits.
     pub fn write_request(&mut self, request: RequestRecord) -> Result<(), WriteError> {
         self.requests.push(request);
         if self.requests.len() >= REQUESTS_PER_BLOCK {
@@ -77,7 +80,7 @@
         Ok(())
     }
 
-    /// Adds a load report; the error [`WriteError::SizeLimitReached`] says that no further record fits.
+    /// Adds a load report. [`WriteError::SizeLimitReached`] means that no further record fits.
     pub fn write_report(&mut self, report: LoadReport) -> Result<(), WriteError> {
         self.reports.push(report);
         if self.reports.len() >= REPORTS_PER_BLOCK {
@@ -86,7 +89,7 @@
         Ok(())
     }
 
-    /// Writes all records so far, as blocks that are smaller than they might be: for a writer that must not lose much
+    /// Writes all pending records, even if they don't fill a block. A writer that flushes often loses little
     /// if it is killed.
     pub fn flush(&mut self) -> Result<(), WriteError> {
         if !self.requests.is_empty() {
@@ -103,10 +106,10 @@
         Ok(())
     }
 
-    /// Writes the remaining records and the end block, and returns how many records the file holds.
+    /// Writes the pending records and the end block, and returns the number of records in the file.
     pub fn finish(mut self) -> io::Result<RecordCounts> {
         match self.flush() {
-            // The end block counts what was written, not what was dropped.
+            // The end block counts the written records only, not the dropped ones.
             Ok(()) | Err(WriteError::SizeLimitReached) => {}
             Err(WriteError::Io(error)) => return Err(error),
         }
@@ -115,7 +118,7 @@
         Ok(self.written)
     }
 
-    /// Writes a block of records, or drops all that are not yet written where it does not fit.
+    /// Writes a block of records. If it doesn't fit, drops all pending records.
     fn write_records(&mut self, kind: BlockKind, payload: &[u8]) -> Result<(), WriteError> {
         let block = encode_block(kind, payload);
         if !self.has_room_for(block.len()) {
@@ -127,7 +130,7 @@
         Ok(())
     }
 
-    /// Whether a block fits and leaves room for the end block.
+    /// Whether a block fits into the maximum size together with the end block.
     fn has_room_for(&self, block_bytes: usize) -> bool {
         let largest_counts = RecordCounts { requests: u64::MAX, reports: u64::MAX };
         let end_block = encode_block(BlockKind::End, &payload::encode_end(largest_counts));
--- a/traffic-capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -1,4 +1,4 @@
-//! Files as disks leave them: complete, truncated anywhere, corrupt anywhere.
+//! Reads files that are complete, truncated at any byte, corrupt at any byte, or not captures at all.
 
 use otterwinch_traffic_capture::{
     CaptureHeader, CaptureItem, Corruption, Demand, EndpointOutcomes, LoadReport, Reader, RecordCounts,
@@ -41,7 +41,7 @@
     vec![LoadReport::EndpointOutcomes(outcomes), LoadReport::Demand(demand)]
 }
 
-/// A file of so many requests in blocks of 4,096, and the load reports.
+/// A file with the given number of requests, in blocks of 4,096, and the load reports.
 fn file(requests: u64) -> Vec<u8> {
     let mut file = Vec::new();
     let mut writer = Writer::open(&mut file, &header(), None).unwrap();
@@ -51,7 +51,7 @@
     file
 }
 
-/// All that a file yields.
+/// Everything that a reader yields for a file.
 #[derive(Default)]
 struct Contents {
     requests: Vec<RequestRecord>,
@@ -98,7 +98,7 @@
 #[test]
 fn a_corrupt_block_is_reported_and_costs_nothing_but_itself() {
     let mut bytes = file(12_288);
-    // In the middle of the second block of requests.
+    // Within the second of three blocks of requests.
     let at = bytes.len() / 2;
     bytes[at] ^= 0x40;
     let Contents { requests, reports, corruptions } = read(&bytes);
@@ -117,7 +117,7 @@
 fn bytes_that_are_no_block_are_skipped_up_to_the_next() {
     let complete = file(4_096);
     let without_requests = file(0);
-    // Where the first block of requests begins: the files differ from there on.
+    // The files differ from the first block of requests on. Its sync marker precedes the first difference.
     let at = complete.iter().zip(&without_requests).position(|(a, b)| a != b).unwrap();
     let block = at - complete[..at].windows(4).rev().position(|w| w == [0xb7, 0x4f, 0x57, 0x0d]).unwrap() - 4;
     let mut bytes = complete[..block].to_vec();
@@ -156,9 +156,13 @@
 }
 
 proptest! {
-    /// Whatever bytes follow a valid beginning, reading ends, yields no request twice and never panics.
+    /// Whatever bytes follow a valid file header, reading terminates, doesn't panic and yields no request
+    /// twice.
     #[test]
-    fn any_bytes_are_read_to_their_end(noise in prop::collection::vec(any::<u8>(), 0..400), flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6)) {
+    fn any_bytes_are_read_to_their_end(
+        noise in prop::collection::vec(any::<u8>(), 0..400),
+        flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
+    ) {
         let mut bytes = file(5_000);
         let opening = 90;
         for (at, with) in flips {
--- a/traffic-capture/tests/stored_file.rs
+++ b/traffic-capture/tests/stored_file.rs
@@ -1,5 +1,5 @@
-//! `data/version-1.capture` was written by the first version of the format. Files like it are stored: they stay
-//! readable, and the same records are still written as the same bytes.
+//! `data/version-1.capture` was written in format version 1. Such files are kept, so they must stay
+//! readable, and the same records must still be written as the same bytes.
 
 use otterwinch_traffic_capture::{
     CaptureHeader, CaptureItem, Demand, EndpointOutcomes, LoadReport, Reader, RecordCounts, RequestRecord,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Without keys and retries, whose columns are then absent; the clock steps back.
+/// Requests without keys or retries, so that these columns are empty; the clock is set back once.
 fn first_block() -> Vec<RequestRecord> {
     let request = |at_us, request_class, zone, work_us| RequestRecord {
         at_us,
