--- a/traffic-capture/src/corruption.rs
+++ b/traffic-capture/src/corruption.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Corruption {
     /// A block was skipped.
-    #[error("the block at byte {offset} is left out: {source}")]
+    #[error("skipped the block at byte {offset}: {source}")]
     CorruptBlock {
         /// The offset of the block.
         offset: u64,
@@ -16,7 +16,7 @@
         source: BlockError,
     },
     /// Bytes that don't belong to a valid block were skipped.
-    #[error("{length} bytes at byte {offset} are no block and are left out")]
+    #[error("skipped {length} bytes at byte {offset} that are not a valid block")]
     UnknownBytes {
         /// The offset of the first skipped byte.
         offset: u64,
@@ -24,20 +24,20 @@
         length: u64,
     },
     /// The file ends within a block.
-    #[error("the file was cut off within the block at byte {offset}; what came later is missing")]
+    #[error("the file is truncated within the block at byte {offset}; later records are missing")]
     TruncatedBlock {
         /// The offset of the block.
         offset: u64,
     },
     /// The file ends after a complete block, but has no end block.
-    #[error("the file ends at byte {offset} without its end: more may be missing")]
+    #[error("the file ends at byte {offset} without an end block; later records may be missing")]
     MissingEnd {
         /// The length of the file.
         offset: u64,
     },
     /// The record counts in the end block differ from the records that were read.
     #[error(
-        "{} of {} requests and {} of {} load reports could be read",
+        "read {} of {} requests and {} of {} load reports",
         read.requests, expected.requests, read.reports, expected.reports
     )]
     CountMismatch {
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BlockError {
     /// The stored payload doesn't match its checksum.
-    #[error("its checksum is {actual:08x} where its header says {expected:08x}")]
+    #[error("checksum mismatch: expected {expected:08x}, got {actual:08x}")]
     ChecksumMismatch {
         /// The checksum in the block header.
         expected: u32,
@@ -60,7 +60,7 @@
         actual: u32,
     },
     /// The payload is not valid LZ4.
-    #[error("it can't be decompressed: {message}")]
+    #[error("the payload can't be decompressed: {message}")]
     Decompression {
         /// The error of the decompressor.
         message: String,
@@ -69,20 +69,20 @@
     #[error(transparent)]
     Protobuf(#[from] prost::DecodeError),
     /// The columns of a block of requests differ in length.
-    #[error("its columns are not of one length")]
+    #[error("the columns of the requests differ in length")]
     ColumnLengths,
     /// A record refers to a request class or zone that isn't in the lists of the file header.
-    #[error("it names a request class or zone that the header of the file does not list")]
+    #[error("a record refers to a request class or zone that the file header does not list")]
     UnknownName,
     /// A load report refers to an endpoint that isn't in the list of its block.
-    #[error("it names an endpoint that it does not list")]
+    #[error("a load report refers to an endpoint that its block does not list")]
     UnknownEndpoint,
     /// A file header after the first block.
-    #[error("a file has one header")]
+    #[error("unexpected second file header")]
     RepeatedHeader,
     /// The input failed. Holds the kind and the text of the `io::Error`, which can be neither cloned nor
     /// compared.
-    #[error("it can't be read: {message}")]
+    #[error("the input can't be read: {message}")]
     Io {
         /// The kind of the I/O error.
         kind: io::ErrorKind,
--- a/traffic-capture/src/reader.rs
+++ b/traffic-capture/src/reader.rs
@@ -27,13 +27,13 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The file is not a traffic capture.
-    #[error("no captured load: it does not begin with OTWLOAD1")]
+    #[error("not a traffic capture: expected a file that starts with OTWLOAD1")]
     NotACapture,
     /// The file has a newer format version.
-    #[error("captured load of a newer version than this program reads")]
+    #[error("the traffic capture has a newer format version than this program supports")]
     NewerVersion,
     /// The first block is corrupt, truncated or not a header block.
-    #[error("its first block, which names request classes and zones, can't be read")]
+    #[error("the first block can't be read; expected a header with the request classes and zones")]
     UnreadableHeader,
     /// The first block is intact, but its payload can't be decoded as a header.
     #[error(transparent)]
--- a/traffic-capture/src/writer.rs
+++ b/traffic-capture/src/writer.rs
@@ -16,7 +16,7 @@
 pub enum WriteError {
     /// The file has reached its maximum size. Records that were not yet written are dropped;
     /// [`Writer::finish`] still completes the file, with the records written before.
-    #[error("the capture has reached its largest size")]
+    #[error("the traffic capture has reached its maximum size")]
     SizeLimitReached,
     /// The output failed.
     #[error(transparent)]
--- a/traffic-capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -147,12 +147,15 @@
 #[test]
 fn foreign_and_newer_files_are_told_apart() {
     let refused = |bytes: &[u8]| Reader::open(bytes).err().unwrap().to_string();
-    assert_eq!(refused(b"at,product\n1,quote\n"), "no captured load: it does not begin with OTWLOAD1");
+    assert_eq!(
+        refused(b"at,product\n1,quote\n"),
+        "not a traffic capture: expected a file that starts with OTWLOAD1"
+    );
     assert_eq!(
         refused(b"OTWLOAD2xxxxxxxxxxxxxxxxxxxxxxxxxxx"),
-        "captured load of a newer version than this program reads"
+        "the traffic capture has a newer format version than this program supports"
     );
-    assert!(refused(b"").starts_with("no captured load"));
+    assert!(refused(b"").starts_with("not a traffic capture"));
 }
 
 proptest! {
