--- a/traffic-capture/src/block.rs
+++ b/traffic-capture/src/block.rs
@@ -16,13 +16,13 @@
 /// The magic bytes at the start of a file. The last byte is the format version.
 pub const FILE_MAGIC: &[u8; 8] = b"OTWLOAD1";
 /// The part of the magic bytes that all format versions share.
-pub const VERSIONLESS_MAGIC: &[u8] = b"OTWLOAD";
+pub const MAGIC_PREFIX: &[u8] = b"OTWLOAD";
 /// The bytes that start every block.
 pub const SYNC_MARKER: [u8; 4] = [0xb7, 0x4f, 0x57, 0x0d];
 /// The length of a block header.
 pub const HEADER_BYTES: usize = 21;
 /// The length of the part of the header that the header checksum covers.
-const CHECKED_HEADER_BYTES: usize = 17;
+const CHECKSUMMED_HEADER_BYTES: usize = 17;
 /// Writers make no larger blocks. A reader takes a header with a larger length for corrupt, so that such a
 /// length can't exhaust the memory.
 const MAX_PAYLOAD_BYTES: usize = 4 << 20;
@@ -58,14 +58,14 @@
     pub uncompressed_len: usize,
     /// The length of the stored (compressed) payload.
     pub stored_len: usize,
-    checksum: u32,
+    payload_checksum: u32,
 }
 
 impl BlockHeader {
     /// Decodes the header that the bytes start with; `None` if they don't start with a valid header.
     pub fn decode(bytes: &[u8]) -> Option<BlockHeader> {
         let bytes: &[u8; HEADER_BYTES] = bytes.get(..HEADER_BYTES)?.try_into().ok()?;
-        let header_checksum = crc32fast::hash(&bytes[..CHECKED_HEADER_BYTES]);
+        let header_checksum = crc32fast::hash(&bytes[..CHECKSUMMED_HEADER_BYTES]);
         if !bytes.starts_with(&SYNC_MARKER) || header_checksum != u32_at(bytes, 17) {
             return None;
         }
@@ -73,15 +73,16 @@
             kind: BlockKind::from_byte(bytes[4]),
             uncompressed_len: u32_at(bytes, 5) as usize,
             stored_len: u32_at(bytes, 9) as usize,
-            checksum: u32_at(bytes, 13),
+            payload_checksum: u32_at(bytes, 13),
         };
-        let allowed = header.uncompressed_len <= MAX_PAYLOAD_BYTES && header.stored_len <= MAX_PAYLOAD_BYTES;
-        allowed.then_some(header)
+        let within_limits =
+            header.uncompressed_len <= MAX_PAYLOAD_BYTES && header.stored_len <= MAX_PAYLOAD_BYTES;
+        within_limits.then_some(header)
     }
 }
 
-fn u32_at(bytes: &[u8; HEADER_BYTES], at: usize) -> u32 {
-    u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
+fn u32_at(bytes: &[u8; HEADER_BYTES], offset: usize) -> u32 {
+    u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
 }
 
 /// Encodes a complete block with the given payload.
@@ -102,8 +103,8 @@
 /// Verifies the checksum of a stored payload and decompresses it.
 pub fn decode_payload(header: &BlockHeader, stored: &[u8]) -> Result<Vec<u8>, BlockError> {
     let actual = crc32fast::hash(stored);
-    if actual != header.checksum {
-        return Err(BlockError::ChecksumMismatch { expected: header.checksum, actual });
+    if actual != header.payload_checksum {
+        return Err(BlockError::ChecksumMismatch { expected: header.payload_checksum, actual });
     }
     lz4_flex::block::decompress(stored, header.uncompressed_len)
         .map_err(|error| BlockError::Decompression { message: error.to_string() })
--- a/traffic-capture/src/block_reader.rs
+++ b/traffic-capture/src/block_reader.rs
@@ -3,7 +3,7 @@
 
 use crate::block::{decode_payload, BlockHeader, BlockKind, HEADER_BYTES, SYNC_MARKER};
 use crate::corruption::Corruption;
-use crate::input::Input;
+use crate::input::BufferedInput;
 use std::io::{self, Read};
 
 /// The result of reading the next block.
@@ -28,7 +28,7 @@
 }
 
 /// Reads the next block; errors only if the input fails.
-pub fn read_block<R: Read>(input: &mut Input<R>) -> io::Result<NextBlock> {
+pub fn read_block<R: Read>(input: &mut BufferedInput<R>) -> io::Result<NextBlock> {
     let offset = input.offset();
     let truncated = NextBlock::Corrupt(Corruption::TruncatedBlock { offset });
     if !input.fill(HEADER_BYTES)? {
@@ -36,7 +36,7 @@
     }
     let Some(header) = BlockHeader::decode(input.buffered()) else {
         let length = skip_to_block(input)?;
-        return Ok(NextBlock::Corrupt(Corruption::UnknownBytes { offset, length }));
+        return Ok(NextBlock::Corrupt(Corruption::UnrecognizedBytes { offset, length }));
     };
     let block_bytes = HEADER_BYTES + header.stored_len;
     if !input.fill(block_bytes)? {
@@ -52,7 +52,7 @@
 
 /// Skips bytes up to the next valid block header or the end of the file, and returns how many were skipped.
 /// The input must not start with a valid header.
-fn skip_to_block<R: Read>(input: &mut Input<R>) -> io::Result<u64> {
+fn skip_to_block<R: Read>(input: &mut BufferedInput<R>) -> io::Result<u64> {
     let start = input.offset();
     loop {
         if let Some(position) = find_header(input.buffered()) {
--- a/traffic-capture/src/corruption.rs
+++ b/traffic-capture/src/corruption.rs
@@ -17,7 +17,7 @@
     },
     /// Bytes that don't belong to a valid block were skipped.
     #[error("skipped {length} bytes at byte {offset} that are not a valid block")]
-    UnknownBytes {
+    UnrecognizedBytes {
         /// The offset of the first skipped byte.
         offset: u64,
         /// How many bytes were skipped.
@@ -31,7 +31,7 @@
     },
     /// The file ends after a complete block, but has no end block.
     #[error("the file ends at byte {offset} without an end block; later records may be missing")]
-    MissingEnd {
+    MissingEndBlock {
         /// The length of the file.
         offset: u64,
     },
@@ -73,13 +73,13 @@
     ColumnLengths,
     /// A record refers to a request class or zone that isn't in the lists of the file header.
     #[error("a record refers to a request class or zone that the file header does not list")]
-    UnknownName,
+    UnknownClassOrZone,
     /// A load report refers to an endpoint that isn't in the list of its block.
     #[error("a load report refers to an endpoint that its block does not list")]
     UnknownEndpoint,
     /// A file header after the first block.
     #[error("unexpected second file header")]
-    RepeatedHeader,
+    DuplicateHeader,
     /// The input failed. Holds the kind and the text of the `io::Error`, which can be neither cloned nor
     /// compared.
     #[error("the input can't be read: {message}")]
--- a/traffic-capture/src/input.rs
+++ b/traffic-capture/src/input.rs
@@ -3,10 +3,10 @@
 use std::io::{self, Read};
 
 /// Minimum buffer size of a read call.
-const READ_BYTES: usize = 64 << 10;
+const MIN_READ_BYTES: usize = 64 << 10;
 
 /// Reads a file through a buffer whose bytes can be examined before they are consumed.
-pub struct Input<R: Read> {
+pub struct BufferedInput<R: Read> {
     source: R,
     /// Bytes that have been read and not yet consumed.
     buffer: Vec<u8>,
@@ -14,10 +14,10 @@
     offset: u64,
 }
 
-impl<R: Read> Input<R> {
+impl<R: Read> BufferedInput<R> {
     /// Creates an input; `source` must be at the start of the file.
     pub fn new(source: R) -> Self {
-        Input { source, buffer: Vec::new(), offset: 0 }
+        BufferedInput { source, buffer: Vec::new(), offset: 0 }
     }
 
     /// The bytes that have been read and not yet consumed.
@@ -31,9 +31,9 @@
     }
 
     /// Reads until at least this many bytes are buffered. Returns false if the file ends first.
-    pub fn fill(&mut self, bytes: usize) -> io::Result<bool> {
-        while self.buffer.len() < bytes {
-            if self.read_more(bytes - self.buffer.len())? == 0 {
+    pub fn fill(&mut self, min_bytes: usize) -> io::Result<bool> {
+        while self.buffer.len() < min_bytes {
+            if self.read_more(min_bytes - self.buffer.len())? == 0 {
                 return Ok(false);
             }
         }
@@ -41,9 +41,9 @@
     }
 
     /// Reads once, and returns the number of bytes read, which is 0 at the end of the file.
-    fn read_more(&mut self, wanted: usize) -> io::Result<usize> {
+    fn read_more(&mut self, min_bytes: usize) -> io::Result<usize> {
         let buffered = self.buffer.len();
-        self.buffer.resize(buffered + wanted.max(READ_BYTES), 0);
+        self.buffer.resize(buffered + min_bytes.max(MIN_READ_BYTES), 0);
         let result = loop {
             match self.source.read(&mut self.buffer[buffered..]) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
--- a/traffic-capture/src/payload.rs
+++ b/traffic-capture/src/payload.rs
@@ -184,7 +184,7 @@
     if positions.iter().all(|position| (*position as usize) < names.len()) {
         return Ok(());
     }
-    Err(BlockError::UnknownName)
+    Err(BlockError::UnknownClassOrZone)
 }
 
 /// Encodes the payload of a block of load reports.
--- a/traffic-capture/src/reader.rs
+++ b/traffic-capture/src/reader.rs
@@ -1,10 +1,10 @@
 //! Reads a capture block by block, so that memory use doesn't grow with the file. Parts that can't be read
 //! are skipped and reported with their offset.
 
-use crate::block::{BlockKind, FILE_MAGIC, HEADER_BYTES, VERSIONLESS_MAGIC};
+use crate::block::{BlockKind, FILE_MAGIC, HEADER_BYTES, MAGIC_PREFIX};
 use crate::block_reader::{read_block, Block, NextBlock};
 use crate::corruption::{BlockError, Corruption};
-use crate::input::Input;
+use crate::input::BufferedInput;
 use crate::payload;
 use crate::records::{CaptureHeader, LoadReport, RecordCounts, RequestRecord};
 use std::io::{self, Read};
@@ -42,10 +42,10 @@
 
 /// Reads a capture.
 pub struct Reader<R: Read> {
-    input: Input<R>,
+    input: BufferedInput<R>,
     header: CaptureHeader,
     /// The records that have been read so far.
-    read: RecordCounts,
+    records_read: RecordCounts,
     /// Whether an end block has been read.
     end_block_seen: bool,
     /// Whether reading has ended.
@@ -55,10 +55,10 @@
 impl<R: Read> Reader<R> {
     /// Opens a capture and reads its header.
     pub fn open(source: R) -> Result<Self, OpenError> {
-        let mut input = Input::new(source);
+        let mut input = BufferedInput::new(source);
         input.fill(FILE_MAGIC.len() + HEADER_BYTES)?;
         if !input.buffered().starts_with(FILE_MAGIC) {
-            let newer = input.buffered().starts_with(VERSIONLESS_MAGIC);
+            let newer = input.buffered().starts_with(MAGIC_PREFIX);
             return Err(if newer { OpenError::NewerVersion } else { OpenError::NotACapture });
         }
         input.consume(FILE_MAGIC.len());
@@ -69,7 +69,7 @@
         Ok(Reader {
             input,
             header: payload::decode_header(&payload)?,
-            read: RecordCounts::default(),
+            records_read: RecordCounts::default(),
             end_block_seen: false,
             finished: false,
         })
@@ -103,14 +103,14 @@
         if self.end_block_seen {
             return None;
         }
-        Some(CaptureItem::Corruption(Corruption::MissingEnd { offset: self.input.offset() }))
+        Some(CaptureItem::Corruption(Corruption::MissingEndBlock { offset: self.input.offset() }))
     }
 
     /// Decodes a block into an item. Returns `None` for a block of unknown kind, and for an end block whose
     /// counts match the records read.
     fn decode(&mut self, block: &Block) -> Option<CaptureItem> {
         let decoded = match block.kind? {
-            BlockKind::Header => Err(BlockError::RepeatedHeader),
+            BlockKind::Header => Err(BlockError::DuplicateHeader),
             BlockKind::Requests => self.decode_requests(&block.payload).map(Some),
             BlockKind::Reports => self.decode_reports(&block.payload).map(Some),
             BlockKind::End => self.decode_end(&block.payload),
@@ -122,23 +122,23 @@
 
     fn decode_requests(&mut self, payload: &[u8]) -> Result<CaptureItem, BlockError> {
         let requests = payload::decode_requests(payload, &self.header)?;
-        self.read.requests += requests.len() as u64;
+        self.records_read.requests += requests.len() as u64;
         Ok(CaptureItem::Requests(requests))
     }
 
     fn decode_reports(&mut self, payload: &[u8]) -> Result<CaptureItem, BlockError> {
         let reports = payload::decode_reports(payload, &self.header)?;
-        self.read.reports += reports.len() as u64;
+        self.records_read.reports += reports.len() as u64;
         Ok(CaptureItem::Reports(reports))
     }
 
     fn decode_end(&mut self, payload: &[u8]) -> Result<Option<CaptureItem>, BlockError> {
         self.end_block_seen = true;
         let expected = payload::decode_end(payload)?;
-        if expected == self.read {
+        if expected == self.records_read {
             return Ok(None);
         }
-        Ok(Some(CaptureItem::Corruption(Corruption::CountMismatch { read: self.read, expected })))
+        Ok(Some(CaptureItem::Corruption(Corruption::CountMismatch { read: self.records_read, expected })))
     }
 }
 
--- a/traffic-capture/src/writer.rs
+++ b/traffic-capture/src/writer.rs
@@ -42,10 +42,10 @@
 pub struct Writer<W: Write> {
     output: W,
     /// Requests that are not yet written.
-    requests: Vec<RequestRecord>,
+    pending_requests: Vec<RequestRecord>,
     /// Load reports that are not yet written.
-    reports: Vec<LoadReport>,
-    written: RecordCounts,
+    pending_reports: Vec<LoadReport>,
+    records_written: RecordCounts,
     bytes_written: u64,
     max_bytes: Option<u64>,
 }
@@ -55,9 +55,9 @@
     pub fn open(output: W, header: &CaptureHeader, max_bytes: Option<u64>) -> io::Result<Self> {
         let mut writer = Writer {
             output,
-            requests: Vec::with_capacity(REQUESTS_PER_BLOCK),
-            reports: Vec::new(),
-            written: RecordCounts::default(),
+            pending_requests: Vec::with_capacity(REQUESTS_PER_BLOCK),
+            pending_reports: Vec::new(),
+            records_written: RecordCounts::default(),
             bytes_written: 0,
             max_bytes,
         };
@@ -73,8 +73,8 @@
 
     /// Adds a request. [`WriteError::SizeLimitReached`] means that no further record fits.
     pub fn write_request(&mut self, request: RequestRecord) -> Result<(), WriteError> {
-        self.requests.push(request);
-        if self.requests.len() >= REQUESTS_PER_BLOCK {
+        self.pending_requests.push(request);
+        if self.pending_requests.len() >= REQUESTS_PER_BLOCK {
             return self.flush();
         }
         Ok(())
@@ -82,8 +82,8 @@
 
     /// Adds a load report. [`WriteError::SizeLimitReached`] means that no further record fits.
     pub fn write_report(&mut self, report: LoadReport) -> Result<(), WriteError> {
-        self.reports.push(report);
-        if self.reports.len() >= REPORTS_PER_BLOCK {
+        self.pending_reports.push(report);
+        if self.pending_reports.len() >= REPORTS_PER_BLOCK {
             return self.flush();
         }
         Ok(())
@@ -92,15 +92,15 @@
     /// Writes all pending records, even if they don't fill a block. A writer that flushes often loses little
     /// if it is killed.
     pub fn flush(&mut self) -> Result<(), WriteError> {
-        if !self.requests.is_empty() {
-            self.write_records(BlockKind::Requests, &payload::encode_requests(&self.requests))?;
-            self.written.requests += self.requests.len() as u64;
-            self.requests.clear();
+        if !self.pending_requests.is_empty() {
+            self.write_records(BlockKind::Requests, &payload::encode_requests(&self.pending_requests))?;
+            self.records_written.requests += self.pending_requests.len() as u64;
+            self.pending_requests.clear();
         }
-        if !self.reports.is_empty() {
-            self.write_records(BlockKind::Reports, &payload::encode_reports(&self.reports))?;
-            self.written.reports += self.reports.len() as u64;
-            self.reports.clear();
+        if !self.pending_reports.is_empty() {
+            self.write_records(BlockKind::Reports, &payload::encode_reports(&self.pending_reports))?;
+            self.records_written.reports += self.pending_reports.len() as u64;
+            self.pending_reports.clear();
         }
         self.output.flush()?;
         Ok(())
@@ -113,17 +113,17 @@
             Ok(()) | Err(WriteError::SizeLimitReached) => {}
             Err(WriteError::Io(error)) => return Err(error),
         }
-        self.write_bytes(&encode_block(BlockKind::End, &payload::encode_end(self.written)))?;
+        self.write_bytes(&encode_block(BlockKind::End, &payload::encode_end(self.records_written)))?;
         self.output.flush()?;
-        Ok(self.written)
+        Ok(self.records_written)
     }
 
     /// Writes a block of records. If it doesn't fit, drops all pending records.
     fn write_records(&mut self, kind: BlockKind, payload: &[u8]) -> Result<(), WriteError> {
         let block = encode_block(kind, payload);
         if !self.has_room_for(block.len()) {
-            self.requests.clear();
-            self.reports.clear();
+            self.pending_requests.clear();
+            self.pending_reports.clear();
             return Err(WriteError::SizeLimitReached);
         }
         self.write_bytes(&block)?;
--- a/traffic-capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -1,4 +1,4 @@
-//! Reads files that are complete, truncated at any byte, corrupt at any byte, or not captures at all.
+//! Reads files that are complete, truncated, corrupt, or not traffic captures at all.
 
 use otterwinch_traffic_capture::{
     CaptureHeader, CaptureItem, Corruption, Demand, EndpointOutcomes, LoadReport, Reader, RecordCounts,
@@ -7,23 +7,23 @@
 use proptest::prelude::*;
 
 fn header() -> CaptureHeader {
-    let own = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     CaptureHeader {
-        request_classes: own(&["quote", "hold"]),
-        zones: own(&["a", "b", "c"]),
+        request_classes: to_strings(&["quote", "hold"]),
+        zones: to_strings(&["a", "b", "c"]),
         started_unix_ms: 7,
         source: "t".into(),
     }
 }
 
-fn request(k: u64) -> RequestRecord {
+fn request(index: u64) -> RequestRecord {
     RequestRecord {
-        at_us: k as i64 * 900 - 40,
-        request_class: (k % 2) as u32,
-        zone: (k % 3) as u32,
-        work_us: (!k.is_multiple_of(5)).then_some(100_000 + k * 7),
-        idempotency_key: k.is_multiple_of(4).then_some(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-        attempt: u32::from(k.is_multiple_of(11)),
+        at_us: index as i64 * 900 - 40,
+        request_class: (index % 2) as u32,
+        zone: (index % 3) as u32,
+        work_us: (!index.is_multiple_of(5)).then_some(100_000 + index * 7),
+        idempotency_key: index.is_multiple_of(4).then_some(index.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+        attempt: u32::from(index.is_multiple_of(11)),
     }
 }
 
@@ -45,7 +45,7 @@
 fn file(requests: u64) -> Vec<u8> {
     let mut file = Vec::new();
     let mut writer = Writer::open(&mut file, &header(), None).unwrap();
-    (0..requests).for_each(|k| writer.write_request(request(k)).unwrap());
+    (0..requests).for_each(|index| writer.write_request(request(index)).unwrap());
     reports().into_iter().for_each(|report| writer.write_report(report).unwrap());
     assert_eq!(writer.finish().unwrap(), RecordCounts { requests, reports: 2 });
     file
@@ -72,31 +72,33 @@
 }
 
 #[test]
-fn what_was_written_is_read() {
+fn written_records_are_read_back() {
     let Contents { requests, reports: read_reports, corruptions } = read(&file(10_000));
     assert_eq!(requests, (0..10_000).map(request).collect::<Vec<_>>());
     assert_eq!((read_reports, corruptions), (reports(), vec![]));
 }
 
 #[test]
-fn a_file_truncated_anywhere_reads_to_its_last_complete_block_and_says_so() {
+fn a_truncated_file_is_read_to_its_last_complete_block_and_reported() {
     let complete = file(9_000);
     let records_len = complete.len() - file(0).len();
     assert!(records_len > 1_000);
-    let first = (0..complete.len()).find(|to| Reader::open(&complete[..*to]).is_ok()).unwrap();
-    for to in (first..complete.len()).step_by(97) {
-        let Contents { requests, corruptions, .. } = read(&complete[..to]);
-        assert!([0, 4_096, 8_192, 9_000].contains(&requests.len()), "{} at {to}", requests.len());
+    let min_len = (0..complete.len()).find(|len| Reader::open(&complete[..*len]).is_ok()).unwrap();
+    for len in (min_len..complete.len()).step_by(97) {
+        let Contents { requests, corruptions, .. } = read(&complete[..len]);
+        assert!([0, 4_096, 8_192, 9_000].contains(&requests.len()), "{} at {len}", requests.len());
         assert_eq!(requests, (0..requests.len() as u64).map(request).collect::<Vec<_>>());
-        let truncated =
-            matches!(corruptions[..], [Corruption::TruncatedBlock { .. } | Corruption::MissingEnd { .. }]);
-        assert!(truncated, "{corruptions:?} at {to}");
+        let truncated = matches!(
+            corruptions[..],
+            [Corruption::TruncatedBlock { .. } | Corruption::MissingEndBlock { .. }]
+        );
+        assert!(truncated, "{corruptions:?} at {len}");
     }
-    assert!((0..first).all(|to| Reader::open(&complete[..to]).is_err()));
+    assert!((0..min_len).all(|len| Reader::open(&complete[..len]).is_err()));
 }
 
 #[test]
-fn a_corrupt_block_is_reported_and_costs_nothing_but_itself() {
+fn a_corrupt_block_is_reported_and_only_its_records_are_lost() {
     let mut bytes = file(12_288);
     // Within the second of three blocks of requests.
     let at = bytes.len() / 2;
@@ -114,25 +116,27 @@
 }
 
 #[test]
-fn bytes_that_are_no_block_are_skipped_up_to_the_next() {
+fn bytes_between_blocks_are_reported_and_skipped() {
     let complete = file(4_096);
     let without_requests = file(0);
     // The files differ from the first block of requests on. Its sync marker precedes the first difference.
-    let at = complete.iter().zip(&without_requests).position(|(a, b)| a != b).unwrap();
-    let block = at - complete[..at].windows(4).rev().position(|w| w == [0xb7, 0x4f, 0x57, 0x0d]).unwrap() - 4;
-    let mut bytes = complete[..block].to_vec();
+    let difference = complete.iter().zip(&without_requests).position(|(a, b)| a != b).unwrap();
+    let block_offset = difference
+        - complete[..difference].windows(4).rev().position(|w| w == [0xb7, 0x4f, 0x57, 0x0d]).unwrap()
+        - 4;
+    let mut bytes = complete[..block_offset].to_vec();
     bytes.extend(std::iter::repeat_n(0xb7, 70_000));
-    bytes.extend(&complete[block..]);
+    bytes.extend(&complete[block_offset..]);
     let Contents { requests, corruptions, .. } = read(&bytes);
     assert_eq!(requests.len(), 4_096);
-    assert_eq!(corruptions, [Corruption::UnknownBytes { offset: block as u64, length: 70_000 }]);
+    assert_eq!(corruptions, [Corruption::UnrecognizedBytes { offset: block_offset as u64, length: 70_000 }]);
 }
 
 #[test]
-fn a_file_that_reaches_its_largest_size_is_complete() {
+fn a_file_that_reaches_its_maximum_size_is_complete() {
     let mut bytes = Vec::new();
     let mut writer = Writer::open(&mut bytes, &header(), Some(20_000)).unwrap();
-    let full = (0..200_000).find(|k| match writer.write_request(request(*k)) {
+    let full = (0..200_000).find(|index| match writer.write_request(request(*index)) {
         Ok(()) => false,
         Err(WriteError::SizeLimitReached) => true,
         Err(WriteError::Io(error)) => panic!("{error}"),
@@ -145,17 +149,17 @@
 }
 
 #[test]
-fn foreign_and_newer_files_are_told_apart() {
-    let refused = |bytes: &[u8]| Reader::open(bytes).err().unwrap().to_string();
+fn other_files_and_newer_captures_are_rejected_with_different_errors() {
+    let open_error = |bytes: &[u8]| Reader::open(bytes).err().unwrap().to_string();
     assert_eq!(
-        refused(b"at,product\n1,quote\n"),
+        open_error(b"at,product\n1,quote\n"),
         "not a traffic capture: expected a file that starts with OTWLOAD1"
     );
     assert_eq!(
-        refused(b"OTWLOAD2xxxxxxxxxxxxxxxxxxxxxxxxxxx"),
+        open_error(b"OTWLOAD2xxxxxxxxxxxxxxxxxxxxxxxxxxx"),
         "the traffic capture has a newer format version than this program supports"
     );
-    assert!(refused(b"").starts_with("not a traffic capture"));
+    assert!(open_error(b"").starts_with("not a traffic capture"));
 }
 
 proptest! {
@@ -167,10 +171,10 @@
         flips in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
     ) {
         let mut bytes = file(5_000);
-        let opening = 90;
-        for (at, with) in flips {
-            let at = opening + at.index(bytes.len() - opening);
-            bytes[at] ^= with;
+        let intact_len = 90;
+        for (at, mask) in flips {
+            let at = intact_len + at.index(bytes.len() - intact_len);
+            bytes[at] ^= mask;
         }
         bytes.extend(noise);
         if let Ok(reader) = Reader::open(bytes.as_slice()) {
--- a/traffic-capture/tests/stored_file.rs
+++ b/traffic-capture/tests/stored_file.rs
@@ -9,10 +9,10 @@
 const STORED: &[u8] = include_bytes!("data/version-1.capture");
 
 fn header() -> CaptureHeader {
-    let own = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let to_strings = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
     CaptureHeader {
-        request_classes: own(&["quote", "hold"]),
-        zones: own(&["north", "south", "west"]),
+        request_classes: to_strings(&["quote", "hold"]),
+        zones: to_strings(&["north", "south", "west"]),
         started_unix_ms: 1_764_748_800_123,
         source: "fixture".into(),
     }
