--- a/traffic-capture/src/corruption.rs
+++ b/traffic-capture/src/corruption.rs
@@ -24,7 +24,7 @@
         length: u64,
     },
     /// The file ends within a block.
-    #[error("the file is truncated within the block at byte {offset}; later records are missing")]
+    #[error("the file is truncated within the block at byte {offset}; the rest is missing")]
     TruncatedBlock {
         /// The offset of the block.
         offset: u64,
--- a/traffic-capture/src/reader.rs
+++ b/traffic-capture/src/reader.rs
@@ -30,7 +30,7 @@
     #[error("not a traffic capture: expected a file that starts with OTWLOAD1")]
     NotACapture,
     /// The file has a newer format version.
-    #[error("the traffic capture has a newer format version than this program supports")]
+    #[error("the traffic capture has a newer format version than this program supports: expected OTWLOAD1")]
     NewerVersion,
     /// The first block is corrupt, truncated or not a header block.
     #[error("the first block can't be read; expected a header with the request classes and zones")]
--- a/traffic-capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -157,7 +157,7 @@
     );
     assert_eq!(
         open_error(b"OTWLOAD2xxxxxxxxxxxxxxxxxxxxxxxxxxx"),
-        "the traffic capture has a newer format version than this program supports"
+        "the traffic capture has a newer format version than this program supports: expected OTWLOAD1"
     );
     assert!(open_error(b"").starts_with("not a traffic capture"));
 }
