--- a/textproto/src/locations.rs
+++ b/textproto/src/locations.rs
@@ -1,59 +1,62 @@
-//! Where each field of a text stands: a pass over its tokens that knows the names of the schema and no values. It finds
-//! every unknown field at once, and the line of a value that turns out to be invalid later.
+//! Locates the fields in a text. A pass over the tokens compares field names with the schema and doesn't
+//! interpret values. It finds all unknown fields, and records the lines that later errors about values refer
+//! to.
 
-use crate::tokens::{Token, Tokens};
+use crate::tokens::{Token, Tokenizer};
 use prost_reflect::{Kind, MessageDescriptor};
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Messages are scanned to this depth. Schemas are a few levels deep; a deeper text is left to the parser to reject.
+/// Nesting depth to which messages are scanned. Schemas are a few levels deep; deeper text is left to the
+/// parser to reject.
 const MAX_DEPTH: usize = 32;
 
-/// A name that is less similar to an unknown one is not suggested in its place; 1 is equality.
+/// Minimum similarity of a field name that is suggested in place of an unknown one; 1 means equal.
 const MIN_SIMILARITY: f64 = 0.5;
 
-/// Where the fields of a text stand, by their paths such as `group[2].cores`.
+/// The lines and byte ranges of the fields in a text, by paths such as `group[2].cores`.
 #[derive(Clone, Debug, Default)]
 pub struct FieldLocations {
     lines: HashMap<String, usize>,
-    /// Fields that hold plain values.
+    /// The fields that hold scalar values or lists.
     values: Vec<ValueLocation>,
     pub(crate) unknown_fields: Vec<UnknownField>,
 }
 
-/// A field that holds a plain value or a list.
+/// A field that holds a scalar value or a list.
 #[derive(Clone, Debug)]
 pub(crate) struct ValueLocation {
-    /// Its path.
+    /// The path of the field.
     pub path: String,
-    /// Its bytes, name and value.
-    pub bytes: Range<usize>,
+    /// The byte range from the start of the name to the end of the value.
+    pub span: Range<usize>,
 }
 
-/// A field that the schema does not have.
+/// A field that its message's schema doesn't define.
 #[derive(Clone, Debug)]
 pub(crate) struct UnknownField {
-    /// Its line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// The path of the message that it stands in.
+    /// The path of the message that contains the field.
     pub parent: String,
-    /// Its name.
+    /// The name of the field.
     pub name: String,
-    /// The field of the schema that may have been meant.
+    /// A similar field name in the schema, which may have been meant.
     pub suggestion: Option<String>,
-    /// Its bytes, name and value.
-    pub bytes: Range<usize>,
+    /// The byte range from the start of the name to the end of the value.
+    pub span: Range<usize>,
 }
 
 impl FieldLocations {
-    /// Scans a text that is to hold one message of the schema.
+    /// Scans a text that should contain one message of the given schema.
     pub fn scan(text: &str, schema: &MessageDescriptor) -> FieldLocations {
-        let mut scanner = Scanner { tokens: Tokens::new(text), found: FieldLocations::default() };
+        let mut scanner = Scanner { tokenizer: Tokenizer::new(text), locations: FieldLocations::default() };
         scanner.scan_message(Some(schema), "", 0);
-        scanner.found
+        scanner.locations
     }
 
-    /// The line of a field, or of the innermost message around it that the text has; 0 where it has none of them.
+    /// The line of a field. If the text doesn't contain it, the line of the innermost enclosing message that
+    /// the text does contain, or 0 if there is none.
     pub fn line(&self, path: &str) -> usize {
         let mut path = path;
         loop {
@@ -67,47 +70,47 @@
         }
     }
 
-    /// The field with a plain value that a byte belongs to.
+    /// The field with a scalar value or list whose byte range contains the offset.
     pub(crate) fn value_at(&self, offset: usize) -> Option<&ValueLocation> {
-        self.values.iter().find(|value| value.bytes.contains(&offset))
+        self.values.iter().find(|value| value.span.contains(&offset))
     }
 
-    /// A field that stands several times is located by the first.
-    fn add_line(&mut self, path: String, line: usize) {
+    /// Records the line of a field; the first occurrence counts if a path occurs more than once.
+    fn record_line(&mut self, path: String, line: usize) {
         self.lines.entry(path).or_insert(line);
     }
 }
 
-/// A field whose name was read and whose value comes next.
+/// A field whose name has been read and whose value comes next.
 struct Field<'a> {
     name: Token<'a>,
     line: usize,
     is_list: bool,
-    /// The schema of its value, where that is a message.
+    /// The schema of the value, if the value is a message.
     message_schema: Option<MessageDescriptor>,
 }
 
-/// The paths of the fields of one message.
+/// Builds the paths of the fields of one message.
 struct FieldPaths<'p> {
     parent: &'p str,
-    /// How often each name stood.
-    counts: HashMap<String, usize>,
+    /// How often each field name has occurred so far.
+    occurrences: HashMap<String, usize>,
 }
 
 impl FieldPaths<'_> {
-    /// A path one step below the message.
-    fn join(&self, step: &str) -> String {
+    /// The path of a direct child of the message.
+    fn join(&self, segment: &str) -> String {
         if self.parent.is_empty() {
-            step.to_owned()
+            segment.to_owned()
         } else {
-            format!("{}.{step}", self.parent)
+            format!("{}.{segment}", self.parent)
         }
     }
 
-    /// The path of the next value of a field.
-    fn of_next_value(&mut self, field: &Field) -> String {
+    /// The path of the next value of a field; repeated fields are numbered from 0.
+    fn next_value_path(&mut self, field: &Field) -> String {
         let name = field.name.text;
-        let count = self.counts.entry(name.to_owned()).or_default();
+        let count = self.occurrences.entry(name.to_owned()).or_default();
         let position = *count;
         *count += 1;
         if field.is_list {
@@ -119,43 +122,43 @@
 }
 
 struct Scanner<'a> {
-    tokens: Tokens<'a>,
-    found: FieldLocations,
+    tokenizer: Tokenizer<'a>,
+    locations: FieldLocations,
 }
 
 impl<'a> Scanner<'a> {
-    /// Scans fields up to the end of the message. Within an unknown field there is no schema.
+    /// Scans fields up to the end of the message. `schema` is `None` within an unknown field.
     fn scan_message(&mut self, schema: Option<&MessageDescriptor>, path: &str, depth: usize) {
-        let mut paths = FieldPaths { parent: path, counts: HashMap::new() };
-        while let Some(token) = self.tokens.next() {
+        let mut paths = FieldPaths { parent: path, occurrences: HashMap::new() };
+        while let Some(token) = self.tokenizer.next() {
             if matches!(token.text, "}" | ">") {
                 return;
             }
-            // Separators, and what is not a field: the parser reports that.
+            // Skips separators, and malformed text, which the parser reports.
             if !is_name(token.text) {
                 continue;
             }
-            let unknown = self.add_if_unknown(token, schema, path);
-            let field = self.field(token, schema);
-            if self.tokens.peek() == Some(":") {
-                self.tokens.next();
+            let unknown = self.record_if_unknown(token, schema, path);
+            let field = self.resolve_field(token, schema);
+            if self.tokenizer.peek() == Some(":") {
+                self.tokenizer.next();
             }
-            if self.tokens.peek().is_none() {
+            if self.tokenizer.peek().is_none() {
                 return;
             }
             self.scan_value(&field, &mut paths, depth);
             if let Some(unknown) = unknown {
-                self.found.unknown_fields[unknown].bytes.end = self.tokens.position();
+                self.locations.unknown_fields[unknown].span.end = self.tokenizer.position();
             }
         }
     }
 
-    fn field(&self, name: Token<'a>, schema: Option<&MessageDescriptor>) -> Field<'a> {
+    fn resolve_field(&self, name: Token<'a>, schema: Option<&MessageDescriptor>) -> Field<'a> {
         let descriptor = schema.and_then(|schema| schema.get_field_by_name(name.text));
         let kind = descriptor.as_ref().map(|descriptor| descriptor.kind());
         Field {
             name,
-            line: self.tokens.line_at(name.start),
+            line: self.tokenizer.line_at(name.start),
             is_list: descriptor.is_some_and(|descriptor| descriptor.is_list()),
             message_schema: match kind {
                 Some(Kind::Message(message)) => Some(message),
@@ -164,8 +167,8 @@
         }
     }
 
-    /// Notes a field that its schema does not have, and returns its position among the unknown ones.
-    fn add_if_unknown(
+    /// Records a field that the schema doesn't define, and returns its index in `unknown_fields`.
+    fn record_if_unknown(
         &mut self,
         name: Token,
         schema: Option<&MessageDescriptor>,
@@ -175,68 +178,69 @@
         if schema.get_field_by_name(name.text).is_some() {
             return None;
         }
-        self.found.unknown_fields.push(UnknownField {
-            line: self.tokens.line_at(name.start),
+        self.locations.unknown_fields.push(UnknownField {
+            line: self.tokenizer.line_at(name.start),
             parent: parent.to_owned(),
             name: name.text.to_owned(),
             suggestion: most_similar_field(name.text, schema),
-            bytes: name.start..name.start,
+            span: name.start..name.start,
         });
-        Some(self.found.unknown_fields.len() - 1)
+        Some(self.locations.unknown_fields.len() - 1)
     }
 
     fn scan_value(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
-        match self.tokens.peek() {
+        match self.tokenizer.peek() {
             Some("{" | "<") => {
-                self.tokens.next();
-                let path = paths.of_next_value(field);
-                self.found.add_line(path.clone(), field.line);
+                self.tokenizer.next();
+                let path = paths.next_value_path(field);
+                self.locations.record_line(path.clone(), field.line);
                 if depth < MAX_DEPTH {
                     self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
                 }
             }
             Some("[") => self.scan_list(field, paths, depth),
-            _ => self.scan_plain_value(field, paths),
+            _ => self.scan_scalar(field, paths),
         }
     }
 
     fn scan_list(&mut self, field: &Field, paths: &mut FieldPaths, depth: usize) {
-        self.tokens.next();
-        while let Some(token) = self.tokens.next() {
+        self.tokenizer.next();
+        while let Some(token) = self.tokenizer.next() {
             match token.text {
                 "]" => break,
                 "," => {}
                 text => {
-                    let path = paths.of_next_value(field);
-                    self.found.add_line(path.clone(), self.tokens.line_at(token.start));
+                    let path = paths.next_value_path(field);
+                    self.locations.record_line(path.clone(), self.tokenizer.line_at(token.start));
                     if matches!(text, "{" | "<") && depth < MAX_DEPTH {
                         self.scan_message(field.message_schema.as_ref(), &path, depth + 1);
                     }
                 }
             }
         }
-        let bytes = field.name.start..self.tokens.position();
-        self.found.values.push(ValueLocation { path: paths.join(field.name.text), bytes });
+        let span = field.name.start..self.tokenizer.position();
+        self.locations.values.push(ValueLocation { path: paths.join(field.name.text), span });
     }
 
-    fn scan_plain_value(&mut self, field: &Field, paths: &mut FieldPaths) {
-        let path = paths.of_next_value(field);
-        self.found.add_line(path.clone(), field.line);
-        while let Some(token) = self.tokens.next() {
-            if !self.is_continued_after(token) {
+    fn scan_scalar(&mut self, field: &Field, paths: &mut FieldPaths) {
+        let path = paths.next_value_path(field);
+        self.locations.record_line(path.clone(), field.line);
+        while let Some(token) = self.tokenizer.next() {
+            if !self.continues_after(token) {
                 break;
             }
         }
-        let bytes = field.name.start..self.tokens.position();
-        self.found.values.push(ValueLocation { path, bytes });
+        let span = field.name.start..self.tokenizer.position();
+        self.locations.values.push(ValueLocation { path, span });
     }
 
-    /// Whether a plain value goes on: a minus is followed by its number, and adjacent strings are one.
-    fn is_continued_after(&mut self, token: Token) -> bool {
+    /// Whether a scalar value continues after this token: a minus sign is followed by its number, and
+    /// adjacent string literals are concatenated.
+    fn continues_after(&mut self, token: Token) -> bool {
         if token.text == "-" {
             return true;
         }
-        is_string(token.text) && self.tokens.peek().is_some_and(is_string)
+        is_string(token.text) && self.tokenizer.peek().is_some_and(is_string)
     }
 }
 
@@ -248,7 +252,7 @@
     token.starts_with(['"', '\''])
 }
 
-/// The field of a message whose name is most similar to one that it does not have.
+/// The field name of a schema that is most similar to an unknown name; `None` if none is similar enough.
 fn most_similar_field(name: &str, schema: &MessageDescriptor) -> Option<String> {
     let similarity = |field: &str| strsim::normalized_damerau_levenshtein(name, field);
     let names = schema.fields().map(|field| field.name().to_owned());
