--- a/simulation/src/simulation_result.rs
+++ b/simulation/src/simulation_result.rs
@@ -19,9 +19,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StopReason::EndlessRetries => {
-                write!(f, "clients still came again {} s after the load's end", MAX_TAIL / SECOND)
+                write!(f, "clients were still retrying {} s after the end of the load", MAX_TAIL / SECOND)
             }
-            StopReason::TooManyInFlight => write!(f, "more than {MAX_IN_FLIGHT} txns were in flight"),
+            StopReason::TooManyInFlight => write!(f, "more than {MAX_IN_FLIGHT} requests were in flight"),
         }
     }
 }
--- a/simulation/tests/simulate.rs
+++ b/simulation/tests/simulate.rs
@@ -183,7 +183,7 @@
     let result = simulated(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 5 txns_per_s: 10");
     assert_eq!(
         result.ended_early.map(|reason| reason.to_string()).as_deref(),
-        Some("clients still came again 120 s after the load's end")
+        Some("clients were still retrying 120 s after the end of the load")
     );
 }
 
