--- a/simulation/src/slab.rs
+++ b/simulation/src/slab.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Handle {
     pub slot: u32,
-    incarnation: u32,
+    generation: u32,
 }
 
 struct Entry<T> {
     value: T,
     /// Incremented each time the slot is released.
-    incarnation: u32,
+    generation: u32,
     occupied: bool,
 }
 
@@ -35,26 +35,26 @@
             entry.occupied = true;
             return slot;
         }
-        self.entries.push(Entry { value, incarnation: 0, occupied: true });
+        self.entries.push(Entry { value, generation: 0, occupied: true });
         self.entries.len() as u32 - 1
     }
 
     /// Frees a slot. Handles to its value become stale.
     pub(crate) fn release(&mut self, slot: u32) {
         let entry = &mut self.entries[slot as usize];
-        entry.incarnation += 1;
+        entry.generation += 1;
         entry.occupied = false;
         self.free.push(slot);
     }
 
     /// A handle to the current value of a slot.
     pub(crate) fn handle(&self, slot: u32) -> Handle {
-        Handle { slot, incarnation: self.entries[slot as usize].incarnation }
+        Handle { slot, generation: self.entries[slot as usize].generation }
     }
 
     /// Whether the value that a handle refers to has not been released.
     pub(crate) fn is_current(&self, handle: Handle) -> bool {
-        self.entries[handle.slot as usize].incarnation == handle.incarnation
+        self.entries[handle.slot as usize].generation == handle.generation
     }
 
     /// The occupied slots whose values satisfy a condition, in ascending order.
--- a/simulation/src/slab/tests.rs
+++ b/simulation/src/slab/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_handle_goes_stale_when_its_value_is_released() {
+fn a_handle_becomes_stale_when_its_value_is_released() {
     let mut slab = Slab::new();
     let slot = slab.insert('a');
     let handle = slab.handle(slot);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_slot_released_last_is_reused_first_and_free_slots_are_not_listed() {
+fn the_last_released_slot_is_reused_first_and_free_slots_are_not_listed() {
     let mut slab = Slab::new();
     let slots: Vec<u32> = (0..4).map(|number| slab.insert(number)).collect();
     slab.release(slots[1]);
