--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -54,26 +54,26 @@
     wheel: Vec<Vec<Entry<E>>>,
     /// Events due by the end of the current slot. A heap, since an event may schedule another one in the same
     /// slot.
-    open: BinaryHeap<Entry<E>>,
+    current: BinaryHeap<Entry<E>>,
     /// Events beyond the range of the wheel.
-    far: BinaryHeap<Entry<E>>,
+    overflow: BinaryHeap<Entry<E>>,
     /// The number of the current slot, counted from time 0.
-    open_slot: u64,
+    current_slot: u64,
     /// The number of events in the wheel.
-    in_wheel: usize,
+    wheel_len: usize,
     /// The number of events scheduled so far.
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
 impl<E: Copy> Default for Queue<E> {
     fn default() -> Self {
         Queue {
             wheel: (0..SLOTS).map(|_| Vec::new()).collect(),
-            open: BinaryHeap::new(),
-            far: BinaryHeap::new(),
-            open_slot: 0,
-            in_wheel: 0,
-            scheduled: 0,
+            current: BinaryHeap::new(),
+            overflow: BinaryHeap::new(),
+            current_slot: 0,
+            wheel_len: 0,
+            scheduled_count: 0,
         }
     }
 }
@@ -82,52 +82,54 @@
     /// Whether no event is scheduled.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
-        self.open.is_empty() && self.in_wheel == 0 && self.far.is_empty()
+        self.current.is_empty() && self.wheel_len == 0 && self.overflow.is_empty()
     }
 
     /// Schedules an event. An event that is due in the past is taken next.
     pub(crate) fn push(&mut self, at: Time, class: Class, event: E) {
-        self.scheduled += 1;
-        let entry = Entry { at, order: (class as u64) << 56 | self.scheduled, event };
+        self.scheduled_count += 1;
+        let entry = Entry { at, order: (class as u64) << 56 | self.scheduled_count, event };
         let slot = at >> SLOT_BITS;
-        if slot <= self.open_slot {
-            self.open.push(entry);
-        } else if slot < self.open_slot + SLOTS as u64 {
-            self.in_wheel += 1;
+        if slot <= self.current_slot {
+            self.current.push(entry);
+        } else if slot < self.current_slot + SLOTS as u64 {
+            self.wheel_len += 1;
             self.wheel[slot as usize & (SLOTS - 1)].push(entry);
         } else {
-            self.far.push(entry);
+            self.overflow.push(entry);
         }
     }
 
     /// When the next event is due.
     pub(crate) fn next_at(&mut self) -> Option<Time> {
-        self.open_next_slot();
-        self.open.peek().map(|entry| entry.at)
+        self.advance_to_next_event();
+        self.current.peek().map(|entry| entry.at)
     }
 
     /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(Time, E)> {
-        self.open_next_slot();
-        self.open.pop().map(|entry| (entry.at, entry.event))
+        self.advance_to_next_event();
+        self.current.pop().map(|entry| (entry.at, entry.event))
     }
 
     /// Advances the current slot until it has an event, or returns if no event is scheduled.
-    fn open_next_slot(&mut self) {
-        while self.open.is_empty() {
-            if self.in_wheel > 0 {
-                self.open_slot += 1;
-            } else if let Some(nearest) = self.far.peek() {
-                self.open_slot = nearest.at >> SLOT_BITS;
+    fn advance_to_next_event(&mut self) {
+        while self.current.is_empty() {
+            if self.wheel_len > 0 {
+                self.current_slot += 1;
+            } else if let Some(nearest) = self.overflow.peek() {
+                self.current_slot = nearest.at >> SLOT_BITS;
             } else {
                 return;
             }
-            let slot = &mut self.wheel[self.open_slot as usize & (SLOTS - 1)];
-            self.in_wheel -= slot.len();
-            self.open.extend(slot.drain(..));
-            while let Some(entry) = self.far.peek().filter(|entry| entry.at >> SLOT_BITS <= self.open_slot) {
-                self.open.push(*entry);
-                self.far.pop();
+            let slot = &mut self.wheel[self.current_slot as usize & (SLOTS - 1)];
+            self.wheel_len -= slot.len();
+            self.current.extend(slot.drain(..));
+            while let Some(entry) =
+                self.overflow.peek().filter(|entry| entry.at >> SLOT_BITS <= self.current_slot)
+            {
+                self.current.push(*entry);
+                self.overflow.pop();
             }
         }
     }
--- a/simulation/src/queue/tests.rs
+++ b/simulation/src/queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn events_of_one_time_come_by_class_and_then_in_the_order_of_scheduling() {
+fn simultaneous_events_are_ordered_by_phase_and_then_by_scheduling() {
     let mut queue = Queue::default();
     queue.push(5, Class::Commands, 'd');
     queue.push(5, Class::Fleet, 'a');
@@ -12,18 +12,18 @@
 }
 
 #[test]
-fn the_wheel_yields_the_same_events_as_a_heap() {
+fn the_wheel_yields_events_in_the_same_order_as_a_heap() {
     // Schedules events in the current slot, in the wheel and beyond its range while time advances.
     let (mut queue, mut heap) = (Queue::default(), BinaryHeap::new());
-    let (mut now, mut order, mut state) = (0u64, 0u64, 9u64);
+    let (mut now, mut order, mut random) = (0u64, 0u64, 9u64);
     for event in 0..20_000u64 {
-        state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let reach = [300, 5_000, 900_000, 40_000_000][(state >> 33) as usize % 4];
-        let at = now + (state >> 20) % reach;
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        let max_delay = [300, 5_000, 900_000, 40_000_000][(random >> 33) as usize % 4];
+        let at = now + (random >> 20) % max_delay;
         order += 1;
         queue.push(at, Class::Fleet, event);
         heap.push(Entry { at, order, event });
-        if state >> 60 < 7 {
+        if random >> 60 < 7 {
             let (got, expected) = (queue.pop(), heap.pop().map(|entry| (entry.at, entry.event)));
             assert_eq!(got, expected);
             now = got.map_or(now, |got| got.0);
