--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -4,7 +4,7 @@
 use crate::clock::{micros, moment, Time};
 use crate::engine::Engine;
 use crate::event::Event;
-use crate::queue::Class;
+use crate::queue::Phase;
 use crate::route_table::{TableSnapshot, WeightedEndpoints};
 use crate::setup::list_entry;
 use crate::simulated_host::SimulatedHost;
@@ -50,7 +50,7 @@
             self.schedule_for_control_plane(at, Event::TimerFired { instance: number, timer });
         }
         if send {
-            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: number });
+            self.queue.push(self.now, Phase::Commands, Event::SendCommands { instance: number });
         }
     }
 
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::fault::ScheduledFault;
 use crate::plan::{LiftedLimits, SimulationPlan};
 use crate::proxy::{Attempt, Proxy};
-use crate::queue::{Class, Queue};
+use crate::queue::{Phase, Queue};
 use crate::results::Results;
 use crate::simulation_result::{EndpointResult, SimulationResult, StopReason};
 use crate::slab::Slab;
@@ -148,12 +148,12 @@
 
     /// Schedules an event that changes the state of the fleet.
     pub(crate) fn schedule(&mut self, at: Time, event: Event) {
-        self.queue.push(at, Class::Fleet, event);
+        self.queue.push(at, Phase::Fleet, event);
     }
 
     /// Schedules an event that is delivered to a control-plane instance.
     pub(crate) fn schedule_for_control_plane(&mut self, at: Time, event: Event) {
-        self.queue.push(at, Class::ControlPlane, event);
+        self.queue.push(at, Phase::ControlPlane, event);
     }
 
     /// Converts a time to seconds since the load began.
--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -1,14 +1,14 @@
-//! The event queue, ordered by time, then by class, then by the order of scheduling. The order doesn't depend
+//! The event queue, ordered by time, then by phase, then by the order of scheduling. The order doesn't depend
 //! on hashing or on memory addresses, so that a simulation is reproducible.
 
 use crate::clock::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The order of events that are due at the same time: first the changes of the fleet, then the deliveries to
+/// The phases in which events that are due at the same time are handled: first the changes of the fleet, then the deliveries to
 /// control-plane instances, then the sending of the commands that these issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Class {
+pub(crate) enum Phase {
     Fleet = 0,
     ControlPlane = 1,
     Commands = 2,
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Entry<E> {
     at: Time,
-    /// The class in the top byte, then a sequence number.
+    /// The phase in the top byte, then a sequence number.
     order: u64,
     event: E,
 }
@@ -86,9 +86,9 @@
     }
 
     /// Schedules an event. An event that is due in the past is taken next.
-    pub(crate) fn push(&mut self, at: Time, class: Class, event: E) {
+    pub(crate) fn push(&mut self, at: Time, phase: Phase, event: E) {
         self.scheduled_count += 1;
-        let entry = Entry { at, order: (class as u64) << 56 | self.scheduled_count, event };
+        let entry = Entry { at, order: (phase as u64) << 56 | self.scheduled_count, event };
         let slot = at >> SLOT_BITS;
         if slot <= self.current_slot {
             self.current.push(entry);
--- a/simulation/src/queue/tests.rs
+++ b/simulation/src/queue/tests.rs
@@ -3,10 +3,10 @@
 #[test]
 fn simultaneous_events_are_ordered_by_phase_and_then_by_scheduling() {
     let mut queue = Queue::default();
-    queue.push(5, Class::Commands, 'd');
-    queue.push(5, Class::Fleet, 'a');
-    queue.push(5, Class::ControlPlane, 'c');
-    queue.push(5, Class::Fleet, 'b');
+    queue.push(5, Phase::Commands, 'd');
+    queue.push(5, Phase::Fleet, 'a');
+    queue.push(5, Phase::ControlPlane, 'c');
+    queue.push(5, Phase::Fleet, 'b');
     let order: String = std::iter::from_fn(|| queue.pop()).map(|(_, event)| event).collect();
     assert_eq!(order, "abcd");
 }
@@ -21,7 +21,7 @@
         let max_delay = [300, 5_000, 900_000, 40_000_000][(random >> 33) as usize % 4];
         let at = now + (random >> 20) % max_delay;
         order += 1;
-        queue.push(at, Class::Fleet, event);
+        queue.push(at, Phase::Fleet, event);
         heap.push(Entry { at, order, event });
         if random >> 60 < 7 {
             let (got, expected) = (queue.pop(), heap.pop().map(|entry| (entry.at, entry.event)));
