--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::fault::ScheduledFault;
 use crate::plan::{LiftedLimits, SimulationPlan};
 use crate::proxy::{Attempt, Proxy};
-use crate::queue::{Phase, Queue};
+use crate::queue::{EventQueue, Phase};
 use crate::results::Results;
 use crate::simulation_result::{EndpointResult, SimulationResult, StopReason};
 use crate::slab::Slab;
@@ -32,7 +32,7 @@
     pub fleet: &'a Fleet,
     pub seed: u64,
     pub lifted_limits: LiftedLimits,
-    pub queue: Queue<Event>,
+    pub queue: EventQueue<Event>,
     pub now: Time,
     /// When the load begins. The control plane starts at time 0.
     pub load_start: Time,
--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -49,7 +49,7 @@
 const SLOT_BITS: u32 = 10;
 
 /// A timing wheel for events that are due soon, with a heap for those that are due beyond its range.
-pub(crate) struct Queue<E> {
+pub(crate) struct EventQueue<E> {
     /// Events by slot, unordered within a slot.
     wheel: Vec<Vec<Entry<E>>>,
     /// Events due by the end of the current slot. A heap, since an event may schedule another one in the same
@@ -65,9 +65,9 @@
     scheduled_count: u64,
 }
 
-impl<E: Copy> Default for Queue<E> {
+impl<E: Copy> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue {
+        EventQueue {
             wheel: (0..SLOTS).map(|_| Vec::new()).collect(),
             current: BinaryHeap::new(),
             overflow: BinaryHeap::new(),
@@ -78,7 +78,7 @@
     }
 }
 
-impl<E: Copy> Queue<E> {
+impl<E: Copy> EventQueue<E> {
     /// Whether no event is scheduled.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
--- a/simulation/src/queue/tests.rs
+++ b/simulation/src/queue/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn simultaneous_events_are_ordered_by_phase_and_then_by_scheduling() {
-    let mut queue = Queue::default();
+    let mut queue = EventQueue::default();
     queue.push(5, Phase::Commands, 'd');
     queue.push(5, Phase::Fleet, 'a');
     queue.push(5, Phase::ControlPlane, 'c');
@@ -14,7 +14,7 @@
 #[test]
 fn the_wheel_yields_events_in_the_same_order_as_a_heap() {
     // Schedules events in the current slot, in the wheel and beyond its range while time advances.
-    let (mut queue, mut heap) = (Queue::default(), BinaryHeap::new());
+    let (mut queue, mut heap) = (EventQueue::default(), BinaryHeap::new());
     let (mut now, mut order, mut random) = (0u64, 0u64, 9u64);
     for event in 0..20_000u64 {
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -9,7 +9,7 @@
 use crate::plan::{LiftedLimits, SimulationPlan, TableSource};
 use crate::proxy::Proxy;
 use crate::proxy_channel::ProxyChannel;
-use crate::queue::Queue;
+use crate::queue::EventQueue;
 use crate::results::Results;
 use crate::route_table::{AdmissionLevel, TableSnapshot, WeightedEndpoints};
 use crate::simulated_host::SimulatedHost;
@@ -46,7 +46,7 @@
             fleet,
             seed: plan.seed,
             lifted_limits: plan.lifted_limits,
-            queue: Queue::default(),
+            queue: EventQueue::default(),
             now: 0,
             load_start,
             load_ended: false,
