--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -52,7 +52,7 @@
             return broken.then_some(AttemptOutcome::ConnectionBroken);
         }
         if !endpoint.accept_connection() {
-            return Some(AttemptOutcome::NeverRan);
+            return Some(AttemptOutcome::NotExecuted);
         }
         attempt.connected = true;
         attempt.endpoint_incarnation = endpoint.incarnation;
@@ -73,7 +73,7 @@
         match self.endpoints[number as usize].offer(self.now, slot, attempt.work) {
             Offer::Started(done) => self.run_until(slot, done),
             Offer::Queued => attempt.stage = Stage::Queued,
-            Offer::Rejected => self.respond(slot, AttemptOutcome::NeverRan),
+            Offer::Rejected => self.respond(slot, AttemptOutcome::NotExecuted),
             Offer::Collapsed => {
                 self.respond(slot, AttemptOutcome::ConnectionBroken);
                 self.crash_endpoint(number);
--- a/simulation/src/event.rs
+++ b/simulation/src/event.rs
@@ -10,7 +10,7 @@
     /// The endpoint failed it after it had begun.
     Failed,
     /// The endpoint rejected it or refused the connection, which proves that it did not run.
-    NeverRan,
+    NotExecuted,
     /// The connection broke; it is unknown whether the attempt ran.
     ConnectionBroken,
 }
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -178,7 +178,7 @@
         self.requests[request].proxy_attempt = None;
         match outcome {
             AttemptOutcome::Answered => self.answer_client(request),
-            AttemptOutcome::NeverRan => {
+            AttemptOutcome::NotExecuted => {
                 if attempt.is_retry || !self.retry_elsewhere(request, &attempt) {
                     self.fail_client(request, RequestEnd::Failed, true);
                 }
@@ -194,7 +194,7 @@
         if !attempt.connected || attempt.endpoint_incarnation != endpoint.incarnation {
             return;
         }
-        let reusable = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::NeverRan);
+        let reusable = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::NotExecuted);
         if attempt.abandoned || !reusable {
             endpoint.open_connections -= 1;
         } else {
