--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -6,7 +6,7 @@
 use crate::event::Event;
 use crate::queue::Phase;
 use crate::route_table::{TableSnapshot, WeightedEndpoints};
-use crate::setup::list_entry;
+use crate::setup::endpoint_list_entry;
 use crate::simulated_host::SimulatedHost;
 use otterwinch::controller::Controller;
 use otterwinch::host::EndpointUpdate;
@@ -119,7 +119,7 @@
         if self.instances.is_empty() {
             return;
         }
-        let entry = |number: &u32| list_entry(&self.endpoints[*number as usize]);
+        let entry = |number: &u32| endpoint_list_entry(&self.endpoints[*number as usize]);
         let entries: Vec<EndpointUpdate> = endpoints.iter().map(entry).collect();
         let update = self.endpoint_updates.len() as u32;
         self.endpoint_updates.push(entries);
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -27,7 +27,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long the control plane runs before the load begins, so that proxies have been assigned tables by then.
-const CONTROL_PLANE_LEAD: Time = 8 * SECOND;
+const CONTROL_PLANE_LEAD_TIME: Time = 8 * SECOND;
 /// The offset between the report intervals of consecutive instances, so that they don't all end at the same
 /// time.
 const REPORT_STAGGER: Time = 7_001;
@@ -37,7 +37,7 @@
     pub(crate) fn new(plan: &SimulationPlan<'a>) -> Self {
         let fleet = plan.fleet;
         let load_start = match plan.table_source {
-            TableSource::Controller => CONTROL_PLANE_LEAD,
+            TableSource::Controller => CONTROL_PLANE_LEAD_TIME,
             TableSource::Fixed { .. } => 0,
         };
         let endpoints = build_endpoints(plan, load_start);
@@ -79,13 +79,13 @@
 
     fn add_proxies(&mut self, table_source: &TableSource) {
         let fleet = self.fleet;
-        for (zone, description) in fleet.zones.iter().enumerate() {
+        for (zone_index, zone) in fleet.zones.iter().enumerate() {
             let fixed_table = match table_source {
-                TableSource::Fixed { weights, admitted } => Some(fixed_table(&weights[zone], admitted)),
+                TableSource::Fixed { weights, admitted } => Some(fixed_table(&weights[zone_index], admitted)),
                 TableSource::Controller => None,
             };
-            let zone_endpoints = self.endpoints_in_zone(zone);
-            for _ in 0..description.proxy_count {
+            let zone_endpoints = self.endpoints_in_zone(zone_index);
+            for _ in 0..zone.proxy_count {
                 let number = self.proxies.len() as u32;
                 let mut random = random_stream(self.seed, "standing", u64::from(number));
                 let table_size = fleet.proxies.initial_table_size as usize;
@@ -97,8 +97,8 @@
                     TableSource::Fixed { .. } => None,
                     TableSource::Controller => Some(number % fleet.control_plane.instances),
                 };
-                self.live_proxies[zone].push(number);
-                self.proxies.push(Proxy::new(zone, instance, initial_endpoints, table));
+                self.live_proxies[zone_index].push(number);
+                self.proxies.push(Proxy::new(zone_index, instance, initial_endpoints, table));
             }
         }
     }
@@ -108,7 +108,7 @@
         let request_classes = fleet.request_classes.len();
         let ids = self.endpoints.iter().map(|endpoint| endpoint.id.clone());
         let endpoint_indices: Rc<FxHashMap<EndpointId, u32>> = Rc::new(ids.zip(0..).collect());
-        let endpoint_list: Vec<EndpointUpdate> = self.endpoints.iter().map(list_entry).collect();
+        let endpoint_list: Vec<EndpointUpdate> = self.endpoints.iter().map(endpoint_list_entry).collect();
         for number in 0..fleet.control_plane.instances {
             let seed = xxh3_64_with_seed(&number.to_le_bytes(), self.seed);
             let host = SimulatedHost::new(endpoint_indices.clone());
@@ -132,7 +132,7 @@
 }
 
 /// The entry of an endpoint in the endpoint list.
-pub(crate) fn list_entry(endpoint: &Endpoint) -> EndpointUpdate {
+pub(crate) fn endpoint_list_entry(endpoint: &Endpoint) -> EndpointUpdate {
     EndpointUpdate {
         id: endpoint.id.clone(),
         zone: endpoint.zone as u32,
@@ -157,18 +157,18 @@
 fn build_endpoints(plan: &SimulationPlan, load_start: Time) -> Vec<Endpoint> {
     let mut endpoints = Vec::new();
     for (group_index, group) in plan.fleet.groups.iter().enumerate() {
-        let limited = without_limits(group, plan.lifted_limits);
+        let effective_group = without_lifted_limits(group, plan.lifted_limits);
         // An endpoint that started before the simulation counts as started long ago.
         let started = group.uptime.and_then(|uptime| load_start.checked_sub(micros(uptime)));
         for (number, speed) in endpoint_speeds(group, group_index, plan.seed).into_iter().enumerate() {
             let id: EndpointId = format!("{}-{number}", group.name).into();
-            endpoints.push(Endpoint::new(id, group_index, &limited, speed, started));
+            endpoints.push(Endpoint::new(id, group_index, &effective_group, speed, started));
         }
     }
     endpoints
 }
 
-fn without_limits(group: &EndpointGroup, lifted: LiftedLimits) -> EndpointGroup {
+fn without_lifted_limits(group: &EndpointGroup, lifted: LiftedLimits) -> EndpointGroup {
     let mut group = group.clone();
     if lifted.connections {
         group.max_connections = u32::MAX;
