--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -19,7 +19,7 @@
 use otterwinch_fleet::ScheduledRequest;
 
 /// A simulation is stopped this long after the last request of the load was due.
-pub(crate) const MAX_TAIL: Time = 120 * SECOND;
+pub(crate) const MAX_TIME_AFTER_LOAD: Time = 120 * SECOND;
 /// A simulation with more requests in flight is stopped: clients then retry faster than requests end.
 pub(crate) const MAX_IN_FLIGHT: usize = 4_000_000;
 
@@ -57,7 +57,7 @@
     /// Those of them at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// The number of simulated events, requests of the load included.
-    pub events: u64,
+    pub event_count: u64,
 }
 
 impl Engine<'_> {
@@ -65,7 +65,7 @@
         let mut load = load.peekable();
         let mut sequence = 0;
         let mut last_due = self.load_start;
-        let ended_early = loop {
+        let stop_reason = loop {
             let next_event = self.queue.next_at();
             if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
                 sequence += 1;
@@ -81,7 +81,7 @@
                 if self.in_flight == 0 {
                     break None;
                 }
-                if at > last_due + MAX_TAIL {
+                if at > last_due + MAX_TIME_AFTER_LOAD {
                     break Some(StopReason::EndlessRetries);
                 }
             }
@@ -89,10 +89,10 @@
                 break Some(StopReason::TooManyInFlight);
             }
             self.now = at;
-            self.events += 1;
+            self.event_count += 1;
             self.handle(event);
         };
-        self.into_result(last_due, ended_early)
+        self.into_result(last_due, stop_reason)
     }
 
     fn due_time(&self, request: &ScheduledRequest) -> Time {
@@ -107,7 +107,7 @@
 
     fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.now = self.now.max(self.due_time(scheduled));
-        self.events += 1;
+        self.event_count += 1;
         self.begin_request(sequence, scheduled);
     }
 
@@ -161,25 +161,25 @@
         secs(at - self.load_start)
     }
 
-    fn into_result(self, last_due: Time, ended_early: Option<StopReason>) -> SimulationResult {
+    fn into_result(self, last_due: Time, stop_reason: Option<StopReason>) -> SimulationResult {
         let load_seconds = self.load_seconds(last_due);
         // At least one microsecond, so that the utilisation is defined for an empty load.
-        let measured = last_due.max(self.load_start + 1) - self.load_start;
+        let measured_time = last_due.max(self.load_start + 1) - self.load_start;
         let send_queues = self.instances.iter().map(|instance| &instance.channel.send_queue);
         let endpoints = self.endpoints.iter().enumerate();
         SimulationResult {
             endpoints: endpoints
                 .map(|(index, endpoint)| {
-                    EndpointResult::of(endpoint, self.usage.core_seconds(index), measured)
+                    EndpointResult::of(endpoint, self.usage.core_seconds(index), measured_time)
                 })
                 .collect(),
-            events: self.events,
+            event_count: self.event_count,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
             max_queued_lines: send_queues.clone().map(|queue| queue.max_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
-            ended_early,
+            stop_reason,
             results: self.results,
         }
     }
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -63,7 +63,7 @@
             in_flight: 0,
             proxy_attempts: 0,
             cross_zone_attempts: 0,
-            events: 0,
+            event_count: 0,
         };
         engine.add_proxies(&plan.table_source);
         if plan.table_source == TableSource::Controller {
--- a/simulation/src/simulation_result.rs
+++ b/simulation/src/simulation_result.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{Time, SECOND};
 use crate::endpoint::Endpoint;
-use crate::engine::{MAX_IN_FLIGHT, MAX_TAIL};
+use crate::engine::{MAX_IN_FLIGHT, MAX_TIME_AFTER_LOAD};
 use crate::results::Results;
 use std::fmt;
 
@@ -19,7 +19,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StopReason::EndlessRetries => {
-                write!(f, "clients were still retrying {} s after the end of the load", MAX_TAIL / SECOND)
+                write!(
+                    f,
+                    "clients were still retrying {} s after the end of the load",
+                    MAX_TIME_AFTER_LOAD / SECOND
+                )
             }
             StopReason::TooManyInFlight => write!(f, "more than {MAX_IN_FLIGHT} requests were in flight"),
         }
@@ -34,7 +38,7 @@
     /// By endpoint, in the fleet's order.
     pub endpoints: Vec<EndpointResult>,
     /// The number of simulated events.
-    pub events: u64,
+    pub event_count: u64,
     /// Attempts of proxies at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// All attempts of proxies at endpoints.
@@ -46,7 +50,7 @@
     /// The length of the load in seconds.
     pub load_seconds: f64,
     /// Why the simulation was stopped early; `None` if all requests ended.
-    pub ended_early: Option<StopReason>,
+    pub stop_reason: Option<StopReason>,
 }
 
 /// The result for one endpoint.
@@ -71,12 +75,12 @@
 }
 
 impl EndpointResult {
-    pub(crate) fn of(endpoint: &Endpoint, used_core_seconds: f64, measured: Time) -> Self {
+    pub(crate) fn of(endpoint: &Endpoint, used_core_seconds: f64, measured_time: Time) -> Self {
         EndpointResult {
             name: endpoint.id.to_string(),
             group: endpoint.group,
             zone: endpoint.zone,
-            utilisation: used_core_seconds / (f64::from(endpoint.cores) * measured as f64 / 1e6),
+            utilisation: used_core_seconds / (f64::from(endpoint.cores) * measured_time as f64 / 1e6),
             accepted: endpoint.accepted,
             rejected: endpoint.rejected,
             refused_connections: endpoint.refused_connections,
--- a/simulation/tests/simulate.rs
+++ b/simulation/tests/simulate.rs
@@ -182,7 +182,7 @@
     let table_source = TableSource::Fixed { weights: vec![vec![0.0; 6]; 2], admitted: vec![1.0; 3] };
     let result = simulated(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 5 txns_per_s: 10");
     assert_eq!(
-        result.ended_early.map(|reason| reason.to_string()).as_deref(),
+        result.stop_reason.map(|reason| reason.to_string()).as_deref(),
         Some("clients were still retrying 120 s after the end of the load")
     );
 }
