--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -5,12 +5,15 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The phases in which events that are due at the same time are handled: first the changes of the fleet, then the deliveries to
-/// control-plane instances, then the sending of the commands that these issued.
+/// Events that are due at the same time are handled in phases: first the changes of the fleet, then the
+/// deliveries to control-plane instances, then the sending of the commands that these issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
+    /// Events that change the fleet.
     Fleet = 0,
+    /// Timers of control-plane instances, and what is delivered to them.
     ControlPlane = 1,
+    /// Sending the commands of control-plane instances.
     Commands = 2,
 }
 
