--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -131,7 +131,7 @@
             Event::Retry { request } => self.retry(request),
             Event::ConnectionClosed { attempt } => self.connection_closed(attempt),
             Event::InjectFault { index } => self.inject_fault(index),
-            Event::Maintenance => self.maintain(),
+            Event::Maintenance => self.run_maintenance(),
             Event::TimerFired { instance, timer } => {
                 self.notify(instance, |controller, now| controller.timer_fired(now, timer))
             }
--- a/simulation/src/usage.rs
+++ b/simulation/src/usage.rs
@@ -4,9 +4,9 @@
 use crate::engine::Engine;
 use crate::event::Event;
 
-/// The interval at which usage is recorded and idle connections are closed.
+/// The interval at which usage is total and idle connections are closed.
 pub(crate) const MAINTENANCE_INTERVAL: u64 = SECOND;
-/// Subtracted from the time of a recording, so that usage recorded on the boundary of two windows counts in
+/// Subtracted from the time of a recording, so that usage total on the boundary of two windows counts in
 /// the earlier one.
 const WINDOW_MARGIN_SECONDS: f64 = 0.001;
 
@@ -15,12 +15,12 @@
     /// By endpoint, from the beginning to the end of the load.
     during_load: Vec<f64>,
     /// By endpoint, from the beginning of the simulation to the latest recording.
-    recorded: Vec<f64>,
+    total: Vec<f64>,
 }
 
 impl UsageMeter {
     pub(crate) fn new(endpoints: usize) -> Self {
-        UsageMeter { during_load: vec![0.0; endpoints], recorded: vec![0.0; endpoints] }
+        UsageMeter { during_load: vec![0.0; endpoints], total: vec![0.0; endpoints] }
     }
 
     /// Core-seconds that an endpoint used during the load.
@@ -36,8 +36,8 @@
         let during_load = self.now > self.load_start && !self.load_ended;
         for (index, endpoint) in self.endpoints.iter_mut().enumerate() {
             let used = endpoint.used_core_seconds(self.now);
-            let newly_used = used - self.usage.recorded[index];
-            self.usage.recorded[index] = used;
+            let newly_used = used - self.usage.total[index];
+            self.usage.total[index] = used;
             if during_load {
                 self.usage.during_load[index] += newly_used;
                 self.results.window(at).used_core_seconds[endpoint.zone] += newly_used;
@@ -46,13 +46,13 @@
     }
 
     /// Records usage and closes connections that exceeded the idle timeout.
-    pub(crate) fn maintain(&mut self) {
+    pub(crate) fn run_maintenance(&mut self) {
         self.record_usage();
-        self.close_idle_connections();
+        self.close_expired_connections();
         self.schedule(self.now + MAINTENANCE_INTERVAL, Event::Maintenance);
     }
 
-    fn close_idle_connections(&mut self) {
+    fn close_expired_connections(&mut self) {
         let oldest_use = self.now.saturating_sub(micros(self.fleet.proxies.idle_timeout));
         for proxy in &mut self.proxies {
             for (endpoint, pool) in &mut proxy.pools {
