--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -52,8 +52,8 @@
 
     /// The numbers of the endpoints of a zone, in ascending order.
     pub(crate) fn endpoints_in_zone(&self, zone: usize) -> Vec<u32> {
-        let numbered = (0..).zip(&self.endpoints);
-        numbered.filter(|(_, endpoint)| endpoint.zone == zone).map(|(number, _)| number).collect()
+        let with_numbers = (0..).zip(&self.endpoints);
+        with_numbers.filter(|(_, endpoint)| endpoint.zone == zone).map(|(number, _)| number).collect()
     }
 
     /// Terminates the process of an endpoint: its attempts are lost, and the endpoint list reports it after a
@@ -90,7 +90,7 @@
         self.close_idle_connections_of(number);
         let lost = self.attempts.slots_where(|attempt| attempt.proxy == number && !attempt.abandoned);
         for slot in lost {
-            self.lose_attempt(slot);
+            self.drop_attempt(slot);
         }
         // After its recovery it starts with the table of its initial endpoints.
         let proxy = &mut self.proxies[number as usize];
@@ -109,7 +109,7 @@
 
     /// Drops an attempt whose proxy crashed: the endpoint sees its connection close, and the client may
     /// retry.
-    fn lose_attempt(&mut self, slot: u32) {
+    fn drop_attempt(&mut self, slot: u32) {
         self.attempts[slot].abandoned = true;
         let request = self.attempts[slot].request;
         let attempt = self.attempts.handle(slot);
