--- a/simulation/src/results.rs
+++ b/simulation/src/results.rs
@@ -12,7 +12,7 @@
 /// The highest recorded latency, ten minutes; longer ones are recorded as this.
 const MAX_LATENCY_UNITS: u64 = 6_000_000;
 /// The significant decimal digits of recorded latencies.
-const LATENCY_DIGITS: u8 = 3;
+const LATENCY_SIGNIFICANT_DIGITS: u8 = 3;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,7 +102,7 @@
 
 impl RequestCounts {
     fn new() -> Self {
-        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_UNITS, LATENCY_DIGITS);
+        let latencies = Histogram::new_with_bounds(1, MAX_LATENCY_UNITS, LATENCY_SIGNIFICANT_DIGITS);
         RequestCounts {
             requests: 0,
             on_time: 0,
@@ -201,14 +201,14 @@
         self.attempts += other.attempts;
         self.rejected += other.rejected;
         self.weight.add(other.weight);
-        for (mine, theirs) in self.weight_by_class.iter_mut().zip(&other.weight_by_class) {
-            mine.add(*theirs);
+        for (sum, added) in self.weight_by_class.iter_mut().zip(&other.weight_by_class) {
+            sum.add(*added);
         }
-        for (mine, theirs) in self.weight_by_zone.iter_mut().zip(&other.weight_by_zone) {
-            mine.add(*theirs);
+        for (sum, added) in self.weight_by_zone.iter_mut().zip(&other.weight_by_zone) {
+            sum.add(*added);
         }
-        for (mine, theirs) in self.used_core_seconds.iter_mut().zip(&other.used_core_seconds) {
-            *mine += theirs;
+        for (sum, added) in self.used_core_seconds.iter_mut().zip(&other.used_core_seconds) {
+            *sum += added;
         }
     }
 }
@@ -247,7 +247,7 @@
     pub fn window(&mut self, at: f64) -> &mut Window {
         let mut index = (at.max(0.0) / self.window_seconds) as usize;
         while index >= MAX_WINDOWS {
-            self.double_windows();
+            self.double_window_length();
             index = (at / self.window_seconds) as usize;
         }
         while self.windows.len() <= index {
@@ -257,7 +257,7 @@
     }
 
     /// Merges each pair of consecutive windows into one of twice the length.
-    fn double_windows(&mut self) {
+    fn double_window_length(&mut self) {
         let mut merged: Vec<Window> = Vec::with_capacity(MAX_WINDOWS);
         for (index, window) in std::mem::take(&mut self.windows).into_iter().enumerate() {
             match merged.last_mut() {
@@ -306,9 +306,9 @@
 
     /// The lowest service level over any time range of this length, rounded up to whole windows.
     pub fn worst_service_level(&self, seconds: f64) -> f64 {
-        let length = ((seconds / self.window_seconds).ceil() as usize).max(1);
-        let stretches = self.windows.windows(length.min(self.windows.len().max(1)));
-        stretches.map(service_level_of).fold(1.0, f64::min)
+        let window_count = ((seconds / self.window_seconds).ceil() as usize).max(1);
+        let ranges = self.windows.windows(window_count.min(self.windows.len().max(1)));
+        ranges.map(service_level_of).fold(1.0, f64::min)
     }
 }
 
