--- a/simulation/src/usage.rs
+++ b/simulation/src/usage.rs
@@ -4,9 +4,9 @@
 use crate::engine::Engine;
 use crate::event::Event;
 
-/// The interval at which usage is total and idle connections are closed.
+/// The interval at which usage is recorded and idle connections are closed.
 pub(crate) const MAINTENANCE_INTERVAL: u64 = SECOND;
-/// Subtracted from the time of a recording, so that usage total on the boundary of two windows counts in
+/// Subtracted from the time of a recording, so that usage recorded on the boundary of two windows counts in
 /// the earlier one.
 const WINDOW_MARGIN_SECONDS: f64 = 0.001;
 
--- a/simulation/tests/simulate.rs
+++ b/simulation/tests/simulate.rs
@@ -93,11 +93,11 @@
     let table_source = TableSource::Fixed { weights: vec![vec![1.0]], admitted: vec![1.0] };
     let result =
         simulate_profile(&SimulationPlan { table_source, ..plan(&fleet) }, "for_s: 40000 txns_per_s: 7");
-    let (rate, (work, work_squared)) = (7.0, fleet.request_classes[0].work.moments());
-    let expected = work + rate * work_squared / (2.0 * (1.0 - rate * work));
+    let (rate, (mean_work, work_second_moment)) = (7.0, fleet.request_classes[0].work.moments());
+    let expected = mean_work + rate * work_second_moment / (2.0 * (1.0 - rate * mean_work));
     let measured = result.results.total.latencies.mean() / 1e4;
     assert!((measured / expected - 1.0).abs() < 0.03, "{measured} for {expected}");
-    assert!((result.endpoints[0].utilisation - rate * work).abs() < 0.01);
+    assert!((result.endpoints[0].utilisation - rate * mean_work).abs() < 0.01);
 }
 
 #[test]
