--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -28,6 +28,7 @@
     Engine::new(plan).run(load)
 }
 
+/// The state of a running simulation.
 pub(crate) struct Engine<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
@@ -151,7 +152,7 @@
         self.queue.push(at, Phase::Fleet, event);
     }
 
-    /// Schedules an event that is delivered to a control-plane instance.
+    /// Schedules an event of a control-plane instance: a timer, the end of a report interval or a delivery.
     pub(crate) fn schedule_for_control_plane(&mut self, at: Time, event: Event) {
         self.queue.push(at, Phase::ControlPlane, event);
     }
--- a/simulation/src/fault.rs
+++ b/simulation/src/fault.rs
@@ -12,7 +12,7 @@
     Drain(u32),
     /// The endpoint is slowed down by this factor; 1 ends the fault.
     SlowDown(u32, f64),
-    /// The endpoint fails this fraction of its requests without working on them; 0 ends the fault.
+    /// The endpoint fails this fraction of its requests as soon as they arrive; 0 ends the fault.
     FailRequests(u32, f64),
     /// The endpoint accepts requests but answers none; `false` ends the fault.
     Hang(u32, bool),
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -8,7 +8,7 @@
 pub enum TableSource {
     /// Control-plane instances that run the real controller.
     Controller,
-    /// There is no control plane, and the tables don't change.
+    /// There is no control plane, and the tables keep the values given here.
     Fixed {
         /// For each zone, the weight of each endpoint in the tables of the zone's proxies.
         weights: Vec<Vec<f64>>,
--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -6,12 +6,12 @@
 use std::collections::BinaryHeap;
 
 /// Events that are due at the same time are handled in phases: first the changes of the fleet, then the
-/// deliveries to control-plane instances, then the sending of the commands that these issued.
+/// events of control-plane instances, then the sending of the commands that these issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// Events that change the fleet.
     Fleet = 0,
-    /// Timers of control-plane instances, and what is delivered to them.
+    /// Timers and report intervals of control-plane instances, and deliveries to them.
     ControlPlane = 1,
     /// Sending the commands of control-plane instances.
     Commands = 2,
--- a/simulation/src/usage.rs
+++ b/simulation/src/usage.rs
@@ -53,7 +53,7 @@
     }
 
     fn close_expired_connections(&mut self) {
-        let oldest_use = self.now.saturating_sub(micros(self.fleet.proxies.idle_timeout));
+        let latest_expired_use = self.now.saturating_sub(micros(self.fleet.proxies.idle_timeout));
         for proxy in &mut self.proxies {
             for (endpoint, pool) in &mut proxy.pools {
                 let endpoint = &mut self.endpoints[*endpoint as usize];
@@ -62,7 +62,7 @@
                     continue;
                 }
                 let open_before = pool.idle_since.len();
-                pool.idle_since.retain(|since| *since > oldest_use);
+                pool.idle_since.retain(|since| *since > latest_expired_use);
                 endpoint.open_connections -= (open_before - pool.idle_since.len()) as u32;
             }
         }
