--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -19,17 +19,17 @@
 use tokio::task::spawn_local;
 use tokio_util::sync::CancellationToken;
 
-/// Why the control plane ended by itself.
+/// Why the control plane ended without a signal.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The runtime, a signal handler or the address could not be set up.
+    /// The runtime, a signal handler or the listener could not be set up.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A task that runs until the shutdown ended without one.
     #[error(transparent)]
     Task(#[from] TaskError),
-    /// The handler of SIGHUP is gone.
-    #[error("no more signals can be received")]
+    /// The signal stream of SIGHUP ended.
+    #[error("SIGHUP can no longer be received")]
     SignalsClosed,
 }
 
@@ -39,37 +39,38 @@
     server.run().await
 }
 
-/// A control plane whose tasks are started.
+/// A running control plane.
 struct Server {
     signals: ShutdownSignals,
     reload: ConfigReload,
     tasks: ServerTasks,
-    /// Ends the tasks.
+    /// Cancelled to end the tasks.
     shutdown: CancellationToken,
     log: Logger,
 }
 
 impl Server {
     async fn start(config: Rc<Config>, log: Logger) -> io::Result<Self> {
-        // Installed before the listener answers anybody: without a handler a SIGHUP ends the process.
+        // The handlers are installed before the listener accepts connections: without one, SIGHUP would end
+        // the process.
         let signals = ShutdownSignals::install()?;
-        let hangups = signal(SignalKind::hangup())?;
-        let (list_address, endpoint_list) = watch::channel(config.endpoint_list);
-        let (relay_address, relay) = watch::channel(config.relay);
-        let (control_loop, handles) = ControlLoop::start(config.clone(), relay.clone(), log.clone());
+        let sighup = signal(SignalKind::hangup())?;
+        let (list_address_sender, list_address) = watch::channel(config.endpoint_list);
+        let (relay_address_sender, relay_address) = watch::channel(config.relay);
+        let (control_loop, handles) = ControlLoop::start(config.clone(), relay_address.clone(), log.clone());
         let ControlLoopHandles { events, status, watch_requests } = handles;
         let socket = TcpListener::bind(config.listen).await?;
         info!(log, "started"; "version" => env!("CARGO_PKG_VERSION"), "listen" => %socket.local_addr()?);
         spawn_endpoint_watch(EndpointWatch {
-            address: endpoint_list,
-            max_answer_bytes: config.max_list_bytes,
+            address: list_address,
+            max_response_bytes: config.max_list_bytes,
             names: config.names.clone(),
-            requests: watch_requests,
+            watch_requests,
             events: events.clone(),
             log: log.clone(),
         });
         spawn_proxy_streams(ProxyStreams {
-            address: relay,
+            address: relay_address,
             names: config.names.clone(),
             events: events.clone(),
             log: log.clone(),
@@ -87,22 +88,22 @@
             control_loop: spawn_local(control_loop.run(shutdown.clone())),
         };
         let reload = ConfigReload {
-            hangups,
+            sighup,
             config,
-            endpoint_list: list_address,
-            relay: relay_address,
+            endpoint_list_address: list_address_sender,
+            relay_address: relay_address_sender,
             metrics: events.metrics,
             log: log.clone(),
         };
         Ok(Server { signals, reload, tasks, shutdown, log })
     }
 
-    /// Runs until a signal and the shutdown that follows it, or until a task fails.
+    /// Runs until the shutdown after a signal is complete, or until a task fails.
     async fn run(mut self) -> Result<(), ServeError> {
         let signal = tokio::select! {
             error = self.tasks.unexpected_end() => return Err(error.into()),
             () = self.reload.run() => return Err(ServeError::SignalsClosed),
-            signal = self.signals.received() => signal,
+            signal = self.signals.recv() => signal,
         };
         info!(self.log, "shutting down"; "signal" => signal);
         self.shutdown.cancel();
@@ -110,7 +111,7 @@
     }
 }
 
-// A panic in the task of a peer restarts that task alone.
+// If the task for a peer panics, only that task is restarted.
 
 fn spawn_endpoint_watch(watch: EndpointWatch) {
     restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
