--- a/emulator/src/control_plane_config/tests.rs
+++ b/emulator/src/control_plane_config/tests.rs
@@ -3,20 +3,21 @@
 
 fn small_fleet_config() -> Value {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../examples/fleets/small.fleet");
-    let fleet = otterwinch_fleet::read("small.fleet", &std::fs::read_to_string(path).unwrap()).unwrap();
+    let fleet =
+        otterwinch_fleet::parse_fleet("small.fleet", &std::fs::read_to_string(path).unwrap()).unwrap();
     let config = ControlPlaneConfig {
         fleet: &fleet,
         name: "supervisor-0",
         listen_address: "127.0.0.1:1",
         endpoint_list_address: "127.0.0.1:2",
         relay_address: "127.0.0.1:3",
-        known_endpoints: json!({"hosts": [], "seq": 1, "whole": true}),
+        initial_endpoint_list: json!({"hosts": [], "seq": 1, "whole": true}),
         seed: 26,
     };
     config.to_json()
 }
 
-/// Compared as a whole text, since the published settings fix each name and unit.
+/// Compares the whole text, because the published settings define the name and the unit of each field.
 #[test]
 fn the_configuration_has_the_published_field_names() {
     let expected = concat!(
--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -1,6 +1,7 @@
-//! The channel between a control-plane instance and its proxies: takes the commands of an instant, sends the messages that
-//! they make at the channel's rate, and reports when a proxy has applied a message that asks for an acknowledgement. Both
-//! the emulated relay and the control plane in this process send their commands through it.
+//! The channel between a control-plane instance and its proxies. Combines commands that are sent together
+//! into one message per proxy, sends the messages at the channel's rate, and reports when a proxy has applied
+//! a message that requests an acknowledgement. Both the emulated relay and the in-process control plane send
+//! their commands through it.
 
 use crate::proxy::Proxy;
 use crate::sync::lock;
@@ -15,49 +16,50 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// Messages in the channel, beyond which they are lost. No controller that keeps the channel's limits comes near.
+/// The number of messages that the channel holds; further ones are lost. A controller that respects the
+/// channel's limits stays far below it.
 const MAX_QUEUED_MESSAGES: usize = 1 << 20;
 
 /// A message to a proxy.
 struct Message {
-    /// When it reaches the proxy.
+    /// When the message reaches the proxy.
     arrives_at: Instant,
     proxy: u32,
-    /// The connection that it is sent on.
-    connection: u32,
+    /// The number of the connection that the message is sent on.
+    connection_number: u32,
     assigned_table: Option<Arc<TableSnapshot>>,
     ejected: Arc<BTreeSet<u32>>,
     lines: f64,
     acknowledgement: Option<u32>,
 }
 
-/// What a proxy states of itself when it connects.
+/// The properties that a proxy announces when it connects.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JoinedProxy {
     pub(crate) number: u32,
     /// The index of its zone.
     pub(crate) zone: u32,
-    /// The requests that it expects, per second.
+    /// The rate of requests that it expects, per second.
     pub(crate) expected_rate: f64,
-    /// Whether it holds the table that it drew at its start.
+    /// Whether it still uses the initial table, which it drew at random at its start.
     pub(crate) has_initial_table: bool,
 }
 
-/// A proxy's answer that it has applied all commands up to a number.
+/// A proxy's acknowledgement that it has applied all commands up to the one that requested it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Acknowledgement {
-    /// The number that the control plane asked for.
+    /// The number with which the control plane requested the acknowledgement.
     pub(crate) number: u32,
-    /// The proxy that answers.
+    /// The proxy that acknowledges.
     pub(crate) proxy: u32,
-    /// The delay of messages to it.
+    /// The delay of messages to the proxy.
     pub(crate) latency: Duration,
 }
 
 /// A running channel.
 pub(crate) struct ProxyChannel {
     state: Mutex<ChannelState>,
-    began: Instant,
+    started_at: Instant,
     message_delay: Duration,
     proxies: Arc<Vec<Proxy>>,
     messages: mpsc::Sender<Message>,
@@ -65,27 +67,27 @@
 
 struct ChannelState {
     model: ChannelModel,
-    /// By proxy: the number of its present connection. It changes with each connect and disconnect, so that messages of
-    /// an earlier connection are recognized and dropped.
-    connections: Vec<u32>,
+    /// By proxy: the number of its current connection. It changes with each connect and disconnect, so that
+    /// messages of an earlier connection are recognized and dropped.
+    connection_numbers: Vec<u32>,
 }
 
 impl ProxyChannel {
-    /// Opens a channel without connected proxies; acknowledgements come through the receiver.
+    /// Opens a channel without connected proxies. The receiver returns the acknowledgements.
     pub(crate) fn open(
         control_plane: &ControlPlane,
-        request_classes: usize,
+        request_class_count: usize,
         proxies: Arc<Vec<Proxy>>,
     ) -> (Arc<ProxyChannel>, mpsc::UnboundedReceiver<Acknowledgement>) {
         let (message_sender, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let (acknowledgement_sender, acknowledgements) = mpsc::unbounded_channel();
         let state = ChannelState {
-            model: ChannelModel::new(control_plane, request_classes),
-            connections: vec![0; proxies.len()],
+            model: ChannelModel::new(control_plane, request_class_count),
+            connection_numbers: vec![0; proxies.len()],
         };
         let channel = Arc::new(ProxyChannel {
             state: Mutex::new(state),
-            began: Instant::now(),
+            started_at: Instant::now(),
             message_delay: duration(control_plane.message_delay),
             proxies,
             messages: message_sender,
@@ -98,57 +100,58 @@
     pub(crate) fn connect(&self, proxy: u32) {
         let mut state = lock(&self.state);
         state.model.connect(proxy);
-        state.connections[proxy as usize] += 1;
+        state.connection_numbers[proxy as usize] += 1;
     }
 
-    /// Disconnects a proxy. Messages that have not reached it are lost.
+    /// Disconnects a proxy. Messages that have not reached it yet are lost.
     pub(crate) fn disconnect(&self, proxy: u32) {
         let mut state = lock(&self.state);
         state.model.disconnect(proxy);
-        state.connections[proxy as usize] += 1;
+        state.connection_numbers[proxy as usize] += 1;
     }
 
     /// Whether a proxy is connected.
     pub(crate) fn is_connected(&self, proxy: u32) -> bool {
-        lock(&self.state).model.connected.contains(&proxy)
+        lock(&self.state).model.connected_proxies.contains(&proxy)
     }
 
-    /// Sends the commands of an instant.
+    /// Sends commands that were issued at the same time, as one message per proxy.
     pub(crate) fn send(&self, commands: Vec<Command>) {
         let now = Instant::now();
-        let now_us = (now - self.began).as_micros() as u64;
-        let ChannelState { model, connections } = &mut *lock(&self.state);
+        let now_us = (now - self.started_at).as_micros() as u64;
+        let ChannelState { model, connection_numbers } = &mut *lock(&self.state);
         let in_initial_table = |proxy: u32, endpoint| self.proxies[proxy as usize].in_initial_table(endpoint);
-        let batch = model.apply(commands, in_initial_table);
-        let ejected = Arc::new(model.ejected.clone());
-        for (proxy, lines) in batch.lines {
+        let batch = model.apply_commands(commands, in_initial_table);
+        let ejected = Arc::new(model.ejected_endpoints.clone());
+        for (proxy, lines) in batch.lines_by_proxy {
             let sent_us = model.send_queue.enqueue(now_us, lines);
             let message = Message {
-                arrives_at: self.began + Duration::from_micros(sent_us) + self.message_delay,
+                arrives_at: self.started_at + Duration::from_micros(sent_us) + self.message_delay,
                 proxy,
-                connection: connections[proxy as usize],
+                connection_number: connection_numbers[proxy as usize],
                 assigned_table: model.table_snapshot(proxy),
                 ejected: ejected.clone(),
                 lines,
                 acknowledgement: batch.acknowledgement,
             };
-            // Fails only when the runtime is shutting down, or far beyond the channel's limits.
+            // Fails only when the runtime is shutting down or the channel holds `MAX_QUEUED_MESSAGES`.
             let _ = self.messages.try_send(message);
         }
     }
 
-    /// The most lines that were ever queued.
+    /// The largest number of lines that were queued at any time so far.
     pub(crate) fn max_queued_lines(&self) -> f64 {
-        lock(&self.state).model.send_queue.max_queued_lines
+        lock(&self.state).model.send_queue.peak_queued_lines
     }
 
     /// Whether the connection that a message was sent on still exists.
     fn is_current(&self, message: &Message) -> bool {
-        lock(&self.state).connections[message.proxy as usize] == message.connection
+        lock(&self.state).connection_numbers[message.proxy as usize] == message.connection_number
     }
 }
 
-/// Delivers the messages. Their delay is the same, so that they arrive in the order in which they are sent.
+/// Delivers the messages one after the other: they arrive in the order in which they were sent, because all
+/// have the same delay.
 async fn deliver(
     channel: Arc<ProxyChannel>,
     mut messages: mpsc::Receiver<Message>,
@@ -169,7 +172,7 @@
     }
 }
 
-/// Sends an acknowledgement once the message is applied.
+/// Sends an acknowledgement when the proxy has applied the message.
 async fn acknowledge(
     acknowledgement: Acknowledgement,
     applied_at: Instant,
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the relay: decodes a call and sends what it orders through the channel.
+//! Commands to the relay: decodes a batch of commands and sends them through the channel.
 
 use super::{invalid_request, json_response, FleetNames, RelayServer, ResponseBody};
 use http_body_util::{BodyExt, Limited};
@@ -11,20 +11,21 @@
 #[cfg(test)]
 mod tests;
 
-/// The longest call, in bytes.
-const MAX_CALL_BYTES: usize = 60_000;
+/// The longest request body, in bytes.
+const MAX_BATCH_BYTES: usize = 60_000;
 
 impl RelayServer {
-    /// Takes the commands of a call up to the first that is invalid, and answers how many it took.
-    pub(super) async fn take_commands(&self, request: Request<Incoming>) -> Response<ResponseBody> {
-        let Some(call) = read_json(request).await else { return invalid_request() };
-        let Some(changes) = call["changes"].as_array() else { return invalid_request() };
+    /// Sends the commands of a batch up to the first invalid one, and responds with the number of commands
+    /// sent.
+    pub(super) async fn handle_batch(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let Some(batch) = read_json(request).await else { return invalid_request() };
+        let Some(changes) = batch["changes"].as_array() else { return invalid_request() };
         let is_connected = |proxy| self.channel.is_connected(proxy);
         let decode = |change| self.names.decode_command(change, is_connected);
         let commands: Vec<Command> = changes.iter().map_while(decode).collect();
-        let taken = commands.len();
+        let accepted = commands.len();
         self.channel.send(commands);
-        json_response(StatusCode::OK, &json!({"taken": taken}))
+        json_response(StatusCode::OK, &json!({"taken": accepted}))
     }
 }
 
@@ -33,23 +34,23 @@
     fn decode_command(&self, change: &Value, is_connected: impl Fn(u32) -> bool) -> Option<Command> {
         let command = match change["op"].as_str()? {
             "put" => Command::SetWeight {
-                table_id: unsigned(change, "table")?,
+                table_id: unsigned_field(change, "table")?,
                 endpoint: self.endpoint(change)?,
-                weight: non_negative(change, "w")?,
+                weight: non_negative_field(change, "w")?,
             },
             "attach" => Command::AssignTable {
-                proxy: unsigned(change, "node").filter(|proxy| is_connected(*proxy))?,
-                table_id: unsigned(change, "table")?,
+                proxy: unsigned_field(change, "node").filter(|proxy| is_connected(*proxy))?,
+                table_id: unsigned_field(change, "table")?,
             },
             "eject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: true },
             "uneject" => Command::SetEjected { endpoint: self.endpoint(change)?, ejected: false },
             "gate" => Command::SetAdmission {
-                table_id: unsigned(change, "table")?,
+                table_id: unsigned_field(change, "table")?,
                 request_classes: self.request_classes(change),
-                admitted: non_negative(change, "admit")?,
-                retry: retry_policy(unsigned(change, "policy")?)?,
+                admitted: non_negative_field(change, "admit")?,
+                retry: retry_policy(unsigned_field(change, "policy")?)?,
             },
-            "fence" => Command::RequestAcknowledgement(unsigned(change, "nonce_out")?),
+            "fence" => Command::RequestAcknowledgement(unsigned_field(change, "nonce_out")?),
             _ => return None,
         };
         Some(command)
@@ -59,7 +60,7 @@
         self.endpoints.get(change["endpoint"].as_str()?).copied()
     }
 
-    /// The classes that a command names; all if it names none. Unknown names are ignored.
+    /// The request classes that a command names; all if it has no list of names. Unknown names are ignored.
     fn request_classes(&self, change: &Value) -> RequestClassSet {
         let classes = &self.request_classes;
         let Some(names) = change["routes"].as_array() else {
@@ -76,15 +77,15 @@
 }
 
 async fn read_json(request: Request<Incoming>) -> Option<Value> {
-    let body = Limited::new(request.into_body(), MAX_CALL_BYTES).collect().await.ok()?;
+    let body = Limited::new(request.into_body(), MAX_BATCH_BYTES).collect().await.ok()?;
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
-fn unsigned(change: &Value, field: &str) -> Option<u32> {
+fn unsigned_field(change: &Value, field: &str) -> Option<u32> {
     u32::try_from(change[field].as_u64()?).ok()
 }
 
-fn non_negative(change: &Value, field: &str) -> Option<f64> {
+fn non_negative_field(change: &Value, field: &str) -> Option<f64> {
     change[field].as_f64().filter(|number| *number >= 0.0)
 }
 
