--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -1,5 +1,5 @@
-//! The state of the process: the instances of the controller, the clock and the pages of the endpoint list. It hands
-//! each message to the instance that it names and gathers the reply to a batch.
+//! The state of the process: the controller instances, the simulated time and the pages of the endpoint list.
+//! Passes each message to the instance that it names and collects the reply to a batch.
 
 use crate::decode::{decode_event, EndpointPages, Event, Message, MessageError};
 use crate::encode;
@@ -10,44 +10,45 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Whether more lines of a batch are to come before it is answered.
+/// Whether the current batch is complete and can be answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchState {
-    /// The batch goes on.
-    Open,
-    /// The batch has ended: the simulator waits for the reply.
+    /// More lines of the batch follow.
+    Incomplete,
+    /// The batch is complete, and the simulator waits for the reply.
     Complete,
 }
 
-/// All instances that run in this process. They share the clock and the pages, and nothing else.
+/// All controller instances in this process. They share the simulated time and the pages of the endpoint
+/// list, and nothing else.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Controller<WireHost>>,
     pages: EndpointPages,
     now: Moment,
-    /// The number of the current batch, which its reply repeats.
-    batch_serial: u64,
-    /// Encoded reports of instances that panicked in the current batch.
+    /// The number of the current batch, which the reply repeats.
+    batch_number: u64,
+    /// The encoded failure reports of instances that panicked during the current batch.
     failure_reports: Vec<u8>,
 }
 
 impl Adapter {
-    /// Handles one line of a batch. A line that returns an error has changed nothing.
+    /// Handles one line of a batch. Returns an error, and changes nothing, if the line is invalid.
     pub fn handle_line(&mut self, line: &[u8]) -> Result<BatchState, MessageError> {
         let value: Value = serde_json::from_slice(line)?;
         match Message::decode(&value)? {
-            Message::Tick { now, serial } => {
+            Message::BatchStart { now, number } => {
                 self.now = now;
-                self.batch_serial = serial;
+                self.batch_number = number;
             }
-            Message::EndOfBatch => return Ok(BatchState::Complete),
+            Message::BatchEnd => return Ok(BatchState::Complete),
             Message::EndpointPage { page, entries } => {
                 self.pages.insert(page, entries);
             }
             Message::StartInstance { instance, config, seed } => {
                 let host = WireHost::new(instance, &config);
                 let now = self.now;
-                self.guard_instance(instance, |adapter| {
+                self.stop_instance_on_panic(instance, |adapter| {
                     let controller = Controller::start(host, config, seed, now);
                     adapter.instances.insert(instance, controller);
                 });
@@ -55,9 +56,9 @@
             Message::StopInstance { instance } => {
                 self.instances.remove(&instance);
             }
-            Message::ForInstance { instance, fields } => self.handle_event(instance, &fields)?,
+            Message::InstanceEvent { instance, fields } => self.handle_event(instance, &fields)?,
         }
-        Ok(BatchState::Open)
+        Ok(BatchState::Incomplete)
     }
 
     fn handle_event(&mut self, instance: u64, fields: &JsonFields) -> Result<(), MessageError> {
@@ -68,7 +69,7 @@
             return Ok(());
         };
         let now = self.now;
-        self.guard_instance(instance, |adapter| {
+        self.stop_instance_on_panic(instance, |adapter| {
             if let Some(controller) = adapter.instances.get_mut(&instance) {
                 dispatch(controller, now, event);
             }
@@ -76,8 +77,9 @@
         Ok(())
     }
 
-    /// Runs a call on behalf of an instance. A panic stops that instance alone and is reported to the simulator.
-    fn guard_instance(&mut self, instance: u64, call: impl FnOnce(&mut Self)) {
+    /// Runs a call on behalf of an instance. If it panics, only that instance is stopped, and the panic is
+    /// reported to the simulator.
+    fn stop_instance_on_panic(&mut self, instance: u64, call: impl FnOnce(&mut Self)) {
         if let Err(panic) = catch_panic(|| call(self)) {
             self.instances.remove(&instance);
             encode::append_line(
@@ -87,18 +89,20 @@
         }
     }
 
-    /// The reply to the batch: reports of failed instances, the commands of each instance, the number of the batch.
+    /// Returns the reply to the batch: the reports of failed instances, the commands of each instance and the
+    /// number of the batch.
     pub fn take_reply(&mut self) -> Vec<u8> {
         let mut reply = std::mem::take(&mut self.failure_reports);
         for controller in self.instances.values_mut() {
             reply.append(&mut controller.host().encoded_commands);
         }
-        encode::append_line(&mut reply, &encode::batch_finished(self.batch_serial));
+        encode::append_line(&mut reply, &encode::batch_finished(self.batch_number));
         reply
     }
 }
 
-/// Calls the method of the controller that an event is for, and tells the validator what the controller may name.
+/// Passes an event to the controller, after updating the endpoints, proxies and shards that the validator
+/// allows in commands.
 fn dispatch(controller: &mut Controller<WireHost>, now: Moment, event: Event) {
     match event {
         Event::EndpointsUpdated(entries) => {
@@ -110,18 +114,18 @@
             controller.endpoint_list_replaced(now, &entries);
         }
         Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
-        Event::ProxyJoined { proxy, zone, fresh, rate } => {
+        Event::ProxyJoined { proxy, zone, has_initial_table, rate } => {
             controller.host().validator.set_proxy_joined(proxy, true);
-            controller.proxy_joined(now, proxy, zone, rate, fresh);
+            controller.proxy_joined(now, proxy, zone, rate, has_initial_table);
         }
         Event::ProxyLeft { proxy } => {
             controller.host().validator.set_proxy_joined(proxy, false);
             controller.proxy_left(now, proxy);
         }
-        Event::EndpointOutcomes { endpoint, attempts, failures, latency, period } => {
-            controller.outcomes_reported(now, endpoint, attempts, failures, latency, period);
+        Event::EndpointOutcomes { endpoint, attempts, failures, latency, interval } => {
+            controller.outcomes_reported(now, endpoint, attempts, failures, latency, interval);
         }
-        Event::Demand { request_class, requests } => controller.demand_reported(request_class, requests),
+        Event::Demand { class, requests } => controller.demand_reported(class, requests),
         Event::TimerFired(timer) => controller.timer_fired(now, timer),
         Event::ShardAssigned { shard } => {
             controller.host().validator.set_shard_owned(shard, true);
