--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -40,26 +40,26 @@
         for endpoint in self.endpoints_in_zone(zone) {
             self.restart_endpoint(endpoint);
         }
-        for number in 0..self.proxies.len() as u32 {
-            let proxy = &mut self.proxies[number as usize];
+        for proxy_index in 0..self.proxies.len() as u32 {
+            let proxy = &mut self.proxies[proxy_index as usize];
             if proxy.zone == zone && !proxy.up {
                 proxy.up = true;
-                self.live_proxies[zone].push(number);
-                self.connect_proxy(number);
+                self.live_proxies[zone].push(proxy_index);
+                self.connect_proxy(proxy_index);
             }
         }
     }
 
-    /// The numbers of the endpoints of a zone, in ascending order.
+    /// The indices of the endpoints of a zone, in ascending order.
     pub(crate) fn endpoints_in_zone(&self, zone: usize) -> Vec<u32> {
-        let with_numbers = (0..).zip(&self.endpoints);
-        with_numbers.filter(|(_, endpoint)| endpoint.zone == zone).map(|(number, _)| number).collect()
+        let indexed = (0..).zip(&self.endpoints);
+        indexed.filter(|(_, endpoint)| endpoint.zone == zone).map(|(index, _)| index).collect()
     }
 
     /// Terminates the process of an endpoint: its attempts are lost, and the endpoint list reports it after a
     /// delay.
-    pub(crate) fn crash_endpoint(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    pub(crate) fn crash_endpoint(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if !endpoint.up {
             return;
         }
@@ -67,39 +67,39 @@
         let lost = self.attempts.slots_where(|attempt| {
             let at_endpoint =
                 matches!(attempt.stage, AttemptStage::Queued | AttemptStage::Running | AttemptStage::Hanging);
-            attempt.endpoint == number && at_endpoint
+            attempt.endpoint == endpoint_index && at_endpoint
         });
         for attempt in lost {
             self.send_outcome_to_proxy(attempt, AttemptOutcome::ConnectionBroken);
         }
-        self.publish_endpoints(&[number]);
+        self.publish_endpoints(&[endpoint_index]);
     }
 
-    fn restart_endpoint(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    fn restart_endpoint(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if endpoint.up {
             return;
         }
         endpoint.restart(self.now);
-        self.publish_endpoints(&[number]);
+        self.publish_endpoints(&[endpoint_index]);
     }
 
     /// Crashes a proxy: all its connections and attempts are lost.
-    fn crash_proxy(&mut self, number: u32) {
-        self.proxies[number as usize].up = false;
-        self.disconnect_proxy(number);
-        self.close_idle_connections_of(number);
-        let lost = self.attempts.slots_where(|attempt| attempt.proxy == number && !attempt.abandoned);
+    fn crash_proxy(&mut self, proxy_index: u32) {
+        self.proxies[proxy_index as usize].up = false;
+        self.disconnect_proxy(proxy_index);
+        self.close_idle_connections_of(proxy_index);
+        let lost = self.attempts.slots_where(|attempt| attempt.proxy == proxy_index && !attempt.abandoned);
         for slot in lost {
             self.drop_attempt(slot);
         }
         // After its recovery it starts with the table of its initial endpoints.
-        let proxy = &mut self.proxies[number as usize];
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.has_assigned_table = proxy.instance.is_none();
     }
 
-    fn close_idle_connections_of(&mut self, number: u32) {
-        let pools = std::mem::take(&mut self.proxies[number as usize].pools);
+    fn close_idle_connections_of(&mut self, proxy_index: u32) {
+        let pools = std::mem::take(&mut self.proxies[proxy_index as usize].pools);
         for (endpoint, pool) in pools {
             let endpoint = &mut self.endpoints[endpoint as usize];
             if pool.incarnation == endpoint.incarnation {
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -86,8 +86,8 @@
             };
             let zone_endpoints = self.endpoints_in_zone(zone_index);
             for _ in 0..zone.proxy_count {
-                let number = self.proxies.len() as u32;
-                let mut random = random_stream(self.seed, "standing", u64::from(number));
+                let proxy_index = self.proxies.len() as u32;
+                let mut random = random_stream(self.seed, "standing", u64::from(proxy_index));
                 let table_size = fleet.proxies.initial_table_size as usize;
                 let initial_endpoints: Vec<u32> =
                     zone_endpoints.sample(&mut random, table_size).copied().collect();
@@ -95,9 +95,9 @@
                 let table = table.unwrap_or_else(|| initial_table(&initial_endpoints, fleet));
                 let instance = match table_source {
                     TableSource::Fixed { .. } => None,
-                    TableSource::Controller => Some(number % fleet.control_plane.instance_count),
+                    TableSource::Controller => Some(proxy_index % fleet.control_plane.instance_count),
                 };
-                self.live_proxies[zone_index].push(number);
+                self.live_proxies[zone_index].push(proxy_index);
                 self.proxies.push(Proxy::new(zone_index, instance, initial_endpoints, table));
             }
         }
@@ -109,17 +109,17 @@
         let ids = self.endpoints.iter().map(|endpoint| endpoint.id.clone());
         let endpoint_indices: Rc<FxHashMap<EndpointId, u32>> = Rc::new(ids.zip(0..).collect());
         let endpoint_list: Vec<EndpointUpdate> = self.endpoints.iter().map(endpoint_list_entry).collect();
-        for number in 0..fleet.control_plane.instance_count {
-            let seed = xxh3_64_with_seed(&number.to_le_bytes(), self.seed);
+        for instance_index in 0..fleet.control_plane.instance_count {
+            let seed = xxh3_64_with_seed(&instance_index.to_le_bytes(), self.seed);
             let host = SimulatedHost::new(endpoint_indices.clone());
             let mut controller = Controller::start(host, controller_config(fleet), seed, moment(0));
             controller.endpoint_list_replaced(moment(0), &endpoint_list);
             let channel = ProxyChannel::new(&fleet.control_plane, request_classes);
             self.instances.push(ControlPlaneInstance::new(controller, channel, request_classes));
-            self.schedule_controller_output(number);
+            self.schedule_controller_output(instance_index);
             let first_report =
-                micros(fleet.control_plane.report_interval) + Time::from(number) * REPORT_STAGGER;
-            self.schedule_for_control_plane(first_report, Event::ReportDue { instance: number });
+                micros(fleet.control_plane.report_interval) + Time::from(instance_index) * REPORT_STAGGER;
+            self.schedule_for_control_plane(first_report, Event::ReportDue { instance: instance_index });
         }
     }
 
@@ -160,8 +160,9 @@
         let effective_group = without_lifted_limits(group, plan.lifted_limits);
         // An endpoint that started before the simulation counts as started long ago.
         let started = group.uptime.and_then(|uptime| load_start.checked_sub(micros(uptime)));
-        for (number, speed) in endpoint_speeds(group, group_index, plan.seed).into_iter().enumerate() {
-            let id: EndpointId = format!("{}-{number}", group.name).into();
+        for (index_in_group, speed) in endpoint_speeds(group, group_index, plan.seed).into_iter().enumerate()
+        {
+            let id: EndpointId = format!("{}-{index_in_group}", group.name).into();
             endpoints.push(Endpoint::new(id, group_index, &effective_group, speed, started));
         }
     }
@@ -188,12 +189,12 @@
 /// `group_index` is the index of the group in the fleet.
 pub fn endpoint_speeds(group: &EndpointGroup, group_index: usize, seed: u64) -> Vec<f64> {
     let mut random = random_stream(seed, "speeds", group_index as u64);
-    let speed = |number: u32| {
+    let speed = |index_in_group: u32| {
         // Also drawn for measured speeds, so that both kinds of speed consume the same random numbers.
         let sample: f64 = random.random();
         match &group.speed {
             Speed::Uniform(from, to) => from + (to - from) * sample,
-            Speed::Measured(speeds) => speeds[number as usize % speeds.len()],
+            Speed::Measured(speeds) => speeds[index_in_group as usize % speeds.len()],
         }
     };
     (0..group.count).map(speed).collect()
