--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -200,8 +200,7 @@
         if let Some(acknowledgement) = message.acknowledgement {
             let arrival = self.now + pause + micros(self.fleet.network.client_latency);
             let (proxy, stream) = (message.proxy, message.stream);
-            let event =
-                Event::Acknowledged { instance: instance_index, number: acknowledgement, proxy, stream };
+            let event = Event::Acknowledged { instance: instance_index, acknowledgement, proxy, stream };
             self.schedule_for_control_plane(arrival, event);
         }
     }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -141,8 +141,8 @@
             Event::EndpointsUpdated { instance, update } => self.deliver_endpoint_update(instance, update),
             Event::SendCommands { instance } => self.send_commands(instance),
             Event::MessageAtProxy { instance } => self.deliver_message(instance),
-            Event::Acknowledged { instance, number, proxy, stream } => {
-                self.deliver_acknowledgement(instance, number, proxy, stream)
+            Event::Acknowledged { instance, acknowledgement, proxy, stream } => {
+                self.deliver_acknowledgement(instance, acknowledgement, proxy, stream)
             }
         }
     }
