--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -5,9 +5,9 @@
 use crate::clock::{micros, moment, Time};
 use crate::engine::Engine;
 use crate::event::Event;
-use crate::queue::Class;
+use crate::queue::Phase;
 use crate::route_table::{TableSnapshot, WeightedEndpoints};
-use crate::setup::list_entry;
+use crate::setup::endpoint_list_entry;
 use crate::simulated_host::SimulatedHost;
 use otterwinch::controller::Controller;
 use otterwinch::host::EndpointUpdate;
@@ -60,7 +60,7 @@
             self.schedule_for_control_plane(at, Event::TimerFired { instance: instance_index, timer });
         }
         if needs_sending {
-            self.queue.push(self.now, Class::Commands, Event::SendCommands { instance: instance_index });
+            self.queue.push(self.now, Phase::Commands, Event::SendCommands { instance: instance_index });
         }
     }
 
@@ -130,7 +130,7 @@
         if self.instances.is_empty() {
             return;
         }
-        let entry = |index: &u32| list_entry(&self.endpoints[*index as usize]);
+        let entry = |index: &u32| endpoint_list_entry(&self.endpoints[*index as usize]);
         let entries: Vec<EndpointUpdate> = endpoints.iter().map(entry).collect();
         let update = self.endpoint_updates.len() as u32;
         self.endpoint_updates.push(entries);
@@ -200,8 +200,7 @@
         if let Some(acknowledgement) = message.acknowledgement {
             let arrival = self.now + pause + micros(self.fleet.network.client_latency);
             let (proxy, stream) = (message.proxy, message.stream);
-            let event =
-                Event::Acknowledged { instance: instance_index, number: acknowledgement, proxy, stream };
+            let event = Event::Acknowledged { instance: instance_index, acknowledgement, proxy, stream };
             self.schedule_for_control_plane(arrival, event);
         }
     }
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -53,7 +53,7 @@
             return broken.then_some(AttemptOutcome::ConnectionBroken);
         }
         if !endpoint.accept_connection() {
-            return Some(AttemptOutcome::NeverRan);
+            return Some(AttemptOutcome::NotExecuted);
         }
         attempt.connected = true;
         attempt.endpoint_incarnation = endpoint.incarnation;
@@ -76,7 +76,7 @@
         match self.endpoints[endpoint_index as usize].offer(self.now, slot, attempt.work) {
             OfferOutcome::Started(done_at) => self.run_attempt_until(slot, done_at),
             OfferOutcome::Queued => attempt.stage = AttemptStage::Queued,
-            OfferOutcome::Rejected => self.send_outcome_to_proxy(slot, AttemptOutcome::NeverRan),
+            OfferOutcome::Rejected => self.send_outcome_to_proxy(slot, AttemptOutcome::NotExecuted),
             OfferOutcome::Collapsed => {
                 self.send_outcome_to_proxy(slot, AttemptOutcome::ConnectionBroken);
                 self.crash_endpoint(endpoint_index);
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,5 +1,5 @@
-//! The state of a simulation, and the loop that takes one event after the other. What an event does is in the module of
-//! the party that it concerns; the state that all of them share is here.
+//! The state of a simulation and its event loop. Event handlers are in the modules of the parties that they
+//! concern; the state that they share is here.
 
 use crate::client::Request;
 use crate::clock::{micros_from_secs, secs, Time, SECOND};
@@ -9,7 +9,7 @@
 use crate::fault::ScheduledFault;
 use crate::plan::{LiftedLimits, SimulationPlan};
 use crate::proxy::{Attempt, Proxy};
-use crate::queue::{Class, Queue};
+use crate::queue::{EventQueue, Phase};
 use crate::results::Results;
 use crate::simulation_result::{EndpointResult, SimulationResult, StopReason};
 use crate::slab::Slab;
@@ -18,25 +18,26 @@
 use otterwinch_fleet::model::Fleet;
 use otterwinch_fleet::ScheduledRequest;
 
-/// How long after the last request of the load a simulation goes on at most.
-pub(crate) const MAX_TAIL: Time = 120 * SECOND;
-/// Requests in flight beyond which a simulation is ended: clients retry faster than anything answers.
+/// A simulation is stopped this long after the last request of the load was due.
+pub(crate) const MAX_TIME_AFTER_LOAD: Time = 120 * SECOND;
+/// A simulation with more requests in flight is stopped: clients then retry faster than requests end.
 pub(crate) const MAX_IN_FLIGHT: usize = 4_000_000;
 
-/// Simulates a fleet under a load, which is ordered by time.
+/// Simulates a fleet under a load. The requests of the load must be ordered by time.
 pub fn simulate(plan: &SimulationPlan, load: impl Iterator<Item = ScheduledRequest>) -> SimulationResult {
     Engine::new(plan).run(load)
 }
 
+/// The state of a running simulation.
 pub(crate) struct Engine<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
     pub lifted_limits: LiftedLimits,
-    pub queue: Queue<Event>,
+    pub queue: EventQueue<Event>,
     pub now: Time,
-    /// When the load begins; the control plane starts earlier.
+    /// When the load begins. The control plane starts at time 0.
     pub load_start: Time,
-    /// Whether the last request of the load has come.
+    /// Whether the last request of the load has begun.
     pub load_ended: bool,
     pub endpoints: Vec<Endpoint>,
     pub proxies: Vec<Proxy>,
@@ -52,10 +53,12 @@
     pub usage: UsageMeter,
     /// Requests that have begun and not ended.
     pub in_flight: usize,
-    /// Attempts of proxies at endpoints, and those of them at endpoints of another zone.
+    /// Attempts of proxies at endpoints.
     pub proxy_attempts: u64,
+    /// Those of them at endpoints of another zone.
     pub cross_zone_attempts: u64,
-    pub events: u64,
+    /// The number of simulated events, requests of the load included.
+    pub event_count: u64,
 }
 
 impl Engine<'_> {
@@ -63,7 +66,7 @@
         let mut load = load.peekable();
         let mut sequence = 0;
         let mut last_due = self.load_start;
-        let ended_early = loop {
+        let stop_reason = loop {
             let next_event = self.queue.next_at();
             if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
                 sequence += 1;
@@ -79,7 +82,7 @@
                 if self.in_flight == 0 {
                     break None;
                 }
-                if at > last_due + MAX_TAIL {
+                if at > last_due + MAX_TIME_AFTER_LOAD {
                     break Some(StopReason::EndlessRetries);
                 }
             }
@@ -87,17 +90,17 @@
                 break Some(StopReason::TooManyInFlight);
             }
             self.now = at;
-            self.events += 1;
+            self.event_count += 1;
             self.handle(event);
         };
-        self.into_result(last_due, ended_early)
+        self.into_result(last_due, stop_reason)
     }
 
     fn due_time(&self, request: &ScheduledRequest) -> Time {
         self.load_start + micros_from_secs(request.at)
     }
 
-    /// Whether a request is due before the next event, or with it.
+    /// Whether a request is due no later than the next event.
     fn precedes(&self, request: &ScheduledRequest, next_event: Option<Time>) -> bool {
         let due = self.due_time(request);
         next_event.is_none_or(|at| due <= at)
@@ -105,11 +108,11 @@
 
     fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.now = self.now.max(self.due_time(scheduled));
-        self.events += 1;
+        self.event_count += 1;
         self.begin_request(sequence, scheduled);
     }
 
-    /// Work that is done after the last request was due doesn't count as use of the fleet.
+    /// Ends the measurement of usage: work that is done after the last request was due doesn't count.
     fn end_load(&mut self) {
         self.record_usage();
         self.load_ended = true;
@@ -129,7 +132,7 @@
             Event::Retry { request } => self.retry(request),
             Event::ConnectionClosed { attempt } => self.connection_closed(attempt),
             Event::InjectFault { index } => self.inject_fault(index),
-            Event::Maintenance => self.maintain(),
+            Event::Maintenance => self.run_maintenance(),
             Event::TimerFired { instance, timer } => {
                 self.notify_controller(instance, |controller, now| controller.timer_fired(now, timer))
             }
@@ -138,46 +141,46 @@
             Event::EndpointsUpdated { instance, update } => self.deliver_endpoint_update(instance, update),
             Event::SendCommands { instance } => self.send_commands(instance),
             Event::MessageAtProxy { instance } => self.deliver_message(instance),
-            Event::Acknowledged { instance, number, proxy, stream } => {
-                self.deliver_acknowledgement(instance, number, proxy, stream)
+            Event::Acknowledged { instance, acknowledgement, proxy, stream } => {
+                self.deliver_acknowledgement(instance, acknowledgement, proxy, stream)
             }
         }
     }
 
-    /// Schedules a change of the fleet.
+    /// Schedules an event that changes the state of the fleet.
     pub(crate) fn schedule(&mut self, at: Time, event: Event) {
-        self.queue.push(at, Class::Fleet, event);
+        self.queue.push(at, Phase::Fleet, event);
     }
 
-    /// Schedules something that a control-plane instance learns of.
+    /// Schedules an event of a control-plane instance: a timer, the end of a report interval or a delivery.
     pub(crate) fn schedule_for_control_plane(&mut self, at: Time, event: Event) {
-        self.queue.push(at, Class::ControlPlane, event);
+        self.queue.push(at, Phase::ControlPlane, event);
     }
 
-    /// A time in seconds since the load began.
+    /// Converts a time to seconds since the load began.
     pub(crate) fn load_seconds(&self, at: Time) -> f64 {
         secs(at - self.load_start)
     }
 
-    fn into_result(self, last_due: Time, ended_early: Option<StopReason>) -> SimulationResult {
+    fn into_result(self, last_due: Time, stop_reason: Option<StopReason>) -> SimulationResult {
         let load_seconds = self.load_seconds(last_due);
-        // At least a microsecond, so that a load of nothing has a utilisation.
-        let measured = last_due.max(self.load_start + 1) - self.load_start;
+        // At least one microsecond, so that the utilisation is defined for an empty load.
+        let measured_time = last_due.max(self.load_start + 1) - self.load_start;
         let send_queues = self.instances.iter().map(|instance| &instance.channel.send_queue);
         let endpoints = self.endpoints.iter().enumerate();
         SimulationResult {
             endpoints: endpoints
                 .map(|(index, endpoint)| {
-                    EndpointResult::of(endpoint, self.usage.core_seconds(index), measured)
+                    EndpointResult::of(endpoint, self.usage.core_seconds(index), measured_time)
                 })
                 .collect(),
-            events: self.events,
+            event_count: self.event_count,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
             max_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
-            ended_early,
+            stop_reason,
             results: self.results,
         }
     }
--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Injects the scheduled faults.
+//! Injection of the scheduled faults.
 
 use crate::endpoint_work::AttemptStage;
 use crate::engine::Engine;
@@ -40,25 +40,26 @@
         for endpoint in self.endpoints_in_zone(zone) {
             self.restart_endpoint(endpoint);
         }
-        for number in 0..self.proxies.len() as u32 {
-            let proxy = &mut self.proxies[number as usize];
+        for proxy_index in 0..self.proxies.len() as u32 {
+            let proxy = &mut self.proxies[proxy_index as usize];
             if proxy.zone == zone && !proxy.up {
                 proxy.up = true;
-                self.live_proxies[zone].push(number);
-                self.connect_proxy(number);
+                self.live_proxies[zone].push(proxy_index);
+                self.connect_proxy(proxy_index);
             }
         }
     }
 
-    /// The endpoints of a zone, by number.
+    /// The indices of the endpoints of a zone, in ascending order.
     pub(crate) fn endpoints_in_zone(&self, zone: usize) -> Vec<u32> {
-        let numbered = (0..).zip(&self.endpoints);
-        numbered.filter(|(_, endpoint)| endpoint.zone == zone).map(|(number, _)| number).collect()
+        let indexed = (0..).zip(&self.endpoints);
+        indexed.filter(|(_, endpoint)| endpoint.zone == zone).map(|(index, _)| index).collect()
     }
 
-    /// The process of an endpoint ends: its attempts are lost, and the endpoint list reports it later.
-    pub(crate) fn crash_endpoint(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    /// Terminates the process of an endpoint: its attempts are lost, and the endpoint list reports it after a
+    /// delay.
+    pub(crate) fn crash_endpoint(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if !endpoint.up {
             return;
         }
@@ -66,39 +67,39 @@
         let lost = self.attempts.slots_where(|attempt| {
             let at_endpoint =
                 matches!(attempt.stage, AttemptStage::Queued | AttemptStage::Running | AttemptStage::Hanging);
-            attempt.endpoint == number && at_endpoint
+            attempt.endpoint == endpoint_index && at_endpoint
         });
         for attempt in lost {
             self.send_outcome_to_proxy(attempt, AttemptOutcome::ConnectionBroken);
         }
-        self.publish_endpoints(&[number]);
+        self.publish_endpoints(&[endpoint_index]);
     }
 
-    fn restart_endpoint(&mut self, number: u32) {
-        let endpoint = &mut self.endpoints[number as usize];
+    fn restart_endpoint(&mut self, endpoint_index: u32) {
+        let endpoint = &mut self.endpoints[endpoint_index as usize];
         if endpoint.up {
             return;
         }
         endpoint.restart(self.now);
-        self.publish_endpoints(&[number]);
+        self.publish_endpoints(&[endpoint_index]);
     }
 
-    /// A proxy is lost with all its connections and attempts.
-    fn crash_proxy(&mut self, number: u32) {
-        self.proxies[number as usize].up = false;
-        self.disconnect_proxy(number);
-        self.close_idle_connections_of(number);
-        let lost = self.attempts.slots_where(|attempt| attempt.proxy == number && !attempt.abandoned);
+    /// Crashes a proxy: all its connections and attempts are lost.
+    fn crash_proxy(&mut self, proxy_index: u32) {
+        self.proxies[proxy_index as usize].up = false;
+        self.disconnect_proxy(proxy_index);
+        self.close_idle_connections_of(proxy_index);
+        let lost = self.attempts.slots_where(|attempt| attempt.proxy == proxy_index && !attempt.abandoned);
         for slot in lost {
-            self.lose_attempt(slot);
+            self.drop_attempt(slot);
         }
-        // When it comes back it starts from its initial endpoints.
-        let proxy = &mut self.proxies[number as usize];
+        // After its recovery it starts with the table of its initial endpoints.
+        let proxy = &mut self.proxies[proxy_index as usize];
         proxy.has_assigned_table = proxy.instance.is_none();
     }
 
-    fn close_idle_connections_of(&mut self, number: u32) {
-        let pools = std::mem::take(&mut self.proxies[number as usize].pools);
+    fn close_idle_connections_of(&mut self, proxy_index: u32) {
+        let pools = std::mem::take(&mut self.proxies[proxy_index as usize].pools);
         for (endpoint, pool) in pools {
             let endpoint = &mut self.endpoints[endpoint as usize];
             if pool.incarnation == endpoint.incarnation {
@@ -107,8 +108,9 @@
         }
     }
 
-    /// An attempt is lost with its proxy: the endpoint sees its connection closed, and the client may retry.
-    fn lose_attempt(&mut self, slot: u32) {
+    /// Drops an attempt whose proxy crashed: the endpoint sees its connection close, and the client may
+    /// retry.
+    fn drop_attempt(&mut self, slot: u32) {
         self.attempts[slot].abandoned = true;
         let request = self.attempts[slot].request;
         let attempt = self.attempts.handle(slot);
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -182,7 +182,7 @@
         self.requests[request].proxy_attempt = None;
         match outcome {
             AttemptOutcome::Answered => self.send_answer_to_client(request),
-            AttemptOutcome::NeverRan => {
+            AttemptOutcome::NotExecuted => {
                 if attempt.is_retry || !self.retry_at_another_endpoint(request, &attempt) {
                     self.send_failure_to_client(request, RequestEnd::Failed, true);
                 }
@@ -200,7 +200,7 @@
         if !attempt.connected || attempt.endpoint_incarnation != endpoint.incarnation {
             return;
         }
-        let reusable = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::NeverRan);
+        let reusable = matches!(outcome, AttemptOutcome::Answered | AttemptOutcome::NotExecuted);
         if attempt.abandoned || !reusable {
             endpoint.open_connections -= 1;
         } else {
--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -1,23 +1,26 @@
-//! The queue of events, ordered by time, then by class, then in the order in which they were scheduled. Nothing depends
-//! on hashing or on addresses.
+//! The event queue, ordered by time, then by phase, then by the order of scheduling. The order doesn't depend
+//! on hashing or on memory addresses, so that a simulation is reproducible.
 
 use crate::clock::Time;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The order of events at one time: the fleet changes first, then control-plane instances learn of it, and then their
-/// commands are sent.
+/// Events that are due at the same time are handled in phases: first the changes of the fleet, then the
+/// events of control-plane instances, then the sending of the commands that these issued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Class {
+pub(crate) enum Phase {
+    /// Events that change the fleet.
     Fleet = 0,
+    /// Timers and report intervals of control-plane instances, and deliveries to them.
     ControlPlane = 1,
+    /// Sending the commands of control-plane instances.
     Commands = 2,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry<E> {
     at: Time,
-    /// The class in the top byte, then a number that increases with each event.
+    /// The phase in the top byte, then a sequence number.
     order: u64,
     event: E,
 }
@@ -31,7 +34,7 @@
 impl<E> Eq for Entry<E> {}
 
 impl<E> Ord for Entry<E> {
-    /// Reversed, since the heap yields its greatest entry and the earliest is wanted.
+    /// Reversed, since `BinaryHeap` is a max-heap and the earliest entry has to come first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
@@ -43,90 +46,93 @@
     }
 }
 
-/// The number of slots of the timing wheel, a power of two.
+/// The number of slots of the timing wheel; must be a power of two.
 const SLOTS: usize = 8192;
-/// A slot spans 2^10 microseconds, and the wheel 8.4 s: most events are nearer than that.
+/// A slot spans 2^10 microseconds and the whole wheel 8.4 s. Most events are due sooner than that.
 const SLOT_BITS: u32 = 10;
 
-/// A timing wheel for events that are near, with a heap for those that are far.
-pub(crate) struct Queue<E> {
-    /// Events by slot, in no order.
+/// A timing wheel for events that are due soon, with a heap for those that are due beyond its range.
+pub(crate) struct EventQueue<E> {
+    /// Events by slot, unordered within a slot.
     wheel: Vec<Vec<Entry<E>>>,
-    /// Events up to the end of the open slot. A heap, since an event may schedule another in the same slot.
-    open: BinaryHeap<Entry<E>>,
-    /// Events beyond the wheel.
-    far: BinaryHeap<Entry<E>>,
-    /// The number of the open slot, counted from time 0.
-    open_slot: u64,
+    /// Events due by the end of the current slot. A heap, since an event may schedule another one in the same
+    /// slot.
+    current: BinaryHeap<Entry<E>>,
+    /// Events beyond the range of the wheel.
+    overflow: BinaryHeap<Entry<E>>,
+    /// The number of the current slot, counted from time 0.
+    current_slot: u64,
     /// The number of events in the wheel.
-    in_wheel: usize,
+    wheel_len: usize,
     /// The number of events scheduled so far.
-    scheduled: u64,
+    scheduled_count: u64,
 }
 
-impl<E: Copy> Default for Queue<E> {
+impl<E: Copy> Default for EventQueue<E> {
     fn default() -> Self {
-        Queue {
+        EventQueue {
             wheel: (0..SLOTS).map(|_| Vec::new()).collect(),
-            open: BinaryHeap::new(),
-            far: BinaryHeap::new(),
-            open_slot: 0,
-            in_wheel: 0,
-            scheduled: 0,
+            current: BinaryHeap::new(),
+            overflow: BinaryHeap::new(),
+            current_slot: 0,
+            wheel_len: 0,
+            scheduled_count: 0,
         }
     }
 }
 
-impl<E: Copy> Queue<E> {
-    /// Whether nothing is scheduled.
+impl<E: Copy> EventQueue<E> {
+    /// Whether no event is scheduled.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
-        self.open.is_empty() && self.in_wheel == 0 && self.far.is_empty()
+        self.current.is_empty() && self.wheel_len == 0 && self.overflow.is_empty()
     }
 
-    /// Schedules an event. One that is due in the past comes next.
-    pub(crate) fn push(&mut self, at: Time, class: Class, event: E) {
-        self.scheduled += 1;
-        let entry = Entry { at, order: (class as u64) << 56 | self.scheduled, event };
+    /// Schedules an event. An event that is due in the past is taken next.
+    pub(crate) fn push(&mut self, at: Time, phase: Phase, event: E) {
+        self.scheduled_count += 1;
+        let entry = Entry { at, order: (phase as u64) << 56 | self.scheduled_count, event };
         let slot = at >> SLOT_BITS;
-        if slot <= self.open_slot {
-            self.open.push(entry);
-        } else if slot < self.open_slot + SLOTS as u64 {
-            self.in_wheel += 1;
+        if slot <= self.current_slot {
+            self.current.push(entry);
+        } else if slot < self.current_slot + SLOTS as u64 {
+            self.wheel_len += 1;
             self.wheel[slot as usize & (SLOTS - 1)].push(entry);
         } else {
-            self.far.push(entry);
+            self.overflow.push(entry);
         }
     }
 
     /// When the next event is due.
     pub(crate) fn next_at(&mut self) -> Option<Time> {
-        self.open_next_slot();
-        self.open.peek().map(|entry| entry.at)
+        self.advance_to_next_event();
+        self.current.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next event, with its time.
+    /// Removes the next event and returns it with its time.
     pub(crate) fn pop(&mut self) -> Option<(Time, E)> {
-        self.open_next_slot();
-        self.open.pop().map(|entry| (entry.at, entry.event))
+        self.advance_to_next_event();
+        self.current.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Opens slots until one has an event, unless none is scheduled.
-    fn open_next_slot(&mut self) {
-        while self.open.is_empty() {
-            if self.in_wheel > 0 {
-                self.open_slot += 1;
-            } else if let Some(nearest) = self.far.peek() {
-                self.open_slot = nearest.at >> SLOT_BITS;
+    /// Advances the current slot until it has an event, or returns if no event is scheduled.
+    fn advance_to_next_event(&mut self) {
+        while self.current.is_empty() {
+            if self.wheel_len > 0 {
+                self.current_slot += 1;
+            } else if let Some(nearest) = self.overflow.peek() {
+                self.current_slot = nearest.at >> SLOT_BITS;
             } else {
                 return;
             }
-            let slot = &mut self.wheel[self.open_slot as usize & (SLOTS - 1)];
-            self.in_wheel -= slot.len();
-            self.open.extend(slot.drain(..));
-            while let Some(entry) = self.far.peek().filter(|entry| entry.at >> SLOT_BITS <= self.open_slot) {
-                self.open.push(*entry);
-                self.far.pop();
+            let slot = &mut self.wheel[self.current_slot as usize & (SLOTS - 1)];
+            self.wheel_len -= slot.len();
+            self.current.extend(slot.drain(..));
+            while let Some(entry) =
+                self.overflow.peek().filter(|entry| entry.at >> SLOT_BITS <= self.current_slot)
+            {
+                self.current.push(*entry);
+                self.overflow.pop();
             }
         }
     }
--- a/simulation/src/slab.rs
+++ b/simulation/src/slab.rs
@@ -1,22 +1,22 @@
-//! Storage with reused slots, and handles that go stale when their slot is reused.
+//! A slab allocator whose handles become stale when their value is released.
 
 use std::ops::{Index, IndexMut};
 
-/// Names a value of a [`Slab`] until the value is released.
+/// Refers to a value in a [`Slab`] until the value is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Handle {
     pub slot: u32,
-    incarnation: u32,
+    generation: u32,
 }
 
 struct Entry<T> {
     value: T,
-    /// Counts how often the slot was released.
-    incarnation: u32,
+    /// Incremented each time the slot is released.
+    generation: u32,
     occupied: bool,
 }
 
-/// Values by slot. The slot that was released last is reused first.
+/// Stores values in numbered slots. The slot that was released last is reused first.
 pub(crate) struct Slab<T> {
     entries: Vec<Entry<T>>,
     free: Vec<u32>,
@@ -35,29 +35,29 @@
             entry.occupied = true;
             return slot;
         }
-        self.entries.push(Entry { value, incarnation: 0, occupied: true });
+        self.entries.push(Entry { value, generation: 0, occupied: true });
         self.entries.len() as u32 - 1
     }
 
-    /// Frees a slot; handles to its value go stale.
+    /// Frees a slot. Handles to its value become stale.
     pub(crate) fn release(&mut self, slot: u32) {
         let entry = &mut self.entries[slot as usize];
-        entry.incarnation += 1;
+        entry.generation += 1;
         entry.occupied = false;
         self.free.push(slot);
     }
 
-    /// A handle to the present value of a slot.
+    /// A handle to the current value of a slot.
     pub(crate) fn handle(&self, slot: u32) -> Handle {
-        Handle { slot, incarnation: self.entries[slot as usize].incarnation }
+        Handle { slot, generation: self.entries[slot as usize].generation }
     }
 
-    /// Whether the value that a handle names is still stored.
+    /// Whether the value that a handle refers to has not been released.
     pub(crate) fn is_current(&self, handle: Handle) -> bool {
-        self.entries[handle.slot as usize].incarnation == handle.incarnation
+        self.entries[handle.slot as usize].generation == handle.generation
     }
 
-    /// The slots, in ascending order, whose values meet a condition.
+    /// The occupied slots whose values satisfy a condition, in ascending order.
     pub(crate) fn slots_where(&self, condition: impl Fn(&T) -> bool) -> Vec<u32> {
         let occupied = (0..).zip(&self.entries).filter(|(_, entry)| entry.occupied);
         occupied.filter(|(_, entry)| condition(&entry.value)).map(|(slot, _)| slot).collect()
