--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -111,10 +111,10 @@
                 && endpoint.last_answered.is_some_and(|at| now - at < MAX_RETENTION_TIME)
         })
     };
-    if table.carried_since.is_none() && table.weights.keys().any(still_answers) {
-        table.carried_since = Some(now);
+    if table.retained_since.is_none() && table.weights.keys().any(still_answers) {
+        table.retained_since = Some(now);
     }
-    table.carried_since.is_some_and(|since| now - since < max_time)
+    table.retained_since.is_some_and(|since| now - since < max_time)
 }
 
 #[cfg(test)]
--- a/src/controller/changes/tests.rs
+++ b/src/controller/changes/tests.rs
@@ -48,7 +48,7 @@
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.last_answered = Some(at(1.5));
     endpoint.state = EndpointState::Removed;
-    controller.tables.by_number.get_mut(&0).unwrap().carried_since = Some(at(2.0));
+    controller.tables.by_number.get_mut(&0).unwrap().retained_since = Some(at(2.0));
     controller.timer_fired(at(3.0), Timer::Recheck);
     assert!(controller.host.commands.contains(&eject("a")));
 }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -190,7 +190,7 @@
             self.schedule_recheck();
             return Vec::new();
         }
-        table.carried_since = None;
+        table.retained_since = None;
         changes::weight_changes(table, desired, receivers, limits)
     }
 
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -42,7 +42,7 @@
     /// The factor applied to the weights of endpoints of other zones.
     remote_factor: f64,
     /// Since when the table keeps its weights although all of its endpoints have left the list.
-    pub(super) carried_since: Option<Moment>,
+    pub(super) retained_since: Option<Moment>,
     /// When commands for this table were last sent.
     pub(super) last_sent: Moment,
 }
@@ -55,7 +55,7 @@
             weights: BTreeMap::new(),
             admission_levels: BTreeMap::new(),
             remote_factor: 1.0,
-            carried_since: None,
+            retained_since: None,
             last_sent: Moment::default(),
         }
     }
