--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -3,7 +3,7 @@
 //!
 //! Publication requests the changes of every table from here. Small differences are not worth the lines that
 //! they cost. If all endpoints of a table disappear from the endpoint list while they still answer, the table
-//! keeps its weights for a limited time: a list that drops all of them at once is more likely to be wrong
+//! retains its weights for a limited time: a list that drops all of them at once is more likely to be wrong
 //! than right.
 
 use super::assignment::HEARTBEAT_INTERVAL;
@@ -27,9 +27,10 @@
 /// channel needs to send one line to all receivers of the table.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
-/// The longest time for which a table whose endpoints all disappeared from the list keeps its weights.
+/// The longest time for which a table retains its weights after all of its endpoints disappeared from the
+/// list.
 const MAX_RETENTION_TIME: Span = HEARTBEAT_INTERVAL;
-/// The fraction of the drain grace for which such a table may keep its weights, where the grace also binds
+/// The fraction of the drain grace for which such a table may retain its weights, where the grace also binds
 /// for removed endpoints.
 const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
@@ -91,8 +92,8 @@
     removals
 }
 
-/// Whether a table without desired weights keeps its published weights for now, because one of its endpoints
-/// was removed from the list although it answered recently. Records when this began.
+/// Whether a table without desired weights retains its published weights for now, because one of its
+/// endpoints was removed from the list although it answered recently. Records when the retention began.
 pub(super) fn retains_weights(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
