--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -11,11 +11,11 @@
 use crate::time::{Moment, Span};
 
 /// The mean interval at which assignments that wait for a usable endpoint are retried.
-pub(super) const HEARTBEAT_INTERVAL: Span = Span::from_us(3_000_000);
+pub(super) const ASSIGNMENT_RETRY_INTERVAL: Span = Span::from_us(3_000_000);
 /// The shortest jittered heartbeat interval, as a fraction of the mean.
-const HEARTBEAT_JITTER_MIN: f64 = 0.8;
+const RETRY_JITTER_MIN: f64 = 0.8;
 /// The width of the uniform jitter of the heartbeat interval, as a fraction of the mean.
-const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
+const RETRY_JITTER_SPREAD: f64 = 0.4;
 /// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
 const FIRST_ASSIGNMENT_TIMEOUT: Span = Span::from_us(5_000_000);
 /// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
@@ -51,8 +51,8 @@
             } else if has_timed_out || self.tables.has_ready_endpoint(table, &self.endpoints) {
                 self.assign(now, number, limits);
             } else if self.timers.mark_scheduled(Timer::AssignmentRetry) {
-                let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
-                self.host.schedule_timer(HEARTBEAT_INTERVAL * jitter, Timer::AssignmentRetry);
+                let jitter = RETRY_JITTER_MIN + RETRY_JITTER_SPREAD * self.rng.next_f64();
+                self.host.schedule_timer(ASSIGNMENT_RETRY_INTERVAL * jitter, Timer::AssignmentRetry);
             }
         }
     }
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -6,7 +6,7 @@
 //! retains its weights for a limited time: a list that drops all of them at once is more likely to be wrong
 //! than right.
 
-use super::assignment::HEARTBEAT_INTERVAL;
+use super::assignment::ASSIGNMENT_RETRY_INTERVAL;
 use super::channel::ChannelLimits;
 use super::endpoints::EndpointRegistry;
 use super::routing::RouteTable;
@@ -29,7 +29,7 @@
 
 /// The longest time for which a table retains its weights after all of its endpoints disappeared from the
 /// list.
-const MAX_RETENTION_TIME: Span = HEARTBEAT_INTERVAL;
+const MAX_RETENTION_TIME: Span = ASSIGNMENT_RETRY_INTERVAL;
 /// The fraction of the drain grace for which such a table may retain its weights, where the grace also binds
 /// for removed endpoints.
 const RETENTION_GRACE_FRACTION: f64 = 0.6;
