--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -12,9 +12,9 @@
 
 /// The mean interval at which assignments that wait for a usable endpoint are retried.
 pub(super) const ASSIGNMENT_RETRY_INTERVAL: Span = Span::from_us(3_000_000);
-/// The shortest jittered heartbeat interval, as a fraction of the mean.
+/// The shortest jittered retry interval, as a fraction of the mean.
 const RETRY_JITTER_MIN: f64 = 0.8;
-/// The width of the uniform jitter of the heartbeat interval, as a fraction of the mean.
+/// The width of the uniform jitter of the retry interval, as a fraction of the mean.
 const RETRY_JITTER_SPREAD: f64 = 0.4;
 /// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
 const FIRST_ASSIGNMENT_TIMEOUT: Span = Span::from_us(5_000_000);
--- a/src/controller/assignment/tests.rs
+++ b/src/controller/assignment/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn waiting_assignments_are_tried_again_on_a_jittered_heartbeat() {
+fn waiting_assignments_are_retried_at_jittered_intervals() {
     let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
