--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -21,18 +21,18 @@
 /// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
 /// handled together: the fraction of traffic that a table keeps in its zone depends on all of them.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
-/// The fraction of known endpoints that must have left before assignments take priority: the stale tables of
-/// unassigned proxies may then soon hold no usable endpoint.
+/// The fraction of known endpoints that must be draining or removed before assignments take priority: the
+/// stale tables of unassigned proxies may then soon hold no usable endpoint.
 const ASSIGNMENT_PRIORITY_FRACTION: f64 = 0.2;
 /// A queue of at most this many lines accepts an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
-    /// Whether assignments take priority over ordinary weight changes, because so many endpoints left that
-    /// stale tables may soon hold no usable endpoint.
+    /// Whether assignments take priority over ordinary weight changes, because so many endpoints are draining
+    /// or removed that stale tables may soon hold no usable endpoint.
     pub(super) fn assignments_take_priority(&self) -> bool {
-        let left = self.endpoints.unready_count() as f64;
-        left > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
+        let unready = self.endpoints.unready_count() as f64;
+        unready > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
     }
 
     /// Assigns the waiting proxies that are eligible. Proxies that still use their initial table come first,
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -39,7 +39,7 @@
     pub(super) id: EndpointId,
     /// The new weight; 0 removes the endpoint.
     pub(super) weight: f64,
-    /// Whether the change is urgent: the endpoint left or restarted, or the table was empty.
+    /// Whether the change is urgent: it removes the endpoint, the endpoint restarted, or the table was empty.
     pub(super) is_urgent: bool,
     /// The absolute difference from the published weight.
     difference: f64,
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -2,9 +2,10 @@
 //!
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
 //! that it selected when it started, or a table from an earlier stream. Weight changes don't reach it, only
-//! ejections do. At the end of each event, [`Controller`] ejects every endpoint that left and is in none of
-//! its tables, in the order in which they left. While the channel is busy, or the ejections would make it so,
-//! they are collected for a part of the drain grace, since assigning the proxies makes them unnecessary.
+//! ejections do. At the end of each event, [`Controller`] ejects every endpoint that is no longer ready
+//! and is in none of its tables, in the order in which they stopped being ready. While the channel is busy, or
+//! the ejections would make it so, they are collected for a part of the drain grace, since assigning the
+//! proxies makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -43,16 +44,16 @@
         }
     }
 
-    /// Ejects endpoints that left from the proxies with stale tables. Returns whether ejections were deferred
-    /// because the channel is full.
+    /// Ejects endpoints that are no longer ready from the proxies with stale tables. Returns whether ejections
+    /// were deferred because the channel is full.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
         limits: &ChannelLimits,
         is_queue_short: bool,
     ) -> bool {
-        let leaving = self.endpoints_to_eject();
-        let total_cost = self.ejection_cost(leaving.len(), limits);
+        let to_eject = self.endpoints_to_eject();
+        let total_cost = self.ejection_cost(to_eject.len(), limits);
         let since = self.ejection.pending_since.unwrap_or(now);
         let collection_time = (self.config.drain_grace - self.config.max_transit) * COLLECTION_GRACE_FRACTION;
         // On a busy channel, ejecting the few endpoints of each event separately would cost a message to
@@ -66,31 +67,31 @@
         let unassigned = self.proxies.matching(|proxy| !proxy.is_assigned);
         let available = self.channel.available_lines(now, Urgency::Urgent, &unassigned, limits);
         let cost = |count| self.ejection_cost(count, limits);
-        let count = if is_queue_short { limits.largest_batch(leaving.len(), available, cost) } else { 0 };
-        for id in &leaving[..count] {
-            let endpoint = self.endpoints.get_mut(id).expect("leaving endpoints are registered");
+        let count = if is_queue_short { limits.largest_batch(to_eject.len(), available, cost) } else { 0 };
+        for id in &to_eject[..count] {
+            let endpoint = self.endpoints.get_mut(id).expect("endpoints to eject are registered");
             endpoint.mark_ejected();
             self.host.eject_endpoint(id);
         }
         self.record_ejections(now, count, limits);
-        let has_deferred = count < leaving.len();
+        let has_deferred = count < to_eject.len();
         self.ejection.pending_since = has_deferred.then_some(since);
         has_deferred
     }
 
-    /// The endpoints that left, are in no table and are not ejected from all proxies, in the order in which
-    /// they left.
+    /// The endpoints that are no longer ready, are in no table and are not ejected from all proxies, in the
+    /// order in which they stopped being ready.
     fn endpoints_to_eject(&self) -> Vec<EndpointId> {
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
-        let mut leaving = Vec::new();
+        let mut to_eject = Vec::new();
         for (id, endpoint) in self.endpoints.iter() {
             if endpoint.needs_ejection() && !in_tables.contains(id) {
-                leaving.push((endpoint.last_ready, id.clone()));
+                to_eject.push((endpoint.last_ready, id.clone()));
             }
         }
-        leaving.sort();
-        leaving.into_iter().map(|(_, id)| id).collect()
+        to_eject.sort();
+        to_eject.into_iter().map(|(_, id)| id).collect()
     }
 
     /// The estimated cost of a number of ejections or restorations at each unassigned proxy. An initial table
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,13 +12,13 @@
 //! | `endpoints` | the state of each known endpoint, and when an endpoint is forgotten |
 //! | `proxies` | the state of each known proxy |
 //! | `outliers` | which endpoints have their weight reduced because of errors or high latency |
-//! | `fleet_load` | whether the fleet is struggling |
+//! | `fleet_load` | whether the fleet is degraded or overloaded |
 //! | `admission` | how much of each request class is admitted |
 //! | `slow_start` | the weights of endpoints that are warming up |
 //! | `routing` | which endpoints a route table should hold |
 //! | `changes` | which differences from the published tables are worth sending |
 //! | `publication` | when changes are sent, and in which order |
-//! | `ejection` | when endpoints that left are ejected from proxies with stale tables |
+//! | `ejection` | when endpoints that are no longer ready are ejected from proxies with stale tables |
 //! | `assignment` | when a proxy is assigned to its route table |
 //! | `channel` | how many lines may be queued in the channel |
 //! | `delivery` | how lost commands and lost acknowledgements are handled |
@@ -146,7 +146,7 @@
         self.proxies.join(now, proxy, zone, rate, has_initial_table, placement.number);
         self.tables.create_if_missing(&placement);
         // Until it is assigned, the proxy uses a table that this controller did not publish and that may
-        // contain endpoints that have left.
+        // contain endpoints that are no longer ready.
         self.endpoints.reset_ejected_everywhere();
         self.schedule_recheck();
     }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,10 +1,10 @@
 //! Publication of route table changes: when they are sent, and in which order.
 //!
 //! [`Controller`] publishes at the end of each event. Urgent changes are sent as soon as the queue is short,
-//! in batches that fit into it; endpoints that left first are in the first batch. A message with urgent
-//! changes also takes the ordinary changes of its table that fit, once no urgent change is left for a later
-//! batch. Ordinary changes are batched, for longer the more channel time the previous ones took. Only changes
-//! that were sent through the host are marked as published.
+//! in batches that fit into it; endpoints that stopped being ready first are in the first batch. A message
+//! with urgent changes also takes the ordinary changes of its table that fit, once no urgent change remains
+//! for a later batch. Ordinary changes are batched, for longer the more channel time the previous ones took.
+//! Only changes that were sent through the host are marked as published.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -48,7 +48,7 @@
 
 /// The endpoints with urgent changes, and how many of them are sent now.
 struct UrgentBatch {
-    /// The position of each endpoint in the order in which the endpoints left.
+    /// The position of each endpoint in the order in which the endpoints were last ready.
     positions: BTreeMap<EndpointId, usize>,
     /// The number of endpoints whose urgent changes are sent now, counted from position 0.
     size: usize,
@@ -60,8 +60,8 @@
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
             if change.is_urgent {
-                let left = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
-                ordered.insert((left, change.id.clone()));
+                let last_ready = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
+                ordered.insert((last_ready, change.id.clone()));
             }
         }
         let positions = ordered.into_iter().enumerate().map(|(position, (_, id))| (id, position));
