--- a/src/host.rs
+++ b/src/host.rs
@@ -59,7 +59,7 @@
     AssignmentRetry = 2,
     /// The next attempt to subscribe to the endpoint list.
     WatchRetry = 3,
-    /// A short delay after which commands are issued that did not fit into the channel or had to wait.
+    /// A short delay, after which the controller tries again to issue commands that were deferred.
     Recheck = 4,
     /// The resending of lost commands.
     Resend = 5,
