--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -92,7 +92,7 @@
 fn retry_policy(number: u32) -> Option<RetryPolicy> {
     match number {
         0 => Some(RetryPolicy::Never),
-        1 => Some(RetryPolicy::IfNeverRan),
+        1 => Some(RetryPolicy::IfNotExecuted),
         2 => Some(RetryPolicy::Once),
         3 => Some(RetryPolicy::Twice),
         _ => None,
--- a/emulator/src/testbed/setup.rs
+++ b/emulator/src/testbed/setup.rs
@@ -80,7 +80,7 @@
 ) -> ProxySpec {
     let settings = &fleet.proxies;
     let default_retry =
-        if settings.retries_unexecuted_attempts { RetryPolicy::IfNeverRan } else { RetryPolicy::Never };
+        if settings.retries_unexecuted_attempts { RetryPolicy::IfNotExecuted } else { RetryPolicy::Never };
     ProxySpec {
         number,
         zone,
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -224,7 +224,7 @@
         let table = &self.proxies[failed_attempt.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
             Some(level) => level.retry,
-            None if self.fleet.proxies.retries_unexecuted_attempts => RetryPolicy::IfNeverRan,
+            None if self.fleet.proxies.retries_unexecuted_attempts => RetryPolicy::IfNotExecuted,
             None => RetryPolicy::Never,
         };
         if policy == RetryPolicy::Never {
--- a/src/host.rs
+++ b/src/host.rs
@@ -43,7 +43,7 @@
     /// No retry.
     Never,
     /// One retry, only if the first attempt is known not to have run.
-    IfNeverRan,
+    IfNotExecuted,
     /// One retry after any failure.
     Once,
     /// Up to two retries after any failure.
