--- a/simulation/src/client.rs
+++ b/simulation/src/client.rs
@@ -115,18 +115,18 @@
     }
 
     /// Sends the failure of an attempt from the proxy to the client, which then retries or ends the request.
-    pub(crate) fn send_failure_to_client(&mut self, slot: u32, end: RequestEnd, never_ran: bool) {
+    pub(crate) fn send_failure_to_client(&mut self, slot: u32, end: RequestEnd, not_executed: bool) {
         let arrival = self.now + micros(self.fleet.network.client_latency);
-        self.retry_or_end(slot, end, never_ran, arrival);
+        self.retry_or_end(slot, end, not_executed, arrival);
     }
 
     /// Handles an attempt whose failure the client notices at `at`: schedules a retry if one is allowed and
     /// would start before the request times out, and ends the request otherwise.
-    pub(crate) fn retry_or_end(&mut self, slot: u32, end: RequestEnd, never_ran: bool, at: Time) {
+    pub(crate) fn retry_or_end(&mut self, slot: u32, end: RequestEnd, not_executed: bool, at: Time) {
         let request = &self.requests[slot];
         let request_deadline = request.due + micros(self.fleet.request_classes[request.class].timeout);
         let retry_at = at + self.retry_wait(slot);
-        if !self.may_retry(slot, never_ran, at) || retry_at >= request_deadline {
+        if !self.may_retry(slot, not_executed, at) || retry_at >= request_deadline {
             return self.end_request(slot, end);
         }
         let request = &mut self.requests[slot];
@@ -145,17 +145,17 @@
     }
 
     /// Returns whether the request class and the client's limits allow a retry at `at`. A request that is not
-    /// idempotent may be retried only if it is proven not to have run; one with an idempotency key also as
-    /// long as endpoints recognize a repetition.
-    fn may_retry(&self, slot: u32, never_ran: bool, at: Time) -> bool {
+    /// idempotent may be retried only if it is known not to have been executed; one with an idempotency key
+    /// also as long as endpoints recognize a repetition.
+    fn may_retry(&self, slot: u32, not_executed: bool, at: Time) -> bool {
         let request = &self.requests[slot];
         let class = &self.fleet.request_classes[request.class];
         let safe_to_retry = match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithIdempotencyKey => {
-                never_ran || at - request.due < micros(class.deduplication_window)
+                not_executed || at - request.due < micros(class.deduplication_window)
             }
-            Idempotency::NotIdempotent => never_ran,
+            Idempotency::NotIdempotent => not_executed,
         };
         safe_to_retry
             && !self.lifted_limits.retries
--- a/simulation/src/event.rs
+++ b/simulation/src/event.rs
@@ -9,9 +9,9 @@
     Answered,
     /// The endpoint failed it after it had begun.
     Failed,
-    /// The endpoint rejected it or refused the connection, which proves that it did not run.
+    /// The endpoint rejected it or refused the connection, which proves that it was not executed.
     NotExecuted,
-    /// The connection broke; it is unknown whether the attempt ran.
+    /// The connection broke; it is unknown whether the attempt was executed.
     ConnectionBroken,
 }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -42,7 +42,7 @@
 pub enum RetryPolicy {
     /// No retry.
     Never,
-    /// One retry, only if the first attempt is known not to have run.
+    /// One retry, only if the first attempt is known not to have been executed.
     IfNotExecuted,
     /// One retry after any failure.
     Once,
