--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -56,7 +56,7 @@
         let (status, snapshot) = StatusReporter::new(metrics, log.clone(), now);
         let delivery = CommandDelivery::new(relay_address, log.clone());
         let mut controller = RestartableController::start(config, log.clone(), now);
-        let watch_requests = controller.host().watch_requests();
+        let watch_requests = controller.host_mut().watch_requests();
         let handles = ControlLoopHandles { events: sender, status: snapshot, watch_requests };
         (ControlLoop { controller, clock, events, delivery, status, log }, handles)
     }
@@ -68,14 +68,14 @@
             let first_event = self.wait_for_event(&shutdown).await;
             self.run_iteration(first_event).await;
         }
-        self.controller.host().set_resend_requested(true);
+        self.controller.host_mut().set_resend_requested(true);
         self.run_iteration(None).await;
     }
 
     /// Waits for an event. Returns `None` when a timer or the status snapshot is due, or at shutdown.
     async fn wait_for_event(&mut self, shutdown: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
-        let wake_up = self.controller.host().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
+        let wake_up = self.controller.host_mut().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
         let pause = Duration::from_micros((wake_up - now).as_us().max(0) as u64);
         tokio::select! {
             biased;
@@ -87,7 +87,7 @@
 
     async fn run_iteration(&mut self, first_event: Option<Event>) {
         let now = self.clock.now();
-        self.controller.host().set_now(now);
+        self.controller.host_mut().set_now(now);
         self.handle_events(now, first_event);
         self.fire_timers(now);
         self.deliver_commands().await;
@@ -106,7 +106,7 @@
     }
 
     fn fire_timers(&mut self, now: Moment) {
-        while let Some(timer) = self.controller.host().pop_due_timer(now) {
+        while let Some(timer) = self.controller.host_mut().pop_due_timer(now) {
             self.step(now, |controller, now| controller.timer_fired(now, timer));
         }
     }
@@ -115,18 +115,18 @@
     /// outcome. No other command is sent before those of a call whose outcome is not yet known.
     async fn deliver_commands(&mut self) {
         loop {
-            let resend = self.controller.host().take_resend_request();
+            let resend = self.controller.host_mut().take_resend_request();
             if self.delivery.is_failing() && !resend {
                 return;
             }
-            let commands = self.controller.host().take_commands();
+            let commands = self.controller.host_mut().take_commands();
             self.delivery.enqueue(commands);
             if !self.delivery.is_pending() {
                 return;
             }
             let outcome = self.delivery.deliver().await;
             let now = self.clock.now();
-            self.controller.host().set_now(now);
+            self.controller.host_mut().set_now(now);
             match outcome {
                 DeliveryOutcome::Accepted => {
                     self.step(now, |controller, now| controller.commands_accepted(now));
@@ -161,7 +161,7 @@
             CommandKind::Admission { .. } | CommandKind::Ejection | CommandKind::AcknowledgementRequest => {}
         }
         let failing = self.delivery.is_failing();
-        self.controller.host().set_resend_requested(failing);
+        self.controller.host_mut().set_resend_requested(failing);
     }
 
     /// Runs one step of the controller. If it panics, the controller is restarted and the commands of the old
@@ -178,7 +178,7 @@
             return;
         }
         let controller_starts = self.controller.starts();
-        let host = self.controller.host();
+        let host = self.controller.host_mut();
         let status = LoopStatus {
             endpoints: host.fleet().listed_count(),
             proxies: host.fleet().proxies().len(),
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -27,14 +27,14 @@
         let validator = CommandValidator::new(&config.controller);
         let host = RelayHost::new(validator, config.names.clone(), now, log.clone());
         let mut controller = Controller::start(host, config.controller.clone(), config.seed, now);
-        controller.host().replace_endpoint_list(&config.known_endpoints);
+        controller.host_mut().replace_endpoint_list(&config.known_endpoints);
         controller.endpoint_list_replaced(now, &config.known_endpoints);
         RestartableController { controller, config, log, starts: 1 }
     }
 
     /// The controller's host.
-    pub fn host(&mut self) -> &mut RelayHost {
-        self.controller.host()
+    pub fn host_mut(&mut self) -> &mut RelayHost {
+        self.controller.host_mut()
     }
 
     /// The number of controllers started since the process started.
@@ -90,7 +90,7 @@
     fn take_host(&mut self, now: Moment) -> RelayHost {
         let names = self.config.names.clone();
         let empty = RelayHost::new(CommandValidator::default(), names, now, self.log.clone());
-        std::mem::replace(self.controller.host(), empty)
+        std::mem::replace(self.controller.host_mut(), empty)
     }
 }
 
--- a/control-plane/src/controller_restart/tests.rs
+++ b/control-plane/src/controller_restart/tests.rs
@@ -27,14 +27,14 @@
 
 /// The number of commands issued since the last call that contain `text`.
 fn count_commands(controller: &mut RestartableController, text: &str) -> usize {
-    let commands = controller.host().take_commands();
+    let commands = controller.host_mut().take_commands();
     commands.iter().filter(|command: &&Command| command.json.contains(text)).count()
 }
 
 #[test]
 fn a_controller_that_panics_is_restarted_and_assigns_the_joined_proxies() {
     let (mut controller, now) = controller();
-    controller.host().proxy_joined(3, JoinedProxy { zone: 0, rate: 5.0 });
+    controller.host_mut().proxy_joined(3, JoinedProxy { zone: 0, rate: 5.0 });
     assert!(controller.step(now, |_, _| panic!("index out of range")).is_err());
     let later = now + Span::from_secs(1.0);
     step(&mut controller, later, |controller, now| controller.timer_fired(now, Timer::Recheck));
@@ -45,7 +45,7 @@
 fn an_endpoint_that_the_old_controller_ejected_is_restored() {
     let (mut controller, now) = controller();
     let removed = EndpointUpdate { id: "a".into(), ..EndpointUpdate::default() };
-    controller.host().update_endpoints(std::slice::from_ref(&removed));
+    controller.host_mut().update_endpoints(std::slice::from_ref(&removed));
     step(&mut controller, now, |controller, now| {
         controller.endpoints_updated(now, std::slice::from_ref(&removed));
     });
@@ -64,7 +64,7 @@
     step(&mut controller, now, |controller, now| controller.proxy_joined(now, 3, 0, 5.0, true));
     let later = now + Span::from_secs(1.0);
     step(&mut controller, later, |controller, now| controller.timer_fired(now, Timer::Recheck));
-    controller.host().replace_endpoint_list(&[]);
+    controller.host_mut().replace_endpoint_list(&[]);
     controller.restart(later);
     assert_eq!(count_commands(&mut controller, r#""eject""#), 1);
 }
--- a/control-plane/src/event_dispatch/tests.rs
+++ b/control-plane/src/event_dispatch/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn listed(controller: &mut Controller<RelayHost>) -> Vec<EndpointId> {
-    controller.host().fleet().listed_endpoints().into_iter().map(|endpoint| endpoint.id).collect()
+    controller.host_mut().fleet().listed_endpoints().into_iter().map(|endpoint| endpoint.id).collect()
 }
 
 #[test]
@@ -49,5 +49,5 @@
         );
     }
     dispatch(&mut controller, NOW, Event::ProxySnapshot { joined: [4, 5].into() });
-    assert!(controller.host().fleet().proxies().keys().eq([&4]));
+    assert!(controller.host_mut().fleet().proxies().keys().eq([&4]));
 }
--- a/emulator/src/in_process_control_plane.rs
+++ b/emulator/src/in_process_control_plane.rs
@@ -149,7 +149,7 @@
 
     /// Schedules the timers that the controller has requested since the last call.
     fn schedule_timers(&mut self) {
-        let requested = std::mem::take(&mut self.controller.host().timers);
+        let requested = std::mem::take(&mut self.controller.host_mut().timers);
         for (after, timer) in requested {
             self.timer_count += 1;
             let at = Instant::now() + duration(after);
@@ -159,7 +159,7 @@
 
     /// Sends the commands that the controller has issued since the last call.
     fn send_commands(&mut self) {
-        let commands = std::mem::take(&mut self.controller.host().commands);
+        let commands = std::mem::take(&mut self.controller.host_mut().commands);
         if !commands.is_empty() {
             self.channel.send(commands);
         }
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -51,7 +51,7 @@
     /// the present time, so that they go out as one batch.
     pub(crate) fn schedule_controller_output(&mut self, instance_index: u32) {
         let instance = &mut self.instances[instance_index as usize];
-        let host = instance.controller.host();
+        let host = instance.controller.host_mut();
         let timers = std::mem::take(&mut host.timers);
         let needs_sending = !host.commands.is_empty() && !instance.send_scheduled;
         instance.send_scheduled |= needs_sending;
@@ -153,7 +153,7 @@
         let Engine { instances, proxies, .. } = self;
         let instance = &mut instances[instance_index as usize];
         instance.send_scheduled = false;
-        let commands = std::mem::take(&mut instance.controller.host().commands);
+        let commands = std::mem::take(&mut instance.controller.host_mut().commands);
         let channel = &mut instance.channel;
         let batch = channel.apply_commands(commands, |proxy, endpoint| {
             proxies[proxy as usize].initial_endpoints.contains(&endpoint)
--- a/simulator-adapter/src/adapter.rs
+++ b/simulator-adapter/src/adapter.rs
@@ -94,7 +94,7 @@
     pub fn take_reply(&mut self) -> Vec<u8> {
         let mut reply = std::mem::take(&mut self.failure_reports);
         for controller in self.instances.values_mut() {
-            reply.append(&mut controller.host().encoded_commands);
+            reply.append(&mut controller.host_mut().encoded_commands);
         }
         encode::append_line(&mut reply, &encode::batch_finished(self.batch_number));
         reply
@@ -106,20 +106,20 @@
 fn dispatch(controller: &mut Controller<WireHost>, now: Moment, event: Event) {
     match event {
         Event::EndpointsUpdated(entries) => {
-            controller.host().validator.add_endpoints(entries.iter().map(|entry| &entry.id));
+            controller.host_mut().validator.add_endpoints(entries.iter().map(|entry| &entry.id));
             controller.endpoints_updated(now, &entries);
         }
         Event::EndpointListReplaced(entries) => {
-            controller.host().validator.add_endpoints(entries.iter().map(|entry| &entry.id));
+            controller.host_mut().validator.add_endpoints(entries.iter().map(|entry| &entry.id));
             controller.endpoint_list_replaced(now, &entries);
         }
         Event::EndpointWatchFailed => controller.endpoint_watch_failed(now),
         Event::ProxyJoined { proxy, zone, has_initial_table, rate } => {
-            controller.host().validator.set_proxy_joined(proxy, true);
+            controller.host_mut().validator.set_proxy_joined(proxy, true);
             controller.proxy_joined(now, proxy, zone, rate, has_initial_table);
         }
         Event::ProxyLeft { proxy } => {
-            controller.host().validator.set_proxy_joined(proxy, false);
+            controller.host_mut().validator.set_proxy_joined(proxy, false);
             controller.proxy_left(now, proxy);
         }
         Event::EndpointOutcomes { endpoint, attempts, failures, latency, interval } => {
@@ -128,15 +128,15 @@
         Event::Demand { class, requests } => controller.demand_reported(class, requests),
         Event::TimerFired(timer) => controller.timer_fired(now, timer),
         Event::ShardAssigned { shard } => {
-            controller.host().validator.set_shard_owned(shard, true);
+            controller.host_mut().validator.set_shard_owned(shard, true);
             controller.shard_assigned(shard);
         }
         Event::ShardRevoked { shard } => {
-            controller.host().validator.set_shard_owned(shard, false);
+            controller.host_mut().validator.set_shard_owned(shard, false);
             controller.shard_revoked(shard);
         }
         Event::ShardWeightRestored { shard, endpoint, weight } => {
-            controller.host().validator.add_endpoints([&endpoint].into_iter());
+            controller.host_mut().validator.add_endpoints([&endpoint].into_iter());
             controller.shard_weight_restored(shard, &endpoint, weight);
         }
         Event::Acknowledged { number, proxy } => controller.commands_acknowledged(now, number, proxy),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Returns the host, so that the embedding program can use it between events.
-    pub fn host(&mut self) -> &mut H {
+    pub fn host_mut(&mut self) -> &mut H {
         &mut self.host
     }
 
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -208,6 +208,6 @@
         controller.proxy_joined(at(0.0), proxy, 0, 10.0, true);
     }
     controller.timer_fired(at(0.2), Timer::Recheck);
-    controller.host().commands.clear();
+    controller.host_mut().commands.clear();
     controller
 }
