--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -1,5 +1,6 @@
 //! Simulated proxies. A proxy admits or rejects client attempts, chooses endpoints by weight, reuses
-//! connections, retries attempts that are known not to have been executed, and counts outcomes for the load report.
+//! connections, retries attempts that are known not to have been executed, and counts outcomes for the load
+//! report.
 
 use crate::clock::{micros, Time};
 use crate::control_plane_instance::OutcomeKey;
@@ -218,8 +219,8 @@
         self.instances[instance as usize].record_outcome(key, answered, latency);
     }
 
-    /// Retries, at another endpoint, an attempt that was not executed. Returns false if the retry policy forbids it
-    /// or the table has no other endpoint.
+    /// Retries, at another endpoint, an attempt that was not executed. Returns false if the retry policy
+    /// forbids it or the table has no other endpoint.
     fn retry_at_another_endpoint(&mut self, slot: u32, failed_attempt: &Attempt) -> bool {
         let table = &self.proxies[failed_attempt.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
