--- a/adapter-support/src/settings.rs
+++ b/adapter-support/src/settings.rs
@@ -59,7 +59,7 @@
     ControllerConfig {
         request_classes: request_classes(settings),
         polls_endpoint_list: settings.field("discovery").string() == "ask",
-        cross_zone_costs: settings.field("charges").field("crossZone").number() > 0.0,
+        has_cross_zone_costs: settings.field("charges").field("crossZone").number() > 0.0,
         admission: match family.field("throttleBy").string() {
             "fraction" => AdmissionMode::Fraction,
             "per_second" => AdmissionMode::RatePerSecond,
--- a/emulator/src/control_plane_config.rs
+++ b/emulator/src/control_plane_config.rs
@@ -48,7 +48,7 @@
 fn settings_json(fleet: &Fleet) -> Value {
     let control_plane = &fleet.control_plane;
     let zones: Vec<&str> = fleet.zones.iter().map(|zone| zone.name.as_str()).collect();
-    let has_cross_zone_costs = control_plane.cross_zone_costs && fleet.zones.len() > 1;
+    let has_cross_zone_costs = control_plane.has_cross_zone_costs && fleet.zones.len() > 1;
     let cross_zone_cost = if has_cross_zone_costs { CROSS_ZONE_COST } else { 0.0 };
     json!({
         "zones": zones,
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -253,7 +253,7 @@
     /// The slow-start window in the configuration of the control plane.
     pub slow_start_window: Span,
     /// Whether requests that cross zones have a cost, so that each zone prefers its own endpoints.
-    pub cross_zone_costs: bool,
+    pub has_cross_zone_costs: bool,
 }
 
 /// The service-level objectives of a fleet. A service level is the fraction of the priority weight of
--- a/fleet/src/validate/control_plane.rs
+++ b/fleet/src/validate/control_plane.rs
@@ -61,6 +61,6 @@
             0.0..=3_600.0,
             "s",
         )),
-        cross_zone_costs: message.crossing_costs.unwrap_or(true),
+        has_cross_zone_costs: message.crossing_costs.unwrap_or(true),
     }
 }
--- a/simulation/src/controller_config.rs
+++ b/simulation/src/controller_config.rs
@@ -11,7 +11,7 @@
     ControllerConfig {
         request_classes: fleet.request_classes.iter().map(request_class).collect(),
         polls_endpoint_list: false,
-        cross_zone_costs: control_plane.cross_zone_costs && fleet.zones.len() > 1,
+        has_cross_zone_costs: control_plane.has_cross_zone_costs && fleet.zones.len() > 1,
         admission: AdmissionMode::Fraction,
         proxy_ejection_threshold: 0,
         shards: 0,
--- a/src/config.rs
+++ b/src/config.rs
@@ -34,7 +34,7 @@
     /// Updates of the endpoint list arrive only when it is polled.
     pub polls_endpoint_list: bool,
     /// Requests that cross zones have a cost.
-    pub cross_zone_costs: bool,
+    pub has_cross_zone_costs: bool,
     /// How the proxies interpret an admission level.
     pub admission: AdmissionMode,
     /// Consecutive failures after which a proxy ejects an endpoint on its own; 0: never.
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -188,7 +188,7 @@
     endpoints: &EndpointRegistry,
     limits: &ChannelLimits,
 ) -> TablePlacement {
-    let is_zoned = config.cross_zone_costs || has_zone_local_class(config);
+    let is_zoned = config.has_cross_zone_costs || has_zone_local_class(config);
     // A single table is used if it could hold a fleet of twice the size.
     let is_whole_fleet = endpoints.len() > 0 && endpoints.len() <= limits.max_table_size / 2;
     let arc = if is_whole_fleet { 0 } else { proxy % ARCS_PER_ZONE };
--- a/src/controller/routing/tests.rs
+++ b/src/controller/routing/tests.rs
@@ -18,7 +18,7 @@
 #[test]
 fn the_home_zone_keeps_most_requests_where_crossing_zones_costs() {
     let mut controller =
-        running_controller(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 1);
+        running_controller(ControllerConfig { has_cross_zone_costs: true, ..config() }, &["a"], 1);
     controller.proxy_joined(at(1.0), 1, 1, 10.0, true);
     controller.endpoints_updated(at(2.0), &[in_zone(1, ready("b"))]);
     assert!((controller.host.weight(ARCS_PER_ZONE, "b").unwrap() / 2.0 - 1.0 / 9.0).abs() < 1e-9);
@@ -27,7 +27,7 @@
 #[test]
 fn a_zone_without_endpoints_uses_remote_endpoints_at_full_weight() {
     let mut controller =
-        running_controller(ControllerConfig { cross_zone_costs: true, ..config() }, &["a"], 0);
+        running_controller(ControllerConfig { has_cross_zone_costs: true, ..config() }, &["a"], 0);
     controller.proxy_joined(at(1.0), 1, 5, 10.0, true);
     controller.timer_fired(at(1.2), Timer::Recheck);
     assert_eq!(controller.host.weight(6 * ARCS_PER_ZONE, "a"), Some(2.0));
@@ -46,8 +46,12 @@
 /// A controller with 60 endpoints in each of two zones, 60 proxies spread over both, and tables of at most 16
 /// endpoints.
 fn controller_with_small_tables() -> TestController {
-    let config =
-        ControllerConfig { cross_zone_costs: true, proxy_count: 60, message_overhead_lines: 2.5, ..config() };
+    let config = ControllerConfig {
+        has_cross_zone_costs: true,
+        proxy_count: 60,
+        message_overhead_lines: 2.5,
+        ..config()
+    };
     let mut controller = running_controller(config, &[], 0);
     let fleet: Vec<EndpointUpdate> = (0..120).map(|k| in_zone(k % 2, ready(&format!("s{k}")))).collect();
     controller.endpoint_list_replaced(at(0.5), &fleet);
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -157,7 +157,7 @@
     ControllerConfig {
         request_classes: vec![class(1.0), class(3.0)],
         polls_endpoint_list: false,
-        cross_zone_costs: false,
+        has_cross_zone_costs: false,
         admission: AdmissionMode::Fraction,
         proxy_ejection_threshold: 0,
         shards: 0,
