--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -140,7 +140,7 @@
     }
 
     /// The largest number of lines that were queued at any time so far.
-    pub(crate) fn max_queued_lines(&self) -> f64 {
+    pub(crate) fn peak_queued_lines(&self) -> f64 {
         lock(&self.state).model.send_queue.peak_queued_lines
     }
 
--- a/emulator/src/testbed/instance.rs
+++ b/emulator/src/testbed/instance.rs
@@ -62,10 +62,10 @@
     }
 
     /// The largest number of lines that were queued at any time in the channel to its proxies.
-    pub(super) fn max_queued_lines(&self) -> f64 {
+    pub(super) fn peak_queued_lines(&self) -> f64 {
         match self {
-            Instance::InProcess(instance) => instance.channel.max_queued_lines(),
-            Instance::Process(process) => process.channel.max_queued_lines(),
+            Instance::InProcess(instance) => instance.channel.peak_queued_lines(),
+            Instance::Process(process) => process.channel.peak_queued_lines(),
         }
     }
 }
--- a/emulator/src/testbed/run.rs
+++ b/emulator/src/testbed/run.rs
@@ -31,7 +31,7 @@
     /// All attempts of proxies at endpoints.
     pub attempts: u64,
     /// The largest number of lines that were queued at any time in the channel of any control-plane instance.
-    pub max_queued_lines: f64,
+    pub peak_queued_lines: f64,
     /// The time from the start of the load to its last request, in seconds.
     pub load_seconds: f64,
 }
@@ -65,7 +65,7 @@
             endpoints: self.endpoint_results(used_core_us, load_seconds),
             cross_zone_attempts: self.proxies.iter().map(|proxy| proxy.attempt_counts().cross_zone).sum(),
             attempts: self.proxies.iter().map(|proxy| proxy.attempt_counts().total).sum(),
-            max_queued_lines: self.max_queued_lines(),
+            peak_queued_lines: self.peak_queued_lines(),
             load_seconds,
         })
     }
@@ -91,8 +91,8 @@
         self.endpoints.iter().map(Endpoint::used_core_us).collect()
     }
 
-    fn max_queued_lines(&self) -> f64 {
-        self.instances.iter().map(|instance| instance.max_queued_lines()).fold(0.0, f64::max)
+    fn peak_queued_lines(&self) -> f64 {
+        self.instances.iter().map(|instance| instance.peak_queued_lines()).fold(0.0, f64::max)
     }
 
     fn endpoint_results(
--- a/emulator/tests/testbed.rs
+++ b/emulator/tests/testbed.rs
@@ -125,7 +125,7 @@
     assert!(emulated.endpoints[1].accepted < emulated.endpoints[0].accepted / 2);
     let after_crash = emulated.clients.results.service_level_between(15.0, 40.0);
     assert!(after_crash > 0.95, "service level after the crash: {after_crash}");
-    assert!(emulated.cross_zone_attempts > 0 && emulated.max_queued_lines > 0.0);
+    assert!(emulated.cross_zone_attempts > 0 && emulated.peak_queued_lines > 0.0);
 }
 
 #[test]
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -177,7 +177,7 @@
             event_count: self.event_count,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
-            max_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
+            peak_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
             stop_reason,
--- a/simulation/src/simulation_result.rs
+++ b/simulation/src/simulation_result.rs
@@ -44,7 +44,7 @@
     /// All attempts of proxies at endpoints.
     pub attempts: u64,
     /// The largest number of lines that were queued in the channel of any instance.
-    pub max_queued_lines: f64,
+    pub peak_queued_lines: f64,
     /// The number of lines that all instances sent.
     pub sent_lines: f64,
     /// The length of the load in seconds.
