--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -3,8 +3,8 @@
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
 //! that it selected when it started, or a table from an earlier stream. Weight changes don't reach it, only
 //! ejections do. At the end of each event, [`Controller`] ejects every endpoint that is no longer ready
-//! and is in none of its tables, in the order in which they stopped being ready. While the channel is busy, or
-//! the ejections would make it so, they are collected for a part of the drain grace, since assigning the
+//! and is in none of its tables, in the order in which they stopped being ready. While the channel is busy,
+//! or the ejections would make it so, they are collected for a part of the drain grace, since assigning the
 //! proxies makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Ejects endpoints that are no longer ready from the proxies with stale tables. Returns whether ejections
-    /// were deferred because the channel is full.
+    /// Ejects endpoints that are no longer ready from the proxies with stale tables. Returns whether
+    /// ejections were deferred because the channel is full.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
