--- a/emulator/src/lib.rs
+++ b/emulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! Emulates a fleet from its description: endpoints, proxies, the endpoint list, the relay, collectors and
-//! clients, with the real controller or control-plane program. The parties speak HTTP/1.1 and the published
+//! clients, with the real controller or control-plane program. They speak HTTP/1.1 and the published
 //! protocol, either on loopback sockets in real time or over in-memory streams on a paused clock. On a paused
 //! clock, tests run the same code in a fraction of the emulated time.
 //!
@@ -9,8 +9,8 @@
 //! | module | contents |
 //! | --- | --- |
 //! | `testbed` | start of a fleet, fault injection, results |
-//! | `network` | the connections between the parties |
-//! | `clients`, `proxy`, `endpoint` | one party of the request path each |
+//! | `network` | the connections between clients and servers |
+//! | `clients`, `proxy`, `endpoint` | the clients, the proxies and the endpoints |
 //! | `endpoint_list`, `relay`, `collector` | one peer of the control plane each |
 //! | `proxy_channel` | the messages from a control-plane instance to its proxies |
 //! | `load_report` | the load that the proxies report to a control-plane instance |
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -75,8 +75,8 @@
 }
 
 impl Testbed {
-    /// Starts all parties of a fleet. [`TableSource::InProcess`] requires a [`tokio::task::LocalSet`],
-    /// because the controller can't move between threads.
+    /// Starts all components of a fleet except the clients. [`TableSource::InProcess`] requires a
+    /// [`tokio::task::LocalSet`], because the controller can't move between threads.
     pub async fn start(
         fleet: &Fleet,
         network: Network,
--- a/fleet/src/captured_load/findings.rs
+++ b/fleet/src/captured_load/findings.rs
@@ -29,7 +29,7 @@
     /// The number of requests left out because the fleet lacks their class or zone, by the name of that class
     /// or zone.
     pub unknown_names: BTreeMap<String, u64>,
-    /// The time of the last request, in seconds since the load began.
+    /// The time of the last request, in seconds since the start of the load.
     pub last_request_at: f64,
 }
 
@@ -43,7 +43,7 @@
     pub step_seconds: f64,
 }
 
-/// An unusually long period without a request, in seconds since the load began.
+/// An unusually long period without a request, in seconds since the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gap {
     /// The time of the last request before it.
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -3,7 +3,7 @@
 /// A request and the time at which its client sends it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ScheduledRequest {
-    /// Seconds since the load began.
+    /// Seconds since the start of the load.
     pub at: f64,
     /// The index of its class in the fleet.
     pub request_class: usize,
--- a/fleet/src/load_profile/mod.rs
+++ b/fleet/src/load_profile/mod.rs
@@ -49,7 +49,7 @@
 /// A period in which the rate of some requests changes, or their work increases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Burst {
-    /// The start, in seconds since the load began.
+    /// The start, in seconds since the start of the load.
     pub starts_at: f64,
     /// The duration.
     pub duration_seconds: f64,
--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -8,7 +8,7 @@
 pub struct LoadSummary {
     /// The number of requests.
     pub requests: u64,
-    /// The time of the last request, in seconds since the load began.
+    /// The time of the last request, in seconds since the start of the load.
     pub last_request_at: f64,
     /// The number of requests of each class.
     pub requests_by_class: Vec<u64>,
@@ -31,7 +31,7 @@
 /// The totals of the requests within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
-    /// The start of the second, in seconds since the load began.
+    /// The start of the second, in seconds since the start of the load.
     pub second: u64,
     /// The number of requests.
     pub requests: u64,
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -75,7 +75,7 @@
     /// Whether an endpoint finishes a request that it has started when the client has stopped waiting for it.
     /// A queued request is dropped in either case.
     pub finishes_abandoned_requests: bool,
-    /// The uptime of the endpoints when the load begins; `None` if it is long enough for them to be warm.
+    /// The uptime of the endpoints when the load starts; `None` if it is long enough for them to be warm.
     pub uptime: Option<Span>,
 }
 
--- a/simulation/src/clock.rs
+++ b/simulation/src/clock.rs
@@ -2,13 +2,13 @@
 
 use otterwinch::time::{Moment, Span};
 
-/// Microseconds: points in time count from the beginning of a simulation, durations are differences of two.
+/// Microseconds: points in time count from the start of a simulation, durations are differences of two.
 pub type Time = u64;
 
 /// One second.
 pub(crate) const SECOND: Time = 1_000_000;
 
-/// The time on the controller's clock at which a simulation begins. It is far from zero so that the start
+/// The time on the controller's clock at which a simulation starts. It is far from zero so that the start
 /// time of an endpoint that started before the simulation can be represented.
 const ORIGIN_US: i64 = 1_000_000_000_000;
 
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -35,7 +35,7 @@
     pub up: bool,
     /// Whether the endpoint collapsed and has not been restarted since.
     pub collapsed: bool,
-    /// When the process last started; `None` if that was before the simulation began.
+    /// When the process last started; `None` if that was before the simulation started.
     pub started: Option<Time>,
     /// The number of crashes and restarts so far. Connections to an earlier incarnation are broken.
     pub incarnation: u32,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,5 +1,5 @@
-//! The state of a simulation and its event loop. Event handlers are in the modules of the parties that they
-//! concern; the state that they share is here.
+//! The state of a simulation and its event loop. Event handlers are in the modules of the components that
+//! they concern; the state that they share is here.
 
 use crate::client::Request;
 use crate::clock::{micros_from_secs, secs, Time, SECOND};
@@ -35,9 +35,9 @@
     pub lifted_limits: LiftedLimits,
     pub queue: EventQueue<Event>,
     pub now: Time,
-    /// When the load begins. The control plane starts at time 0.
+    /// When the load starts. The control plane starts at time 0.
     pub load_start: Time,
-    /// Whether the last request of the load has begun.
+    /// Whether the last request of the load has started.
     pub load_ended: bool,
     pub endpoints: Vec<Endpoint>,
     pub proxies: Vec<Proxy>,
@@ -51,7 +51,7 @@
     pub endpoint_updates: Vec<Vec<EndpointUpdate>>,
     pub results: Results,
     pub usage: UsageMeter,
-    /// Requests that have begun and not ended.
+    /// Requests that have started and not ended.
     pub in_flight: usize,
     /// Attempts of proxies at endpoints.
     pub proxy_attempts: u64,
@@ -157,7 +157,7 @@
         self.queue.push(at, Phase::ControlPlane, event);
     }
 
-    /// Converts a time to seconds since the load began.
+    /// Converts a time to seconds since the start of the load.
     pub(crate) fn load_seconds(&self, at: Time) -> f64 {
         secs(at - self.load_start)
     }
--- a/simulation/src/event.rs
+++ b/simulation/src/event.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
     Answered,
-    /// The endpoint failed it after it had begun.
+    /// The endpoint failed it after it had started to execute it.
     Failed,
     /// The endpoint rejected it or refused the connection, which proves that it was not executed.
     NotExecuted,
--- a/simulation/src/fault.rs
+++ b/simulation/src/fault.rs
@@ -25,14 +25,14 @@
 /// A fault and the time at which it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// Seconds since the load began.
+    /// Seconds since the start of the load.
     pub at: f64,
     /// The fault to inject.
     pub fault: Fault,
 }
 
 impl Fault {
-    /// Schedules the fault `at` seconds after the load begins.
+    /// Schedules the fault `at` seconds after the start of the load.
     pub fn at(self, at: f64) -> ScheduledFault {
         ScheduledFault { at, fault: self }
     }
--- a/simulation/src/results.rs
+++ b/simulation/src/results.rs
@@ -167,7 +167,7 @@
 pub struct Window {
     /// All requests.
     pub requests: u64,
-    /// Attempts of clients that began in the window.
+    /// Attempts of clients that started in the window.
     pub attempts: u64,
     /// Requests that a proxy rejected.
     pub rejected: u64,
@@ -222,7 +222,7 @@
     pub request_classes: Vec<RequestCounts>,
     /// Requests by the zone of the client.
     pub zones: Vec<RequestCounts>,
-    /// Consecutive windows from the beginning of the load.
+    /// Consecutive windows from the start of the load.
     pub windows: Vec<Window>,
     /// The length of a window in seconds.
     pub window_seconds: f64,
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The window that contains a time, given in seconds since the load began.
+    /// The window that contains a time, given in seconds since the start of the load.
     pub fn window(&mut self, at: f64) -> &mut Window {
         let mut index = (at.max(0.0) / self.window_seconds) as usize;
         while index >= MAX_WINDOWS {
@@ -269,7 +269,7 @@
         self.window_seconds *= 2.0;
     }
 
-    /// Counts an attempt of a client that begins at `at`, in seconds since the load began.
+    /// Counts an attempt of a client that starts at `at`, in seconds since the start of the load.
     pub fn record_attempt(&mut self, request_class: usize, zone: usize, at: f64) {
         self.total.attempts += 1;
         self.request_classes[request_class].attempts += 1;
@@ -277,7 +277,7 @@
         self.window(at).attempts += 1;
     }
 
-    /// Counts the end of a request that was due at `due`, in seconds since the load began.
+    /// Counts the end of a request that was due at `due`, in seconds since the start of the load.
     pub fn record_end(&mut self, request_class: usize, zone: usize, due: f64, end: RequestEnd) {
         let objective = self.objectives[request_class];
         self.total.record_end(end, &objective);
@@ -292,12 +292,13 @@
         window.weight_by_zone[zone].add(weight);
     }
 
-    /// The service level over the windows that overlap a time range, given in seconds since the load began.
+    /// The service level over the windows that overlap a time range, given in seconds since the start of the
+    /// load.
     pub fn service_level_between(&self, from: f64, to: f64) -> f64 {
         let mut sum = WeightTotals::default();
         for (index, window) in self.windows.iter().enumerate() {
-            let begin = index as f64 * self.window_seconds;
-            if begin + self.window_seconds > from && begin < to {
+            let start = index as f64 * self.window_seconds;
+            if start + self.window_seconds > from && start < to {
                 sum.add(window.weight);
             }
         }
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long the control plane runs before the load begins, so that proxies have been assigned tables by then.
+/// How long the control plane runs before the load starts, so that proxies have been assigned tables by then.
 const CONTROL_PLANE_LEAD_TIME: Time = 8 * SECOND;
 /// The offset between the report intervals of consecutive instances, so that they don't all end at the same
 /// time.
--- a/simulation/src/usage.rs
+++ b/simulation/src/usage.rs
@@ -12,9 +12,9 @@
 
 /// Core-seconds that the endpoints have used.
 pub(crate) struct UsageMeter {
-    /// By endpoint, from the beginning to the end of the load.
+    /// By endpoint, from the start to the end of the load.
     during_load: Vec<f64>,
-    /// By endpoint, from the beginning of the simulation to the latest recording.
+    /// By endpoint, from the start of the simulation to the latest recording.
     total: Vec<f64>,
 }
 
