--- a/emulator/src/endpoint.rs
+++ b/emulator/src/endpoint.rs
@@ -66,7 +66,7 @@
         let server = Arc::new(EndpointServer {
             max_connections: group.max_connections,
             connection_work: group.connection_work,
-            finishes_abandoned: group.finishes_abandoned_requests,
+            finishes_abandoned_requests: group.finishes_abandoned_requests,
             open_connections: AtomicU32::new(0),
             condition: Mutex::new(Condition::new(group, spec.speed, spec.started, rng)),
             executor: Executor::new(group.cores, group.max_queued),
--- a/emulator/src/endpoint/server.rs
+++ b/emulator/src/endpoint/server.rs
@@ -27,7 +27,7 @@
     /// The work of a new connection, in seconds on a core of speed 1.
     pub(super) connection_work: f64,
     /// Whether execution of a request continues after its client has disconnected.
-    pub(super) finishes_abandoned: bool,
+    pub(super) finishes_abandoned_requests: bool,
     pub(super) open_connections: AtomicU32,
     pub(super) condition: Mutex<Condition>,
     pub(super) executor: Executor,
@@ -110,7 +110,7 @@
             return not_executed_response();
         };
         self.counters.accepted.fetch_add(1, Ordering::Relaxed);
-        if self.finishes_abandoned {
+        if self.finishes_abandoned_requests {
             // A separate task continues when this future is dropped.
             let server = self.clone();
             let _ = tokio::spawn(async move { server.execute(core, work).await }).await;
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -50,7 +50,7 @@
     /// The work of setting up a connection, in seconds on a core of speed 1.
     pub connection_work: f64,
     /// Whether the endpoint finishes work on an attempt whose connection was closed.
-    pub finishes_abandoned: bool,
+    pub finishes_abandoned_requests: bool,
     pub cores: u32,
     /// The number of attempts that were started or queued.
     pub accepted: u64,
@@ -97,7 +97,7 @@
             hangs: false,
             open_connections: 0,
             connection_work: group.connection_work,
-            finishes_abandoned: group.finishes_abandoned_requests,
+            finishes_abandoned_requests: group.finishes_abandoned_requests,
             cores: group.cores,
             accepted: 0,
             rejected: 0,
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -150,7 +150,7 @@
             }
             AttemptStage::Running => {
                 endpoint.open_connections -= 1;
-                if !endpoint.finishes_abandoned {
+                if !endpoint.finishes_abandoned_requests {
                     self.attempts.release(slot);
                     self.free_core(endpoint_index);
                 }
