--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -37,9 +37,9 @@
 }
 
 impl ConnectionTable {
-    /// An empty table with `max_connections` places, for a deployment with `zones` zones.
-    pub fn new(max_connections: usize, zones: usize) -> Self {
-        let max_per_zone = (max_connections / 2 / zones.max(1)).clamp(1, MAX_COLLECTORS_PER_ZONE);
+    /// An empty table with `max_connections` places, for a deployment with `zone_count` zones.
+    pub fn new(max_connections: usize, zone_count: usize) -> Self {
+        let max_per_zone = (max_connections / 2 / zone_count.max(1)).clamp(1, MAX_COLLECTORS_PER_ZONE);
         ConnectionTable {
             max_connections,
             max_per_zone,
--- a/control-plane/src/connection_table/tests.rs
+++ b/control-plane/src/connection_table/tests.rs
@@ -16,8 +16,8 @@
     Connection { slot: ConnectionSlot::new(number, table.clone()), task, closing }
 }
 
-fn table(max_connections: usize, zones: usize) -> Rc<RefCell<ConnectionTable>> {
-    Rc::new(RefCell::new(ConnectionTable::new(max_connections, zones)))
+fn table(max_connections: usize, zone_count: usize) -> Rc<RefCell<ConnectionTable>> {
+    Rc::new(RefCell::new(ConnectionTable::new(max_connections, zone_count)))
 }
 
 #[tokio::test]
--- a/emulator/src/proxy.rs
+++ b/emulator/src/proxy.rs
@@ -48,7 +48,7 @@
     /// The index of the zone in the fleet.
     pub(crate) zone: usize,
     /// The number of request classes.
-    pub(crate) request_classes: usize,
+    pub(crate) request_class_count: usize,
     /// The number of endpoints in the initial table, all in the proxy's own zone.
     pub(crate) initial_table_size: usize,
     /// The table that the proxy uses from its start instead of the initial table.
@@ -107,7 +107,7 @@
             default_retry: spec.default_retry,
             zone_latency: spec.zone_latency,
             routing: Mutex::new(routing),
-            load_counters: LoadCounters::new(spec.request_classes),
+            load_counters: LoadCounters::new(spec.request_class_count),
             connection_pool: ConnectionPool::new(network.clone(), spec.idle_timeout, directory),
         });
         let task = ServerTask::spawn(request_handler::run(listener, server.clone()));
--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -43,17 +43,17 @@
 
 /// The counters of a proxy.
 pub(super) struct LoadCounters {
-    request_classes: usize,
+    request_class_count: usize,
     since_report: Mutex<IntervalLoad>,
     attempts: AtomicU64,
     cross_zone_attempts: AtomicU64,
 }
 
 impl LoadCounters {
-    pub(super) fn new(request_classes: usize) -> Self {
+    pub(super) fn new(request_class_count: usize) -> Self {
         LoadCounters {
-            request_classes,
-            since_report: Mutex::new(IntervalLoad::empty(request_classes)),
+            request_class_count,
+            since_report: Mutex::new(IntervalLoad::empty(request_class_count)),
             attempts: AtomicU64::new(0),
             cross_zone_attempts: AtomicU64::new(0),
         }
@@ -61,7 +61,7 @@
 
     /// Returns the load since the last call, and resets it.
     pub(super) fn take(&self) -> IntervalLoad {
-        std::mem::replace(&mut *lock(&self.since_report), IntervalLoad::empty(self.request_classes))
+        std::mem::replace(&mut *lock(&self.since_report), IntervalLoad::empty(self.request_class_count))
     }
 
     pub(super) fn attempt_counts(&self) -> AttemptCounts {
@@ -90,8 +90,8 @@
 }
 
 impl IntervalLoad {
-    fn empty(request_classes: usize) -> Self {
-        IntervalLoad { attempts: BTreeMap::new(), requests: vec![0; request_classes] }
+    fn empty(request_class_count: usize) -> Self {
+        IntervalLoad { attempts: BTreeMap::new(), requests: vec![0; request_class_count] }
     }
 }
 
--- a/emulator/src/proxy/routing.rs
+++ b/emulator/src/proxy/routing.rs
@@ -21,7 +21,7 @@
     assigned: bool,
     /// The endpoints of the initial table.
     initial_endpoints: Vec<u32>,
-    request_classes: usize,
+    request_class_count: usize,
     apply_time_per_line: Duration,
     /// When all messages received so far are applied. No request is forwarded before.
     applied_at: Instant,
@@ -38,12 +38,12 @@
 
 impl RoutingState {
     pub(super) fn new(initial_endpoints: Vec<u32>, spec: &ProxySpec) -> Self {
-        let initial_table = || initial_table(&initial_endpoints, &BTreeSet::new(), spec.request_classes);
+        let initial_table = || initial_table(&initial_endpoints, &BTreeSet::new(), spec.request_class_count);
         RoutingState {
             table: spec.assigned_table.clone().unwrap_or_else(initial_table),
             assigned: spec.assigned_table.is_some(),
             initial_endpoints,
-            request_classes: spec.request_classes,
+            request_class_count: spec.request_class_count,
             apply_time_per_line: spec.apply_time_per_line,
             applied_at: Instant::now(),
             rng: random_stream(spec.seed, "picks", u64::from(spec.number)),
@@ -61,7 +61,7 @@
             self.table = table;
             self.assigned = true;
         } else if !self.assigned {
-            self.table = initial_table(&self.initial_endpoints, ejected, self.request_classes);
+            self.table = initial_table(&self.initial_endpoints, ejected, self.request_class_count);
         }
         let apply_time = self.apply_time_per_line.mul_f64(lines);
         self.applied_at = self.applied_at.max(Instant::now() + apply_time);
@@ -70,7 +70,7 @@
 
     /// Returns to the initial table.
     pub(super) fn reset(&mut self) {
-        self.table = initial_table(&self.initial_endpoints, &BTreeSet::new(), self.request_classes);
+        self.table = initial_table(&self.initial_endpoints, &BTreeSet::new(), self.request_class_count);
         self.assigned = false;
     }
 
@@ -111,10 +111,14 @@
 
 /// The table that a proxy uses before its first assignment: equal weights for all endpoints that are not
 /// ejected, and no admission levels.
-fn initial_table(endpoints: &[u32], ejected: &BTreeSet<u32>, request_classes: usize) -> Arc<TableSnapshot> {
+fn initial_table(
+    endpoints: &[u32],
+    ejected: &BTreeSet<u32>,
+    request_class_count: usize,
+) -> Arc<TableSnapshot> {
     let usable = endpoints.iter().filter(|endpoint| !ejected.contains(endpoint));
     Arc::new(TableSnapshot {
         endpoints: WeightedEndpoints::new(usable.map(|endpoint| (*endpoint, 1.0))),
-        admission: vec![None; request_classes],
+        admission: vec![None; request_class_count],
     })
 }
--- a/emulator/src/proxy/routing/tests.rs
+++ b/emulator/src/proxy/routing/tests.rs
@@ -12,7 +12,7 @@
     let spec = ProxySpec {
         number: 0,
         zone: 0,
-        request_classes: 1,
+        request_class_count: 1,
         initial_table_size: 2,
         assigned_table: None,
         default_retry: RetryPolicy::Never,
--- a/emulator/src/testbed/setup.rs
+++ b/emulator/src/testbed/setup.rs
@@ -84,7 +84,7 @@
     ProxySpec {
         number,
         zone,
-        request_classes: fleet.request_classes.len(),
+        request_class_count: fleet.request_classes.len(),
         initial_table_size: settings.initial_table_size as usize,
         assigned_table,
         default_retry,
--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -42,12 +42,12 @@
 impl LoadSummary {
     /// An empty summary of load for a fleet.
     pub fn new(fleet: &Fleet) -> Self {
-        let (request_classes, zones) = (fleet.request_classes.len(), fleet.zones.len());
+        let (request_class_count, zone_count) = (fleet.request_classes.len(), fleet.zones.len());
         LoadSummary {
-            requests_by_class: vec![0; request_classes],
-            requests_by_zone: vec![0; zones],
-            work_by_class: vec![0.0; request_classes],
-            max_work_by_class: vec![0.0; request_classes],
+            requests_by_class: vec![0; request_class_count],
+            requests_by_zone: vec![0; zone_count],
+            work_by_class: vec![0.0; request_class_count],
+            max_work_by_class: vec![0.0; request_class_count],
             ..LoadSummary::default()
         }
     }
--- a/simulation/src/results.rs
+++ b/simulation/src/results.rs
@@ -182,11 +182,11 @@
 }
 
 impl Window {
-    fn new(request_classes: usize, zones: usize) -> Self {
+    fn new(request_class_count: usize, zone_count: usize) -> Self {
         Window {
-            weight_by_class: vec![WeightTotals::default(); request_classes],
-            weight_by_zone: vec![WeightTotals::default(); zones],
-            used_core_seconds: vec![0.0; zones],
+            weight_by_class: vec![WeightTotals::default(); request_class_count],
+            weight_by_zone: vec![WeightTotals::default(); zone_count],
+            used_core_seconds: vec![0.0; zone_count],
             ..Window::default()
         }
     }
--- a/simulation/src/setup.rs
+++ b/simulation/src/setup.rs
@@ -105,7 +105,7 @@
 
     fn start_instances(&mut self) {
         let fleet = self.fleet;
-        let request_classes = fleet.request_classes.len();
+        let request_class_count = fleet.request_classes.len();
         let ids = self.endpoints.iter().map(|endpoint| endpoint.id.clone());
         let endpoint_indices: Rc<FxHashMap<EndpointId, u32>> = Rc::new(ids.zip(0..).collect());
         let endpoint_list: Vec<EndpointUpdate> = self.endpoints.iter().map(endpoint_list_entry).collect();
@@ -114,8 +114,8 @@
             let host = SimulatedHost::new(endpoint_indices.clone());
             let mut controller = Controller::start(host, controller_config(fleet), seed, moment(0));
             controller.endpoint_list_replaced(moment(0), &endpoint_list);
-            let channel = ProxyChannel::new(&fleet.control_plane, request_classes);
-            self.instances.push(ControlPlaneInstance::new(controller, channel, request_classes));
+            let channel = ProxyChannel::new(&fleet.control_plane, request_class_count);
+            self.instances.push(ControlPlaneInstance::new(controller, channel, request_class_count));
             self.schedule_controller_output(instance_index);
             let first_report =
                 micros(fleet.control_plane.report_interval) + Time::from(instance_index) * REPORT_STAGGER;
--- a/simulation/src/usage.rs
+++ b/simulation/src/usage.rs
@@ -19,8 +19,8 @@
 }
 
 impl UsageMeter {
-    pub(crate) fn new(endpoints: usize) -> Self {
-        UsageMeter { during_load: vec![0.0; endpoints], total: vec![0.0; endpoints] }
+    pub(crate) fn new(endpoint_count: usize) -> Self {
+        UsageMeter { during_load: vec![0.0; endpoint_count], total: vec![0.0; endpoint_count] }
     }
 
     /// Core-seconds that an endpoint used during the load.
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -49,8 +49,8 @@
 
 impl FleetLoad {
     /// Creates a record without load for a number of request classes.
-    pub(super) fn new(request_classes: usize) -> Self {
-        FleetLoad { demand: vec![0.0; request_classes], ..FleetLoad::default() }
+    pub(super) fn new(request_class_count: usize) -> Self {
+        FleetLoad { demand: vec![0.0; request_class_count], ..FleetLoad::default() }
     }
 
     /// Extends the window by the time since the last evaluation.
