--- a/fleet/src/validate/load_profile.rs
+++ b/fleet/src/validate/load_profile.rs
@@ -71,7 +71,7 @@
     let skew = message.skew.unwrap_or(0.0);
     IdempotencyKeys {
         distinct: validator.field("distinct").count_in_range(distinct, 1..=10_000_000, "distinct keys"),
-        skew: validator.field("skew").in_range(skew, 0.0..=3.0, "as the Zipf exponent"),
+        skew: validator.field("skew").in_range(skew, 0.0..=3.0, "for the Zipf exponent"),
     }
 }
 
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -60,24 +60,24 @@
     }
 
     /// Returns the value if it is within bounds; else reports an error and returns the lower bound. `unit`
-    /// follows the value in the error.
+    /// follows the bounds in the error.
     pub fn in_range(&self, value: f64, bounds: RangeInclusive<f64>, unit: &str) -> f64 {
         if bounds.contains(&value) {
             return value;
         }
         let (min, max) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {min} to {max} {unit}"));
+        self.report(format!("{value} is out of range; expected {min} to {max} {unit}"));
         min
     }
 
     /// Returns the integer if it is within bounds; else reports an error and returns the lower bound. `unit`
-    /// follows the value in the error.
+    /// follows the bounds in the error.
     pub fn count_in_range(&self, value: u32, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
         if bounds.contains(&value) {
             return value;
         }
         let (min, max) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {min} to {max}"));
+        self.report(format!("{value} is out of range; expected {min} to {max} {unit}"));
         min
     }
 
