--- a/simulation/src/lib.rs
+++ b/simulation/src/lib.rs
@@ -6,8 +6,8 @@
 //! `engine.rs` holds the state and the event loop, and `setup.rs` builds the initial state. The event
 //! handlers are in `client.rs`, `proxy.rs`, `endpoint_work.rs`, `control_messages.rs`, `fault_injection.rs`
 //! and `usage.rs`. `endpoint.rs` models one endpoint, `queue.rs` orders the events, and `slab.rs` stores
-//! requests and attempts. The emulator shares the route tables, the proxy channel, the controller's host, the
-//! faults and the results.
+//! requests and attempts. The emulator shares the endpoint speeds, the route tables, the model of the proxy
+//! channel, the controller's host and configuration, and the types of the faults and the results.
 
 mod client;
 mod clock;
