--- a/emulator/src/proxy/load_counters.rs
+++ b/emulator/src/proxy/load_counters.rs
@@ -80,7 +80,7 @@
 
     /// Starts an attempt at an endpoint. Its outcome and duration are added to the load when the guard is
     /// dropped.
-    pub(super) fn begin_attempt(&self, endpoint: u32, is_cross_zone: bool) -> AttemptGuard<'_> {
+    pub(super) fn start_attempt(&self, endpoint: u32, is_cross_zone: bool) -> AttemptGuard<'_> {
         self.attempts.fetch_add(1, Ordering::Relaxed);
         if is_cross_zone {
             self.cross_zone_attempts.fetch_add(1, Ordering::Relaxed);
--- a/emulator/src/proxy/request_handler.rs
+++ b/emulator/src/proxy/request_handler.rs
@@ -95,7 +95,7 @@
     /// Makes one attempt at an endpoint, with the latency between the zones before and after it.
     async fn attempt(&self, endpoint: u32, work_us: &str) -> AttemptOutcome {
         let zone = self.connection_pool.zone_of(endpoint);
-        let mut attempt = self.load_counters.begin_attempt(endpoint, zone != self.zone);
+        let mut attempt = self.load_counters.start_attempt(endpoint, zone != self.zone);
         let latency = self.zone_latency[zone];
         emulate_latency(latency).await;
         let outcome = self.connection_pool.send(endpoint, work_us).await;
--- a/fleet/src/captured_load/mod.rs
+++ b/fleet/src/captured_load/mod.rs
@@ -133,11 +133,11 @@
     fn spread_demand(&mut self, demand: &Demand) {
         let fleet_zone = self.zone_of_proxy(demand.proxy);
         let zone = self.zones.iter().position(|zone| *zone == fleet_zone).unwrap_or(0) as u32;
-        let begin_us = demand.at_us - demand.interval_us as i64;
+        let start_us = demand.at_us - demand.interval_us as i64;
         let count = demand.requests.min(MAX_REQUESTS_PER_REPORT);
         let interval_us = demand.interval_us as f64;
         let mut times: Vec<i64> =
-            (0..count).map(|_| begin_us + (self.report_rng.random::<f64>() * interval_us) as i64).collect();
+            (0..count).map(|_| start_us + (self.report_rng.random::<f64>() * interval_us) as i64).collect();
         times.sort_unstable();
         for at_us in times {
             self.findings.spread_from_reports += 1;
--- a/simulation/src/client.rs
+++ b/simulation/src/client.rs
@@ -35,7 +35,7 @@
 
 impl Engine<'_> {
     /// Starts a request that is due now.
-    pub(crate) fn begin_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
+    pub(crate) fn start_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.in_flight += 1;
         let slot = self.requests.insert(Request {
             sequence,
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -71,7 +71,7 @@
             if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
                 sequence += 1;
                 last_due = last_due.max(self.due_time(&request));
-                self.begin_scheduled_request(sequence, &request);
+                self.start_scheduled_request(sequence, &request);
                 if load.peek().is_none() {
                     self.end_load();
                 }
@@ -106,10 +106,10 @@
         next_event.is_none_or(|at| due <= at)
     }
 
-    fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
+    fn start_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.now = self.now.max(self.due_time(scheduled));
         self.event_count += 1;
-        self.begin_request(sequence, scheduled);
+        self.start_request(sequence, scheduled);
     }
 
     /// Ends the measurement of usage: work that is done after the last request was due doesn't count.
