--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -27,9 +27,9 @@
 /// The fraction of the queue above which acknowledgements are requested.
 const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
 /// The fraction of the fleet that may leave at the same time and must be announced within the drain grace.
-const SIMULTANEOUS_DEPARTURES_FRACTION: f64 = 0.2;
+const SIMULTANEOUS_REMOVALS_FRACTION: f64 = 0.2;
 /// The fraction of the lines sent within a drain grace that may be used to announce leaving endpoints.
-const DEPARTURES_GRACE_FRACTION: f64 = 0.78;
+const REMOVALS_GRACE_FRACTION: f64 = 0.78;
 /// The smallest fraction of the queue that an incomplete batch of urgent commands must fill, since each batch
 /// adds message overhead.
 const MIN_BATCH_QUEUE_FRACTION: f64 = 0.4;
@@ -129,8 +129,8 @@
 }
 
 /// The number of lines that may be used to announce leaving endpoints within the drain grace.
-fn departure_lines(config: &ControllerConfig) -> f64 {
-    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * DEPARTURES_GRACE_FRACTION
+fn removal_lines(config: &ControllerConfig) -> f64 {
+    config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * REMOVALS_GRACE_FRACTION
 }
 
 /// The maximum number of endpoints in a table. Even if all proxies are joined to this controller, the channel
@@ -140,8 +140,8 @@
     let proxies = f64::from(config.proxy_count.max(1));
     let mut by_lines = f64::INFINITY;
     if config.channel_rate * config.max_queued_lines > 0.0 {
-        let lines_per_proxy = departure_lines(config) / 2.0 / proxies - config.message_overhead_lines;
-        by_lines = lines_per_proxy / SIMULTANEOUS_DEPARTURES_FRACTION;
+        let lines_per_proxy = removal_lines(config) / 2.0 / proxies - config.message_overhead_lines;
+        by_lines = lines_per_proxy / SIMULTANEOUS_REMOVALS_FRACTION;
     }
     let connections = f64::from(config.min_endpoint_connections) * endpoints.ready().count() as f64 / proxies;
     let by_connections = if connections > 0.0 { connections } else { f64::INFINITY };
@@ -150,11 +150,11 @@
 }
 
 fn max_ordinary_lines(config: &ControllerConfig, largest_table: usize) -> f64 {
-    let departures_per_table = largest_table as f64 * SIMULTANEOUS_DEPARTURES_FRACTION;
-    let reserved = f64::from(config.proxy_count) * (config.message_overhead_lines + departures_per_table);
+    let removals_per_table = largest_table as f64 * SIMULTANEOUS_REMOVALS_FRACTION;
+    let reserved = f64::from(config.proxy_count) * (config.message_overhead_lines + removals_per_table);
     let in_transit = (config.max_transit * ORDINARY_QUEUE_TRANSITS).as_secs() * config.channel_rate;
     let minimum = config.max_queued_lines * MAX_QUEUE_FRACTION * MIN_ORDINARY_QUEUE_FRACTION;
-    (departure_lines(config) / DEPARTURES_GRACE_FRACTION - reserved).min(in_transit).max(minimum)
+    (removal_lines(config) / REMOVALS_GRACE_FRACTION - reserved).min(in_transit).max(minimum)
 }
 
 /// Tracks what is queued in the channel and decides whether more may be sent.
