--- a/fleet/tests/load_profiles.rs
+++ b/fleet/tests/load_profiles.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_profile_that_names_an_unknown_class_is_refused() {
+fn a_profile_that_names_an_unknown_class_is_rejected() {
     let text = "for_s: 5 txns_per_s: 3\nburst { at_s: 1 for_s: 2 product: 'ferry' }";
     let errors = parse_load_profile("m", text, &small_fleet()).unwrap_err().to_string();
     let expected = "unknown product 'ferry'; expected one of: fare-quote, seat-hold, ticket-issue";
--- a/src/controller/changes/tests.rs
+++ b/src/controller/changes/tests.rs
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_table_whose_endpoints_vanished_and_do_not_answer_is_emptied() {
+fn a_table_whose_endpoints_disappeared_and_do_not_answer_is_emptied() {
     let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoint_list_replaced(at(2.0), &[]);
     assert!(controller.host.commands.contains(&set_weight(0, "a", 0.0)));
 }
 
 #[test]
-fn a_table_whose_endpoints_vanished_but_still_answer_keeps_its_weights() {
+fn a_table_whose_endpoints_disappeared_but_still_answer_retains_its_weights() {
     let mut controller = running_controller(config(), &["a"], 1);
     controller.endpoints.get_mut("a").unwrap().last_answered = Some(at(1.5));
     controller.endpoint_list_replaced(at(2.0), &[]);
--- a/src/controller/channel/tests.rs
+++ b/src/controller/channel/tests.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn assignments_wait_for_room_in_the_channel() {
+fn assignments_wait_for_space_in_the_queue() {
     let mut controller = running_controller(ControllerConfig { proxy_count: 400, ..config() }, &["a"], 0);
     for proxy in 0..400 {
         controller.proxy_joined(at(1.0), proxy, 0, 10.0, true);
--- a/src/controller/ejection/tests.rs
+++ b/src/controller/ejection/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_restored_endpoint_is_ejected_again_when_it_leaves_again() {
+fn a_restored_endpoint_is_ejected_again_when_it_is_no_longer_ready() {
     let mut controller = running_controller(config(), &["a", "b"], 1);
     for (now, update) in [(2.0, draining("a")), (4.0, ready("a")), (6.0, draining("a"))] {
         controller.endpoints_updated(at(now), &[update]);
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_endpoint_that_left_first_is_removed_first() {
+fn the_endpoint_that_stopped_being_ready_first_is_removed_first() {
     let mut controller = running_large_fleet(3.0, 60);
     for (k, (_, endpoint)) in controller.endpoints.iter_mut().enumerate() {
         endpoint.state = EndpointState::Draining;
--- a/src/controller/sharding/tests.rs
+++ b/src/controller/sharding/tests.rs
@@ -3,7 +3,7 @@
 use crate::testing::{at, config, draining, eject, removed, running_controller, set_weight, Command};
 
 #[test]
-fn a_shard_whose_endpoint_left_gets_another() {
+fn a_shard_whose_endpoint_is_no_longer_ready_gets_another() {
     let mut controller = running_controller(ControllerConfig { shards: 2, ..config() }, &["a", "b"], 0);
     controller.shard_assigned(1);
     controller.shard_weight_restored(1, &"a".into(), 1.0);
