--- a/src/config.rs
+++ b/src/config.rs
@@ -9,9 +9,9 @@
     pub latency_objective: Span,
     /// The value of a request that is answered in time, relative to other classes.
     pub priority_weight: f64,
-    /// Requests must not leave the zone of their proxy.
+    /// Whether requests must not leave the zone of their proxy.
     pub zone_local: bool,
-    /// Requests modify stored data.
+    /// Whether requests modify stored data.
     pub writes: bool,
 }
 
@@ -31,9 +31,9 @@
 pub struct ControllerConfig {
     /// The request classes; commands refer to them by position.
     pub request_classes: Vec<RequestClass>,
-    /// Updates of the endpoint list arrive only when it is polled.
+    /// Whether updates of the endpoint list arrive only when it is polled.
     pub polls_endpoint_list: bool,
-    /// Requests that cross zones have a cost.
+    /// Whether requests that cross zones have a cost.
     pub has_cross_zone_costs: bool,
     /// How the proxies interpret an admission level.
     pub admission: AdmissionMode,
@@ -41,7 +41,7 @@
     pub proxy_ejection_threshold: u32,
     /// The number of key shards, each with its own table; 0: no sharding, and proxies are assigned tables.
     pub shards: u32,
-    /// At most one endpoint may accept writes for a shard at a time.
+    /// Whether at most one endpoint may accept writes for a shard at a time.
     pub single_writer: bool,
     /// How long a proxy that lost its controller may continue to write to the previous owner of a shard.
     pub write_lease: Span,
@@ -69,9 +69,10 @@
     pub max_transit: Span,
     /// How long proxies may use an endpoint after it was listed as draining.
     pub drain_grace: Span,
-    /// How long after its start an endpoint may need until it can take its full load.
+    /// How long after its start an endpoint may need until it can handle its full load.
     pub slow_start_window: Span,
-    /// The drain grace applies only to draining endpoints, not to those that were only removed from the list.
+    /// Whether the drain grace applies only to draining endpoints, not to those that were only removed from
+    /// the list.
     pub drain_grace_excludes_removed: bool,
 }
 
--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -11,7 +11,7 @@
 use crate::host::RetryPolicy;
 use crate::time::Moment;
 
-/// The controller always tells proxies not to retry: a retry could execute a write twice, and it would add
+/// The controller never allows the proxies to retry: a retry could execute a write twice, and it would add
 /// load to a zone that has just reached its capacity.
 pub(super) const RETRY_POLICY: RetryPolicy = RetryPolicy::Never;
 
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -1,9 +1,10 @@
 //! Assignment of joined proxies to their route tables.
 //!
 //! [`Controller`] assigns proxies at the end of each event, and only if no weight change or ejection was
-//! deferred for lack of room. A proxy waits until its table holds a usable endpoint and the channel has room.
-//! A proxy that was never assigned waits only up to a timeout and is then assigned its table as it is. An
-//! assignment that is in effect is not changed.
+//! deferred because it did not fit into the channel. A proxy waits until its table holds a usable endpoint
+//! and the assignment fits into the queue of the channel. A proxy that was never assigned waits for a usable
+//! endpoint only up to a timeout and is then assigned its table as it is. An assignment that is in effect is
+//! not changed.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -2,8 +2,9 @@
 //! sent, and how large a route table may be so that these limits can be kept.
 //!
 //! Every module that sends commands first checks here how many lines may be sent, and records in the
-//! [`ChannelBacklog`] what it sent. Urgent commands may use nearly the whole queue. Ordinary commands leave
-//! enough of it free to announce that a part of the fleet leaves at the same time.
+//! [`ChannelBacklog`] the lines that it sent. Urgent commands may use nearly the whole queue. Ordinary
+//! commands leave enough of it free for the removals that are sent when a part of the fleet stops being
+//! ready at once.
 
 use super::endpoints::EndpointRegistry;
 use crate::channel_backlog::ChannelBacklog;
@@ -26,9 +27,10 @@
 const UNACKNOWLEDGED_RATE_FRACTION: f64 = 0.04;
 /// The fraction of the queue above which acknowledgements are requested.
 const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
-/// The fraction of the fleet that may leave at the same time and must be announced within the drain grace.
+/// The fraction of the fleet that may stop being ready at once. The removals must be sent within the drain
+/// grace.
 const SIMULTANEOUS_REMOVALS_FRACTION: f64 = 0.2;
-/// The fraction of the lines sent within a drain grace that may be used to announce leaving endpoints.
+/// The fraction of the lines sent within a drain grace that may be used for removals.
 const REMOVALS_GRACE_FRACTION: f64 = 0.78;
 /// The smallest fraction of the queue that an incomplete batch of urgent commands must fill, since each batch
 /// adds message overhead.
@@ -41,7 +43,7 @@
 pub(super) enum Urgency {
     /// As soon as the queue is short.
     Urgent,
-    /// Once the queue has room beyond what is reserved for urgent commands.
+    /// Once the queue has space in addition to the part that is reserved for urgent commands.
     Ordinary,
 }
 
@@ -128,13 +130,13 @@
     }
 }
 
-/// The number of lines that may be used to announce leaving endpoints within the drain grace.
+/// The number of lines that may be used for removals within the drain grace.
 fn removal_lines(config: &ControllerConfig) -> f64 {
     config.lines_within_grace().min(config.max_queued_lines * MAX_QUEUE_FRACTION) * REMOVALS_GRACE_FRACTION
 }
 
 /// The maximum number of endpoints in a table. Even if all proxies are joined to this controller, the channel
-/// must be able to announce that a part of the fleet leaves while as many lines are already queued, and no
+/// must be able to send the removals of a part of the fleet while as many lines are already queued, and no
 /// endpoint may get more connections than it accepts.
 fn max_table_size(config: &ControllerConfig, endpoints: &EndpointRegistry) -> usize {
     let proxies = f64::from(config.proxy_count.max(1));
@@ -157,7 +159,7 @@
     (removal_lines(config) / REMOVALS_GRACE_FRACTION - reserved).min(in_transit).max(minimum)
 }
 
-/// Tracks what is queued in the channel and decides whether more may be sent.
+/// Tracks the lines that are queued in the channel and decides whether more may be sent.
 pub(super) struct Channel {
     pub(super) backlog: ChannelBacklog,
 }
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Whether the queue is so long that the proxies should acknowledge what they receive.
+    /// Whether the queue is so long that the proxies should acknowledge the commands that they receive.
     pub(super) fn needs_acknowledgement(&self, now: Moment, limits: &ChannelLimits) -> bool {
         !limits.is_nearly_idle(self.backlog.queued_lines(now))
     }
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -35,8 +35,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Records since when ejections are pending while they can't be sent because lost commands are waiting
-    /// to be resent, so that the waiting time counts towards the collection time.
+    /// Records the time from which ejections are pending while they can't be sent because lost commands are
+    /// waiting to be resent, so that the waiting time counts towards the collection time.
     pub(super) fn track_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -2,8 +2,8 @@
 //!
 //! [`Controller`](super::Controller) applies list updates to the registry; every other module reads endpoints
 //! from it. The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and
-//! that no endpoint is forgotten while a route table holds it. It also paces the retries of a failed list
-//! watch.
+//! that no endpoint is forgotten while a route table holds it. It also determines the delay before a failed
+//! list watch is retried.
 
 use crate::histogram::Histogram;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -27,7 +27,7 @@
 /// The number of bands into which the outcomes of attempts are sorted; the last band is for failed attempts.
 pub(super) const OUTCOME_BANDS: usize = 5;
 
-/// An endpoint: its list entry, what load reports say about it, and whether this controller ejected it.
+/// An endpoint: its list entry, its outcomes from load reports, and whether this controller ejected it.
 #[derive(Default)]
 pub(super) struct Endpoint {
     pub(super) zone: u32,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -285,7 +285,7 @@
         FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load)
     }
 
-    /// Issues all commands that are due and that the channel can take.
+    /// Issues all commands that are due and that fit into the channel.
     fn issue_commands(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             self.track_pending_ejections(now);
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -66,7 +66,7 @@
     if outcomes.answered > 0.0 {
         endpoint.last_answered = Some(now);
     }
-    // Reports arrive late and cover attempts that began earlier. Reports that arrive soon after a change of
+    // Reports arrive late and cover attempts that started earlier. Reports that arrive soon after a change of
     // the level therefore reflect the previous weight; they are skipped unless the weight is full again.
     let since_change = now - endpoint.outlier.level_since;
     if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -41,7 +41,8 @@
     admission_levels: BTreeMap<usize, f64>,
     /// The factor applied to the weights of endpoints of other zones.
     remote_factor: f64,
-    /// Since when the table retains its weights although all of its endpoints were removed from the list.
+    /// When the table started to retain its weights although all of its endpoints were removed from the list;
+    /// `None` if it does not.
     pub(super) retained_since: Option<Moment>,
     /// When commands for this table were last sent.
     pub(super) last_sent: Moment,
--- a/src/controller/routing/tests.rs
+++ b/src/controller/routing/tests.rs
@@ -62,7 +62,7 @@
     controller
 }
 
-// A table is too large if not all of its proxies could be told in time to stop using an endpoint.
+// A table is too large if not all of its proxies could be notified in time to stop using an endpoint.
 #[test]
 fn a_fleet_too_large_for_one_table_is_split_into_arcs() {
     let controller = controller_with_small_tables();
--- a/src/controller/test_support.rs
+++ b/src/controller/test_support.rs
@@ -4,7 +4,7 @@
 use crate::testing::{config, running_controller, TestController};
 
 /// Returns a running controller with 30 assigned proxies and the endpoints "10" up to but excluding `end`.
-/// With a large `end`, the channel can't take the changes of all endpoints at once.
+/// With a large `end`, the changes of all endpoints don't fit into the channel at once.
 pub(super) fn running_large_fleet(message_overhead_lines: f64, end: u32) -> TestController {
     let ids: Vec<String> = (10..end).map(|id| id.to_string()).collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -180,7 +180,7 @@
     }
 }
 
-/// A ready endpoint in zone 0 with weight 2 whose slow start is long over.
+/// A ready endpoint in zone 0 with weight 2 that completed its slow start long ago.
 pub fn ready(id: &str) -> EndpointUpdate {
     EndpointUpdate { id: id.into(), zone: 0, weight: 2.0, state: EndpointState::Ready, started: None }
 }
