--- a/adapter-support/src/command_validator.rs
+++ b/adapter-support/src/command_validator.rs
@@ -54,8 +54,8 @@
     },
 }
 
-/// Tracks what an instance may name in a command: listed endpoints, joined proxies and the shards that it
-/// owns.
+/// Tracks the objects that an instance may name in a command: listed endpoints, joined proxies and the shards
+/// that it owns.
 ///
 /// ```
 /// use otterwinch_adapter_support::CommandValidator;
@@ -75,7 +75,7 @@
 }
 
 impl CommandValidator {
-    /// A validator that knows no endpoint, proxy or shard yet.
+    /// A validator without known endpoints, proxies or shards.
     pub fn new(config: &ControllerConfig) -> Self {
         CommandValidator { sharded: config.shards > 0, ..CommandValidator::default() }
     }
--- a/adapter-support/src/json_fields.rs
+++ b/adapter-support/src/json_fields.rs
@@ -5,7 +5,8 @@
 use serde_json::{Map, Value};
 use std::ops::RangeInclusive;
 
-/// The largest number that is accepted. A larger one is an error of its sender and would distort every sum.
+/// The largest number that is accepted. A larger one indicates an error of its sender and would distort
+/// every sum.
 const MAX_NUMBER: f64 = 1e12;
 
 /// Why a JSON object was rejected.
@@ -29,17 +30,17 @@
     /// A required field is missing.
     #[error("{object}: field '{field}' is missing")]
     Missing {
-        /// In which object.
+        /// The kind of the object.
         object: String,
-        /// Which field.
+        /// The name of the field.
         field: String,
     },
     /// A field has the wrong type or is out of range.
     #[error("{object}: field '{field}' is not {expected}: {value}")]
     Invalid {
-        /// In which object.
+        /// The kind of the object.
         object: String,
-        /// Which field.
+        /// The name of the field.
         field: String,
         /// The expected type or range.
         expected: &'static str,
--- a/control-plane/src/collector_message.rs
+++ b/control-plane/src/collector_message.rs
@@ -1,5 +1,5 @@
-//! Decodes the messages of collectors. This is the only module that knows their wire names. Every field that
-//! is used is validated before the message reaches the control loop.
+//! Decodes the messages of collectors. Their wire names appear only in this module. Every field that is used
+//! is validated before the message reaches the control loop.
 
 use crate::deployment_names::{DeploymentNames, UnknownName};
 use crate::event::Event;
@@ -7,9 +7,9 @@
 use otterwinch_adapter_support::{JsonFieldError, JsonFields};
 use serde_json::Value;
 
-/// Upper bound of the attempts or requests in one report. A greater count is an error of the sender.
+/// Upper bound of the attempts or requests in one report. A greater count indicates an error of the sender.
 const MAX_COUNT: f64 = 1e6;
-/// Upper bound of a latency or report interval. A greater one is an error of the sender.
+/// Upper bound of a latency or report interval. A greater one indicates an error of the sender.
 const MAX_MS: f64 = 600_000.0;
 
 const KIND_FIELD: &str = "msg";
@@ -57,7 +57,7 @@
     /// The message names a zone, request class or proxy that is not in the settings.
     #[error(transparent)]
     Name(#[from] UnknownName),
-    /// There is no such kind of message.
+    /// The message's kind is unknown.
     #[error("unknown message kind '{0}'")]
     UnknownKind(String),
     /// The peer sent something else before it identified itself.
--- a/control-plane/src/command.rs
+++ b/control-plane/src/command.rs
@@ -7,11 +7,11 @@
 pub struct Command {
     /// The command as JSON.
     pub json: String,
-    /// What the command does.
+    /// The kind of the command.
     pub kind: CommandKind,
 }
 
-/// What a command does, with the fields that batching and the handling of a rejection need.
+/// The kind of a command, with the fields that batching and the handling of a rejection need.
 pub enum CommandKind {
     /// Assigns a route table to a proxy.
     Assignment {
--- a/control-plane/src/config_reload.rs
+++ b/control-plane/src/config_reload.rs
@@ -1,6 +1,6 @@
 //! Reloads the configuration file at each SIGHUP. A reload can change the addresses of the endpoint list and
 //! the relay. A file that is faulty, or that changes a field which requires a restart, is rejected as a
-//! whole, and the current configuration stays in force.
+//! whole, and the current configuration remains in effect.
 
 use crate::config::Config;
 use crate::config_fault::ConfigFault;
@@ -24,7 +24,7 @@
     pub relay_address: watch::Sender<SocketAddr>,
     /// Counts reloaded and rejected configurations.
     pub metrics: Rc<Metrics>,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
--- a/control-plane/src/connection.rs
+++ b/control-plane/src/connection.rs
@@ -33,12 +33,12 @@
     pub events: EventSender,
     /// The status pages for HTTP clients.
     pub status_pages: Router,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
 /// Serves a connection until its peer disconnects, violates the protocol or is silent for too long. Once
-/// `closing` is cancelled, it handles what has arrived and returns.
+/// `closing` is cancelled, it handles the data that has arrived and returns.
 pub async fn serve_connection(
     stream: TcpStream,
     context: &ConnectionContext,
--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -13,7 +13,7 @@
 
 /// Open connections by number, in the order in which they were accepted.
 ///
-/// Collectors take at most half of the places, so a full table always has an unidentified connection, and the
+/// Collectors take at most half of the slots, so a full table always has an unidentified connection, and the
 /// oldest of those is closed to make room. Collectors identify themselves and health checks are answered
 /// right after the accept, so the oldest unidentified connection is the least likely to do either.
 pub struct ConnectionTable {
@@ -37,7 +37,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table with `max_connections` places, for a deployment with `zone_count` zones.
+    /// An empty table with `max_connections` slots, for a deployment with `zone_count` zones.
     pub fn new(max_connections: usize, zone_count: usize) -> Self {
         let max_per_zone = (max_connections / 2 / zone_count.max(1)).clamp(1, MAX_COLLECTORS_PER_ZONE);
         ConnectionTable {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether all places are taken.
+    /// Whether all slots are taken.
     pub fn is_full(&self) -> bool {
         self.unidentified.len() + self.collectors.len() >= self.max_connections
     }
@@ -115,14 +115,14 @@
     }
 }
 
-/// A connection's place in the table. Dropping it frees the place, also after a panic or an abort.
+/// A connection's slot in the table. Dropping it frees the slot, also after a panic or an abort.
 pub struct ConnectionSlot {
     number: u64,
     table: Rc<RefCell<ConnectionTable>>,
 }
 
 impl ConnectionSlot {
-    /// The place of the connection with this number.
+    /// The slot of the connection with this number.
     pub fn new(number: u64, table: Rc<RefCell<ConnectionTable>>) -> Self {
         ConnectionSlot { number, table }
     }
--- a/control-plane/src/connector/tests.rs
+++ b/control-plane/src/connector/tests.rs
@@ -6,7 +6,7 @@
     result
 }
 
-/// Does what a call does: starts an attempt and waits for as long as a call waits for a connection.
+/// Connects as a call does: starts an attempt and waits for as long as a call waits for a connection.
 async fn call(
     connector: &mut Connector<u32>,
     attempt: impl Future<Output = io::Result<u32>> + Send + 'static,
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -32,7 +32,7 @@
     log: Logger,
 }
 
-/// What other tasks use to communicate with the control loop.
+/// The handles through which other tasks communicate with the control loop.
 pub struct ControlLoopHandles {
     /// Sends events to the control loop.
     pub events: EventSender,
--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -1,5 +1,5 @@
 //! Runs the controller and restarts it when it panics. The process continues, and the new controller takes
-//! over the host with its knowledge of the fleet.
+//! over the host with the state of the fleet.
 
 use crate::config::Config;
 use crate::relay_host::RelayHost;
@@ -9,7 +9,7 @@
 use slog::{error, Logger};
 use std::rc::Rc;
 
-/// The running controller, and what is needed to start its replacement.
+/// The running controller, and the parameters for starting its replacement.
 pub struct RestartableController {
     controller: Controller<RelayHost>,
     config: Rc<Config>,
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Starts a new controller with the fleet that the old controller's host knows.
+    /// Starts a new controller with the fleet state of the old controller's host.
     ///
-    /// The new controller is first told of the removed and ejected endpoints. The relay may still hold
-    /// commands of the old controller about them, so the new one must remove them from the tables or restore
-    /// them.
+    /// The first event that the new controller handles lists the removed and ejected endpoints. The relay may
+    /// still hold commands of the old controller about them, so the new one must remove them from the tables
+    /// or restore them.
     pub fn restart(&mut self, now: Moment) {
         error!(self.log, "controller restarted");
         let mut host = self.take_host(now);
--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Decodes the endpoint list. This is the only module that knows its wire names.
+//! Decodes the endpoint list. Its wire names appear only in this module.
 
 use crate::deployment_names::DeploymentNames;
 use otterwinch::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -43,7 +43,7 @@
     /// A field is missing or malformed.
     #[error(transparent)]
     Field(#[from] JsonFieldError),
-    /// There is no such endpoint state.
+    /// The endpoint state is unknown.
     #[error("{ENTRY}: field 'health' is not 'active', 'leaving' or 'left': '{0}'")]
     UnknownState(String),
 }
--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -35,7 +35,7 @@
     pub watch_requests: Rc<Notify>,
     /// Passes changes and failures on to the control loop.
     pub events: EventSender,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
@@ -129,7 +129,7 @@
         }
         self.failing = true;
         // An invalid response may have contained a change, which no later response repeats. A server that has
-        // lost its state may reject a poll since a version that it does not know.
+        // lost its state may reject a poll since a version that is newer than its own.
         if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
             self.stop_polling().await;
         } else {
--- a/control-plane/src/event_dispatch.rs
+++ b/control-plane/src/event_dispatch.rs
@@ -1,4 +1,4 @@
-//! Passes events to the controller, and updates its host's view of the fleet accordingly.
+//! Passes events to the controller, and updates the fleet state of its host accordingly.
 
 use crate::event::Event;
 use crate::observed_fleet::JoinedProxy;
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -29,7 +29,7 @@
 /// Collectors report about once a second. Without a timeout, the connection of one that vanished would stay
 /// open forever.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for reading what has arrived before a connection is closed.
+/// Time for reading the data that has arrived before a connection is closed.
 pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
 const PROBE_RESPONSE: &[u8] = br#"{"msg":"alive"}"#;
@@ -77,8 +77,8 @@
     }
 
     /// Receives reports until the collector disconnects, and calls `on_frame` for each frame. An invalid
-    /// report is dropped without affecting others. Once `closing` is cancelled, this handles what has arrived
-    /// and returns.
+    /// report is dropped without affecting others. Once `closing` is cancelled, this handles the data that
+    /// has arrived and returns.
     ///
     /// # Errors
     /// Frames can no longer be decoded, or the collector is silent for too long. It has to connect again.
--- a/control-plane/src/proxy_event.rs
+++ b/control-plane/src/proxy_event.rs
@@ -4,7 +4,7 @@
 use otterwinch_adapter_support::{JsonFieldError, JsonFields};
 use serde_json::Value;
 
-/// The highest valid rate of a proxy, in requests per second. A higher one is an error of the relay.
+/// The highest valid rate of a proxy, in requests per second. A higher one indicates an error of the relay.
 const MAX_RATE: f64 = 1e7;
 
 /// One line of the event stream.
--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -29,7 +29,7 @@
 }
 
 impl RelayHost {
-    /// Creates a host that knows no endpoints or proxies yet.
+    /// Creates a host without known endpoints or proxies.
     pub fn new(validator: CommandValidator, names: Rc<DeploymentNames>, now: Moment, log: Logger) -> Self {
         RelayHost {
             validator,
--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -18,13 +18,13 @@
     /// The task returned.
     #[error("{task} ended unexpectedly")]
     Ended {
-        /// Which task.
+        /// The name of the task.
         task: &'static str,
     },
     /// The task panicked.
     #[error("{task} panicked")]
     Panicked {
-        /// Which task.
+        /// The name of the task.
         task: &'static str,
         /// The panic.
         source: JoinError,
--- a/control-plane/tests/sockets/commands.rs
+++ b/control-plane/tests/sockets/commands.rs
@@ -1,4 +1,4 @@
-//! Which commands are sent to the relay, and what happens to commands whose call fails.
+//! The commands that are sent to the relay, and the handling of commands whose call fails.
 
 use crate::support::{endpoint_entry, wait_for, RelayBehavior, Testbed};
 use serde_json::{json, Value};
--- a/control-plane/tests/sockets/proxy_stream.rs
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -1,4 +1,4 @@
-//! The relay's event stream, which tells the control plane which proxies have joined.
+//! The relay's event stream, which reports the joined proxies to the control plane.
 
 use crate::support::Testbed;
 use serde_json::{json, Value};
@@ -15,8 +15,8 @@
     control_plane.wait_for_status(r#""proxies":1,"#);
 }
 
-/// A stream that was silent for a while and resumes needs no repeated assignments, and no proxy that joined
-/// during the silence is missed.
+/// A stream that resumes after a silence needs no repeated assignments, and no proxy that joined during the
+/// silence is missed.
 #[test]
 fn a_silent_stream_is_kept_until_another_one_opens() {
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
--- a/control-plane/tests/sockets/support/endpoint_list.rs
+++ b/control-plane/tests/sockets/support/endpoint_list.rs
@@ -12,11 +12,11 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What is sent instead of the regular response.
+/// A response that is sent instead of the regular one.
 pub enum ListResponse {
     /// A response with this body.
     Body(String),
-    /// Only this many bytes of the regular response; the connection is then closed.
+    /// The regular response, truncated to this number of bytes; the connection is then closed.
     Truncated(usize),
     /// No response; the connection is reset.
     ConnectionReset,
@@ -204,7 +204,7 @@
         self.state().silent = silent;
     }
 
-    /// Waits for this many requests.
+    /// Waits for `count` requests.
     pub fn wait_for_requests(&self, count: usize) {
         let request_lines = self.request_lines.lock().unwrap();
         for _ in 0..count {
--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -29,7 +29,7 @@
     Accepts,
     /// Accepts all commands and sends the response a few bytes at a time.
     FragmentsResponse,
-    /// Accepts this many commands and rejects the next.
+    /// Accepts this number of commands and rejects the next one.
     AcceptsOnly(usize),
     /// Accepts all commands and then closes the connection, as if it had been idle for too long.
     AcceptsAndCloses,
@@ -41,7 +41,7 @@
     WithholdsResponse,
     /// Reads the call and resets the connection without a response.
     ResetsConnection,
-    /// Accepts all commands and sends only this many bytes of the response.
+    /// Accepts all commands and truncates the response to this number of bytes.
     TruncatesResponse(usize),
     /// Accepts all commands and sends the response twice.
     RespondsTwice,
