--- a/emulator/src/endpoint/condition.rs
+++ b/emulator/src/endpoint/condition.rs
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Records work that arrives now, and returns whether the work within the time window exceeds what the
-    /// endpoint withstands during its warm-up. Once warm, it withstands any load.
+    /// Records work that arrives now, and returns whether the work within the time window exceeds the
+    /// amount that the endpoint withstands during its warm-up. Once warm, it withstands any load.
     fn record_and_check_overload(&mut self, work: f64) -> bool {
         let speed_fraction = self.speed_fraction();
         let Some(collapse) = self.overload_collapse.filter(|_| speed_fraction < 1.0) else {
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -30,7 +30,7 @@
 }
 
 impl FleetNames {
-    /// Decodes one command; `None` if it is invalid. `is_connected` tells whether a proxy is connected.
+    /// Decodes one command; `None` if it is invalid. `is_connected` returns whether a proxy is connected.
     fn decode_command(&self, change: &Value, is_connected: impl Fn(u32) -> bool) -> Option<Command> {
         let command = match change["op"].as_str()? {
             "put" => Command::SetWeight {
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -163,8 +163,8 @@
 }
 
 /// Runs a future on a paused clock in the current thread, so that a run on an in-memory network takes a
-/// fraction of its emulated time. Runs with the same seed differ only in what depends on the order in which
-/// tasks are woken.
+/// fraction of its emulated time. Runs with the same seed differ only where the result depends on the order
+/// in which tasks are scheduled.
 #[cfg(any(test, feature = "paused"))]
 pub fn run_on_paused_clock<F: std::future::Future>(future: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/fleet/src/captured_load/findings.rs
+++ b/fleet/src/captured_load/findings.rs
@@ -7,7 +7,7 @@
 /// The maximum number of findings of one kind that are printed.
 const MAX_PRINTED: usize = 20;
 
-/// What was read from a capture, left out of it or corrected in it.
+/// The records that were read from a capture, left out or corrected, and the anomalies that were found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadFindings {
     /// The number of requests in the load.
--- a/fleet/src/import/error.rs
+++ b/fleet/src/import/error.rs
@@ -39,7 +39,7 @@
         /// The line, counted from 1.
         line: u64,
     },
-    /// The sink failed to take a request.
+    /// The sink failed to accept a request.
     #[error("can't write an imported request: {0}")]
     Write(#[source] io::Error),
 }
@@ -83,7 +83,7 @@
     /// The fleet has no request class or zone of this name.
     #[error("the fleet has no {kind} '{name}'; it has: {known}; map the name with --as")]
     UnknownName {
-        /// What the name denotes, in the terms of the schema: `product` or `hall`.
+        /// The kind of object that the name denotes, in the terms of the schema: `product` or `hall`.
         kind: &'static str,
         /// The name, with aliases resolved.
         name: String,
--- a/fleet/src/import/mod.rs
+++ b/fleet/src/import/mod.rs
@@ -16,7 +16,7 @@
 
 /// The number of rejected rows that a summary lists; further ones are only counted.
 const MAX_REJECTIONS: usize = 20;
-/// Times above this many microseconds are taken for Unix times (September 2001 or later).
+/// Times above this number of microseconds are interpreted as Unix times (September 2001 or later).
 const MIN_UNIX_TIME_US: i64 = 1_000_000_000_000_000;
 
 /// The format of a log.
--- a/fleet/src/scale.rs
+++ b/fleet/src/scale.rs
@@ -7,8 +7,8 @@
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// The time of a copy differs from that of its original by up to this much: little enough to preserve the
-/// shape of the load, and enough that the two don't coincide.
+/// The maximum difference between the time of a copy and that of its original: short enough to preserve the
+/// shape of the load, and long enough that the two don't coincide.
 const JITTER_SECONDS: f64 = 0.5;
 
 /// A load with `factor` times as many requests. Each request occurs `factor` times on average, with its
--- a/fleet/src/validate/mod.rs
+++ b/fleet/src/validate/mod.rs
@@ -97,7 +97,8 @@
     any
 }
 
-/// A required integer. A missing one is reported and replaced by the lower bound; `unit` says what it counts.
+/// A required integer. A missing one is reported and replaced by the lower bound; `unit` names the counted
+/// objects.
 fn required_count(validator: &Validator, value: Option<u32>, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
     if let Some(value) = value {
         return validator.count_in_range(value, bounds, unit);
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -48,7 +48,7 @@
     }
 
     /// Schedules the timers that a controller has requested. Its commands are sent after all other events of
-    /// the present time, so that they go out as one batch.
+    /// the present time, so that they are sent as one batch.
     pub(crate) fn schedule_controller_output(&mut self, instance_index: u32) {
         let instance = &mut self.instances[instance_index as usize];
         let host = instance.controller.host_mut();
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -10,13 +10,13 @@
 /// How an endpoint responds to an attempt that it is offered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OfferOutcome {
-    /// A core has started on it and will be done at this time.
+    /// A core has started to execute it and finishes at this time.
     Started(Time),
     /// It is queued until a core is free.
     Queued,
     /// It is rejected because the queue is full.
     Rejected,
-    /// It exceeds the load that the endpoint can take during slow start, and the endpoint collapses.
+    /// It exceeds the load that the endpoint can handle during slow start, and the endpoint collapses.
     Collapsed,
 }
 
@@ -196,7 +196,7 @@
     }
 
     /// Records offered work during slow start. Returns whether the work offered within the collapse window
-    /// exceeds what the endpoint survives.
+    /// exceeds the amount that the endpoint survives.
     fn record_work_and_check_collapse(&mut self, now: Time, work: f64) -> bool {
         let Some(collapse) = self.overload_collapse else { return false };
         if self.slow_start_factor(now) >= 1.0 {
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -55,7 +55,7 @@
     pub in_flight: usize,
     /// Attempts of proxies at endpoints.
     pub proxy_attempts: u64,
-    /// Those of them at endpoints of another zone.
+    /// Attempts of proxies at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// The number of simulated events, requests of the load included.
     pub event_count: u64,
--- a/simulation/src/event.rs
+++ b/simulation/src/event.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
     Answered,
-    /// The endpoint failed it after it had started to execute it.
+    /// The endpoint started to execute the attempt, which then failed.
     Failed,
-    /// The endpoint rejected it or refused the connection, which proves that it was not executed.
+    /// The endpoint rejected the attempt or refused the connection, which proves that it was not executed.
     NotExecuted,
     /// The connection broke; it is unknown whether the attempt was executed.
     ConnectionBroken,
--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Drops an attempt whose proxy crashed: the endpoint sees its connection close, and the client may
-    /// retry.
+    /// Drops an attempt whose proxy crashed: the endpoint notices that its connection was closed, and the
+    /// client may retry.
     fn drop_attempt(&mut self, slot: u32) {
         self.attempts[slot].abandoned = true;
         let request = self.attempts[slot].request;
--- a/simulation/src/plan.rs
+++ b/simulation/src/plan.rs
@@ -28,7 +28,7 @@
     pub table_source: TableSource,
     /// Faults to inject. Faults that are due at the same time are injected in this order.
     pub faults: Vec<ScheduledFault>,
-    /// Limits that don't apply, so that a comparison with a plain run shows what they cost.
+    /// Limits that don't apply, so that a comparison with a plain run shows their cost.
     pub lifted_limits: LiftedLimits,
 }
 
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -27,12 +27,12 @@
     pub table: Arc<TableSnapshot>,
     /// Whether `table` is fixed or was assigned, as opposed to the initial table.
     pub has_assigned_table: bool,
-    /// When the proxy is done applying messages. It handles no client attempts before then.
+    /// When the proxy has finished applying messages. It handles no client attempts before then.
     pub paused_until: Time,
     /// The idle connections to each endpoint.
     pub pools: FxHashMap<u32, ConnectionPool>,
     /// The number of the proxy's stream to its control-plane instance, increased on every connect and
-    /// disconnect. Whatever was sent on an earlier stream is lost.
+    /// disconnect. Messages that were sent on an earlier stream are lost.
     pub stream: u32,
     pub up: bool,
 }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Adds the outcome of an attempt to the load report at the time at which the proxy learns it.
+    /// Adds the outcome of an attempt to the load report at the time at which it reaches the proxy.
     fn record_outcome(&mut self, attempt: &Attempt, answered: bool) {
         let proxy = &self.proxies[attempt.proxy as usize];
         let Some(instance) = proxy.instance else { return };
--- a/simulation/src/request_sampling.rs
+++ b/simulation/src/request_sampling.rs
@@ -3,7 +3,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a sample is used for. The values are part of the hash input: changing one changes the simulation
+/// The purpose of a sample. The values are part of the hash input: changing one changes the simulation
 /// results.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Purpose {
--- a/simulation/src/results.rs
+++ b/simulation/src/results.rs
@@ -17,7 +17,7 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Its answer arrived this many microseconds after it was due.
+    /// It was answered; holds the microseconds from its due time to the arrival of the answer.
     Answered(Time),
     /// A proxy rejected it, by admission control or because no endpoint was available.
     Rejected,
@@ -28,9 +28,9 @@
 /// Sums of the priority weights of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WeightTotals {
-    /// Of all requests.
+    /// The sum over all requests.
     pub offered: f64,
-    /// Of the requests answered within their latency objective.
+    /// The sum over the requests answered within their latency objective.
     pub served: f64,
 }
 
@@ -83,13 +83,13 @@
 pub struct RequestCounts {
     /// All requests.
     pub requests: u64,
-    /// Answered within the latency objective.
+    /// Requests answered within the latency objective.
     pub on_time: u64,
-    /// Answered after the latency objective.
+    /// Requests answered after the latency objective.
     pub late: u64,
-    /// Rejected by a proxy.
+    /// Requests rejected by a proxy.
     pub rejected: u64,
-    /// Failed or timed out.
+    /// Requests that failed or timed out.
     pub failed: u64,
     /// Attempts of clients, retries included.
     pub attempts: u64,
--- a/textproto/src/diagnostics.rs
+++ b/textproto/src/diagnostics.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// An error, its location in the file, and what would be valid.
+/// An error, its location in the file, and the valid values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
     /// The name of the file in which the error is.
@@ -11,7 +11,7 @@
     pub line: usize,
     /// The path of the field, such as `group[2].cores`; empty if the error concerns the whole file.
     pub field: String,
-    /// What is wrong and what is allowed.
+    /// The description of the error, with the valid values.
     pub message: String,
 }
 
--- a/textproto/src/parse.rs
+++ b/textproto/src/parse.rs
@@ -8,7 +8,7 @@
 use prost_reflect::{DynamicMessage, MessageDescriptor};
 use std::ops::Range;
 
-/// Configuration files are written by hand; a larger file is taken to be something else.
+/// Configuration files are written by hand; a larger file is not one of them and is rejected.
 const MAX_FILE_BYTES: usize = 4 << 20;
 /// Parsing isn't retried to find further errors once there are this many.
 const MAX_DIAGNOSTICS: usize = 64;
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -94,7 +94,7 @@
     }
 
     /// Returns the position of a name in the known names; if it isn't one of them, reports an error and
-    /// returns 0. `kind` says what kind of thing the names refer to.
+    /// returns 0. `kind` is the kind of object that the names refer to.
     pub fn position_of(&self, name: &str, known: &[String], kind: &str) -> usize {
         if let Some(position) = known.iter().position(|known_name| known_name == name) {
             return position;
--- a/traffic-capture/src/block.rs
+++ b/traffic-capture/src/block.rs
@@ -23,11 +23,11 @@
 pub const HEADER_BYTES: usize = 21;
 /// The length of the part of the header that the header checksum covers.
 const CHECKSUMMED_HEADER_BYTES: usize = 17;
-/// Writers make no larger blocks. A reader takes a header with a larger length for corrupt, so that such a
+/// Writers create no larger blocks. A reader treats a header with a larger length as corrupt, so that such a
 /// length can't exhaust the memory.
 const MAX_PAYLOAD_BYTES: usize = 4 << 20;
 
-/// What a block contains. The discriminants are stored in files.
+/// The content of a block. The discriminants are stored in files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BlockKind {
     /// The file header.
@@ -51,7 +51,7 @@
 /// A decoded block header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BlockHeader {
-    /// `None` for kinds that this version doesn't know. Newer writers may add kinds; readers skip unknown
+    /// `None` for kinds that are unknown to this version. Newer writers may add kinds; readers skip unknown
     /// ones.
     pub kind: Option<BlockKind>,
     /// The length of the uncompressed payload.
--- a/traffic-capture/src/block_reader.rs
+++ b/traffic-capture/src/block_reader.rs
@@ -21,7 +21,7 @@
 pub struct Block {
     /// The offset of the block in the file.
     pub offset: u64,
-    /// `None` for kinds that this version doesn't know.
+    /// `None` for kinds that are unknown to this version.
     pub kind: Option<BlockKind>,
     /// The uncompressed payload.
     pub payload: Vec<u8>,
--- a/traffic-capture/tests/file.rs
+++ b/traffic-capture/tests/file.rs
@@ -1,4 +1,4 @@
-//! Reads files that are complete, truncated, corrupt, or not traffic captures at all.
+//! Reads complete, truncated and corrupt files, and files that are not traffic captures.
 
 use otterwinch_traffic_capture::{
     CaptureHeader, CaptureItem, Corruption, Demand, EndpointOutcomes, LoadReport, Reader, RecordCounts,
