--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,5 +1,5 @@
-//! The state of a simulation and its event loop. Event handlers are in the modules of the parties that they
-//! concern; the state that they share is here.
+//! The state of a simulation and its event loop. Event handlers are in the modules of the components that
+//! they concern; the state that they share is here.
 
 use crate::client::Request;
 use crate::clock::{micros_from_secs, secs, Time, SECOND};
@@ -35,9 +35,9 @@
     pub lifted_limits: LiftedLimits,
     pub queue: EventQueue<Event>,
     pub now: Time,
-    /// When the load begins. The control plane starts at time 0.
+    /// When the load starts. The control plane starts at time 0.
     pub load_start: Time,
-    /// Whether the last request of the load has begun.
+    /// Whether the last request of the load has started.
     pub load_ended: bool,
     pub endpoints: Vec<Endpoint>,
     pub proxies: Vec<Proxy>,
@@ -51,11 +51,11 @@
     pub endpoint_updates: Vec<Vec<EndpointUpdate>>,
     pub results: Results,
     pub usage: UsageMeter,
-    /// Requests that have begun and not ended.
+    /// Requests that have started and not ended.
     pub in_flight: usize,
     /// Attempts of proxies at endpoints.
     pub proxy_attempts: u64,
-    /// Those of them at endpoints of another zone.
+    /// Attempts of proxies at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// The number of simulated events, requests of the load included.
     pub event_count: u64,
@@ -71,7 +71,7 @@
             if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
                 sequence += 1;
                 last_due = last_due.max(self.due_time(&request));
-                self.begin_scheduled_request(sequence, &request);
+                self.start_scheduled_request(sequence, &request);
                 if load.peek().is_none() {
                     self.end_load();
                 }
@@ -106,10 +106,10 @@
         next_event.is_none_or(|at| due <= at)
     }
 
-    fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
+    fn start_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.now = self.now.max(self.due_time(scheduled));
         self.event_count += 1;
-        self.begin_request(sequence, scheduled);
+        self.start_request(sequence, scheduled);
     }
 
     /// Ends the measurement of usage: work that is done after the last request was due doesn't count.
@@ -157,7 +157,7 @@
         self.queue.push(at, Phase::ControlPlane, event);
     }
 
-    /// Converts a time to seconds since the load began.
+    /// Converts a time to seconds since the start of the load.
     pub(crate) fn load_seconds(&self, at: Time) -> f64 {
         secs(at - self.load_start)
     }
@@ -177,7 +177,7 @@
             event_count: self.event_count,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
-            max_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
+            peak_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
             stop_reason,
--- a/simulation/src/results.rs
+++ b/simulation/src/results.rs
@@ -17,7 +17,7 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Its answer arrived this many microseconds after it was due.
+    /// It was answered; holds the microseconds from its due time to the arrival of the answer.
     Answered(Time),
     /// A proxy rejected it, by admission control or because no endpoint was available.
     Rejected,
@@ -28,9 +28,9 @@
 /// Sums of the priority weights of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WeightTotals {
-    /// Of all requests.
+    /// The sum over all requests.
     pub offered: f64,
-    /// Of the requests answered within their latency objective.
+    /// The sum over the requests answered within their latency objective.
     pub served: f64,
 }
 
@@ -83,13 +83,13 @@
 pub struct RequestCounts {
     /// All requests.
     pub requests: u64,
-    /// Answered within the latency objective.
+    /// Requests answered within the latency objective.
     pub on_time: u64,
-    /// Answered after the latency objective.
+    /// Requests answered after the latency objective.
     pub late: u64,
-    /// Rejected by a proxy.
+    /// Requests rejected by a proxy.
     pub rejected: u64,
-    /// Failed or timed out.
+    /// Requests that failed or timed out.
     pub failed: u64,
     /// Attempts of clients, retries included.
     pub attempts: u64,
@@ -167,7 +167,7 @@
 pub struct Window {
     /// All requests.
     pub requests: u64,
-    /// Attempts of clients that began in the window.
+    /// Attempts of clients that started in the window.
     pub attempts: u64,
     /// Requests that a proxy rejected.
     pub rejected: u64,
@@ -182,11 +182,11 @@
 }
 
 impl Window {
-    fn new(request_classes: usize, zones: usize) -> Self {
+    fn new(request_class_count: usize, zone_count: usize) -> Self {
         Window {
-            weight_by_class: vec![WeightTotals::default(); request_classes],
-            weight_by_zone: vec![WeightTotals::default(); zones],
-            used_core_seconds: vec![0.0; zones],
+            weight_by_class: vec![WeightTotals::default(); request_class_count],
+            weight_by_zone: vec![WeightTotals::default(); zone_count],
+            used_core_seconds: vec![0.0; zone_count],
             ..Window::default()
         }
     }
@@ -222,7 +222,7 @@
     pub request_classes: Vec<RequestCounts>,
     /// Requests by the zone of the client.
     pub zones: Vec<RequestCounts>,
-    /// Consecutive windows from the beginning of the load.
+    /// Consecutive windows from the start of the load.
     pub windows: Vec<Window>,
     /// The length of a window in seconds.
     pub window_seconds: f64,
@@ -243,7 +243,7 @@
         }
     }
 
-    /// The window that contains a time, given in seconds since the load began.
+    /// The window that contains a time, given in seconds since the start of the load.
     pub fn window(&mut self, at: f64) -> &mut Window {
         let mut index = (at.max(0.0) / self.window_seconds) as usize;
         while index >= MAX_WINDOWS {
@@ -269,7 +269,7 @@
         self.window_seconds *= 2.0;
     }
 
-    /// Counts an attempt of a client that begins at `at`, in seconds since the load began.
+    /// Counts an attempt of a client that starts at `at`, in seconds since the start of the load.
     pub fn record_attempt(&mut self, request_class: usize, zone: usize, at: f64) {
         self.total.attempts += 1;
         self.request_classes[request_class].attempts += 1;
@@ -277,7 +277,7 @@
         self.window(at).attempts += 1;
     }
 
-    /// Counts the end of a request that was due at `due`, in seconds since the load began.
+    /// Counts the end of a request that was due at `due`, in seconds since the start of the load.
     pub fn record_end(&mut self, request_class: usize, zone: usize, due: f64, end: RequestEnd) {
         let objective = self.objectives[request_class];
         self.total.record_end(end, &objective);
@@ -292,12 +292,13 @@
         window.weight_by_zone[zone].add(weight);
     }
 
-    /// The service level over the windows that overlap a time range, given in seconds since the load began.
+    /// The service level over the windows that overlap a time range, given in seconds since the start of the
+    /// load.
     pub fn service_level_between(&self, from: f64, to: f64) -> f64 {
         let mut sum = WeightTotals::default();
         for (index, window) in self.windows.iter().enumerate() {
-            let begin = index as f64 * self.window_seconds;
-            if begin + self.window_seconds > from && begin < to {
+            let start = index as f64 * self.window_seconds;
+            if start + self.window_seconds > from && start < to {
                 sum.add(window.weight);
             }
         }
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -3,10 +3,10 @@
 //!
 //! Publication requests the changes of every table from here. Small differences are not worth the lines that
 //! they cost. If all endpoints of a table disappear from the endpoint list while they still answer, the table
-//! keeps its weights for a limited time: a list that drops all of them at once is more likely to be wrong
+//! retains its weights for a limited time: a list that drops all of them at once is more likely to be wrong
 //! than right.
 
-use super::assignment::HEARTBEAT_INTERVAL;
+use super::assignment::ASSIGNMENT_RETRY_INTERVAL;
 use super::channel::ChannelLimits;
 use super::endpoints::EndpointRegistry;
 use super::routing::RouteTable;
@@ -27,9 +27,10 @@
 /// channel needs to send one line to all receivers of the table.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
-/// The longest time for which a table whose endpoints all disappeared from the list keeps its weights.
-const MAX_RETENTION_TIME: Span = HEARTBEAT_INTERVAL;
-/// The fraction of the drain grace for which such a table may keep its weights, where the grace also binds
+/// The longest time for which a table retains its weights after all of its endpoints disappeared from the
+/// list.
+const MAX_RETENTION_TIME: Span = ASSIGNMENT_RETRY_INTERVAL;
+/// The fraction of the drain grace for which such a table may retain its weights, where the grace also binds
 /// for removed endpoints.
 const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
@@ -38,7 +39,7 @@
     pub(super) id: EndpointId,
     /// The new weight; 0 removes the endpoint.
     pub(super) weight: f64,
-    /// Whether the change is urgent: the endpoint left or restarted, or the table was empty.
+    /// Whether the change is urgent: it removes the endpoint, the endpoint restarted, or the table was empty.
     pub(super) is_urgent: bool,
     /// The absolute difference from the published weight.
     difference: f64,
@@ -91,8 +92,8 @@
     removals
 }
 
-/// Whether a table without desired weights keeps its published weights for now, because one of its endpoints
-/// was removed from the list although it answered recently. Records when this began.
+/// Whether a table without desired weights retains its published weights for now, because one of its
+/// endpoints was removed from the list although it answered recently. Records when the retention began.
 pub(super) fn retains_weights(
     table: &mut RouteTable,
     endpoints: &EndpointRegistry,
@@ -111,10 +112,10 @@
                 && endpoint.last_answered.is_some_and(|at| now - at < MAX_RETENTION_TIME)
         })
     };
-    if table.carried_since.is_none() && table.weights.keys().any(still_answers) {
-        table.carried_since = Some(now);
+    if table.retained_since.is_none() && table.weights.keys().any(still_answers) {
+        table.retained_since = Some(now);
     }
-    table.carried_since.is_some_and(|since| now - since < max_time)
+    table.retained_since.is_some_and(|since| now - since < max_time)
 }
 
 #[cfg(test)]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,13 +12,13 @@
 //! | `endpoints` | the state of each known endpoint, and when an endpoint is forgotten |
 //! | `proxies` | the state of each known proxy |
 //! | `outliers` | which endpoints have their weight reduced because of errors or high latency |
-//! | `fleet_load` | whether the fleet is struggling |
+//! | `fleet_load` | whether the fleet is degraded or overloaded |
 //! | `admission` | how much of each request class is admitted |
 //! | `slow_start` | the weights of endpoints that are warming up |
 //! | `routing` | which endpoints a route table should hold |
 //! | `changes` | which differences from the published tables are worth sending |
 //! | `publication` | when changes are sent, and in which order |
-//! | `ejection` | when endpoints that left are ejected from proxies with stale tables |
+//! | `ejection` | when endpoints that are no longer ready are ejected from proxies with stale tables |
 //! | `assignment` | when a proxy is assigned to its route table |
 //! | `channel` | how many lines may be queued in the channel |
 //! | `delivery` | how lost commands and lost acknowledgements are handled |
@@ -115,7 +115,7 @@
     }
 
     /// Returns the host, so that the embedding program can use it between events.
-    pub fn host(&mut self) -> &mut H {
+    pub fn host_mut(&mut self) -> &mut H {
         &mut self.host
     }
 
@@ -146,7 +146,7 @@
         self.proxies.join(now, proxy, zone, rate, has_initial_table, placement.number);
         self.tables.create_if_missing(&placement);
         // Until it is assigned, the proxy uses a table that this controller did not publish and that may
-        // contain endpoints that have left.
+        // contain endpoints that are no longer ready.
         self.endpoints.reset_ejected_everywhere();
         self.schedule_recheck();
     }
@@ -285,7 +285,7 @@
         FleetCondition::new(&self.config, &self.endpoints, &self.fleet_load)
     }
 
-    /// Issues all commands that are due and that the channel can take.
+    /// Issues all commands that are due and that fit into the channel.
     fn issue_commands(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             self.track_pending_ejections(now);
