--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -62,7 +62,7 @@
     }
 
     /// Runs until shutdown. A final iteration sends the commands issued so far, and resends those of a failed
-    /// call: proxies that have not yet moved to another instance still use them.
+    /// call, since proxies that have not yet moved to another instance still act on them.
     pub async fn run(mut self, shutdown: CancellationToken) {
         while !shutdown.is_cancelled() {
             let first_event = self.wait_for_event(&shutdown).await;
@@ -72,7 +72,8 @@
         self.run_iteration(None).await;
     }
 
-    /// Waits for an event. Returns `None` when a timer or the status snapshot is due, or at shutdown.
+    /// Waits for an event. Returns `None` when the next timer is due, after [`SNAPSHOT_INTERVAL`] if there is
+    /// none, or at shutdown.
     async fn wait_for_event(&mut self, shutdown: &CancellationToken) -> Option<Event> {
         let now = self.clock.now();
         let wake_up = self.controller.host().next_timer_due().unwrap_or(now + SNAPSHOT_INTERVAL);
@@ -94,8 +95,8 @@
         self.report_status();
     }
 
-    /// Passes the first event and all queued ones to the controller. Handles at most as many events as the
-    /// queue holds, so that busy senders can't delay the commands indefinitely.
+    /// Passes the first event and the queued ones to the controller. Handles at most [`EVENT_QUEUE_CAPACITY`]
+    /// events, so that busy senders can't delay the commands indefinitely.
     fn handle_events(&mut self, now: Moment, first_event: Option<Event>) {
         let mut next = first_event;
         for _ in 0..EVENT_QUEUE_CAPACITY {
@@ -112,7 +113,8 @@
     }
 
     /// Delivers the commands that the controller has issued, and those that it issues in response to the
-    /// outcome. No other command is sent before those of a call whose outcome is not yet known.
+    /// outcome. After a failed call, sends nothing until a resend is requested; the pending commands then go
+    /// first, since the outcome of the failed call may be unknown.
     async fn deliver_commands(&mut self) {
         loop {
             let resend = self.controller.host().take_resend_request();
@@ -139,7 +141,7 @@
                 }
                 // Resending the same call would block all later commands forever.
                 DeliveryOutcome::Invalid(error) => {
-                    error!(self.log, "relay reported the pending commands as invalid twice"; "why" => #error);
+                    error!(self.log, "relay reported a call as invalid twice"; "why" => #error);
                     self.controller.restart(now);
                     self.delivery.discard_pending();
                     return;
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Reports a command that the relay rejected to the controller. The commands after it are sent
-    /// immediately.
+    /// Reports a rejected assignment or weight to the controller. If delivery is failing, requests a resend,
+    /// so that the commands after the rejected one are sent immediately.
     fn command_rejected(&mut self, now: Moment, command: Command) {
         match command.kind {
             CommandKind::Assignment { proxy } => {
@@ -166,8 +168,8 @@
 
     /// Runs one step of the controller. If it panics, the controller is restarted and the commands of the old
     /// one are dropped.
-    fn step(&mut self, now: Moment, step: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
-        if self.controller.step(now, step).is_err() {
+    fn step(&mut self, now: Moment, call: impl FnOnce(&mut Controller<RelayHost>, Moment)) {
+        if self.controller.step(now, call).is_err() {
             self.delivery.discard_pending();
         }
     }
