--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -1,6 +1,6 @@
-//! Watches the endpoint list: reads the whole list once, then polls for changes. The controller requests the
-//! watch at the start and again after each failed call. An invalid entry is skipped, and its endpoint keeps
-//! its last state.
+//! Watches the endpoint list: reads the whole list once, then polls for changes. After a failed call, or a
+//! response that may lack a change, polling stops until the controller requests the watch again or the list
+//! has a new address. An invalid entry is skipped, and its endpoint keeps its last state.
 
 use crate::call_error::CallError;
 use crate::client::PeerClient;
@@ -17,21 +17,21 @@
 use tokio::sync::{watch, Notify};
 
 const LIST_PATH: &str = "/v1/servers";
-/// How long the server may hold a poll that finds no change. A list that stops answering is noticed only
-/// after this time.
+/// How long the server may hold a poll that finds no change. A server that stops answering is noticed only
+/// [`RESPONSE_TIMEOUT`] after that.
 const POLL_WAIT: Duration = Duration::from_millis(1_500);
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The parameters and channels of a watch.
+/// The task that watches the list. It is cloned for each restart after a panic.
 #[derive(Clone)]
 pub struct EndpointWatch {
-    /// Address of the list. When it changes, the whole list is read from the new address at once.
+    /// Address of the list's server. When it changes, the whole list is read from the new address at once.
     pub address: watch::Receiver<SocketAddr>,
     /// Size limit of a response, in bytes.
     pub max_response_bytes: usize,
-    /// Zones, request classes and proxies of the settings.
+    /// The zones, request classes and proxies in the configuration.
     pub names: Rc<DeploymentNames>,
-    /// Notified when the controller requests the watch.
+    /// Notified when the controller requests the watch, which starts or resumes polling.
     pub watch_requests: Rc<Notify>,
     /// Passes changes and failures on to the control loop.
     pub events: EventSender,
@@ -53,9 +53,11 @@
 struct Watcher {
     context: EndpointWatch,
     client: PeerClient,
-    /// The version since which changes are polled. If there is none, the whole list is read.
+    /// The list version of the latest response; the next poll asks for later changes. If there is none, the
+    /// whole list is read.
     version: Option<u64>,
-    /// Whether to poll. If not, the controller has to request the watch first.
+    /// Whether to poll. If not, polling resumes when the controller requests the watch or the address
+    /// changes.
     polling: bool,
     /// Whether the latest call failed.
     failing: bool,
@@ -114,11 +116,11 @@
         self.failing = false;
         self.version = Some(list.version);
         self.record_invalid_entries(&list.invalid);
-        let missed_change = may_miss_change(&list);
+        let may_have_missed_change = may_have_missed_change(&list);
         if list.whole || !list.updates.is_empty() {
             self.context.events.send(into_event(list)).await;
         }
-        if missed_change {
+        if may_have_missed_change {
             self.stop_polling_and_discard_version().await;
         }
     }
@@ -128,8 +130,8 @@
             warn!(self.context.log, "endpoint watch failed"; "why" => #error, "version" => self.version);
         }
         self.failing = true;
-        // An invalid response may have contained a change, which no later response repeats. A server that has
-        // lost its state may reject a poll since a version that it does not know.
+        // An invalid response may have contained a change, which no later response repeats. A server that
+        // lost its state may reject a poll that names a version unknown to it.
         if matches!(error, CallError::NotConnected(_) | CallError::NoResponse(_)) {
             self.stop_polling().await;
         } else {
@@ -157,9 +159,9 @@
     }
 }
 
-/// Whether information that no later response repeats was lost with an invalid entry: a change, or the
-/// endpoint's name.
-fn may_miss_change(list: &EndpointList) -> bool {
+/// Whether the response has an invalid entry that is a change, or one that doesn't name its endpoint. No
+/// later response to a poll repeats what such an entry contained.
+fn may_have_missed_change(list: &EndpointList) -> bool {
     has_unidentified_entry(list) || (!list.whole && !list.invalid.is_empty())
 }
 
@@ -202,11 +204,11 @@
     Ok(list)
 }
 
-/// Checks that a response follows the requested version.
+/// Checks that a response with changes only answers a poll, and is not older than the polled version.
 ///
 /// If it is older, either the response was delayed, or the server has lost its state and counts versions from
 /// the start again. Only the whole list shows which. If the whole list was requested, a response with changes
-/// only is an error, as it would be mistaken for the whole list.
+/// only is an error, as polling would continue without the endpoints that the response does not list.
 fn check_version(list: &EndpointList, version: Option<u64>) -> Result<(), CallError> {
     if list.whole {
         return Ok(());
--- a/control-plane/src/endpoint_watch/tests.rs
+++ b/control-plane/src/endpoint_watch/tests.rs
@@ -27,9 +27,9 @@
         [(false, Some("a"), true), (true, Some("a"), false), (false, None, true), (true, None, true)]
     {
         let list = EndpointList { invalid: vec![invalid_entry(id)], ..list(4, whole) };
-        assert_eq!(may_miss_change(&list), hidden, "whole {whole}, {id:?}");
+        assert_eq!(may_have_missed_change(&list), hidden, "whole {whole}, {id:?}");
     }
-    assert!(!may_miss_change(&list(4, false)));
+    assert!(!may_have_missed_change(&list(4, false)));
 }
 
 #[test]
