--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -7,15 +7,18 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// How many collector connections one zone may have. There may be several per collector, since one that
-/// reconnects can leave its old connection open and silent.
+/// Upper limit of the collector connections of one zone; a small table has a lower limit. There may be
+/// several per collector, since one that reconnects can leave its old connection open and silent.
 const MAX_COLLECTORS_PER_ZONE: usize = 8;
 
 /// Open connections by number, in the order in which they were accepted.
 ///
-/// Collectors take at most half of the places, so a full table always has an unidentified connection, and the
+/// Collectors take at most half of the slots, so a full table always has an unidentified connection, and the
 /// oldest of those is closed to make room. Collectors identify themselves and health checks are answered
-/// right after the accept, so the oldest unidentified connection is the least likely to do either.
+/// right after the accept, so the oldest is least likely to still identify itself or await an answer.
+///
+/// With more zones than half of the slots, collectors may take more than half, since each zone may have one.
+/// If they take all, there is no connection to close.
 pub struct ConnectionTable {
     max_connections: usize,
     max_per_zone: usize,
@@ -24,7 +27,7 @@
     collectors: BTreeMap<u64, CollectorConnection>,
 }
 
-/// A connection whose peer has not identified itself.
+/// A connection whose peer has not identified itself as a collector; HTTP clients never do.
 struct UnidentifiedConnection {
     task: AbortHandle,
     closing: CancellationToken,
@@ -37,7 +40,7 @@
 }
 
 impl ConnectionTable {
-    /// An empty table with `max_connections` places, for a deployment with `zones` zones.
+    /// An empty table with `max_connections` slots, for a deployment with `zones` zones.
     pub fn new(max_connections: usize, zones: usize) -> Self {
         let max_per_zone = (max_connections / 2 / zones.max(1)).clamp(1, MAX_COLLECTORS_PER_ZONE);
         ConnectionTable {
@@ -49,14 +52,14 @@
         }
     }
 
-    /// Whether all places are taken.
+    /// Whether all slots are taken.
     pub fn is_full(&self) -> bool {
         self.unidentified.len() + self.collectors.len() >= self.max_connections
     }
 
     /// Aborts the task of the oldest unidentified connection. Returns false if there is none.
     pub fn abort_oldest_unidentified(&mut self) -> bool {
-        // Any request that it sent was answered long ago.
+        // Its request, if any, has probably been answered.
         match self.unidentified.pop_first() {
             Some((_, oldest)) => {
                 oldest.task.abort();
@@ -79,7 +82,7 @@
     }
 
     /// Marks a connection as that of a zone's collector. If the zone already has the maximum, the one that
-    /// has been silent for the longest is asked to end.
+    /// has been silent for the longest is asked to end, and its slot is freed at once.
     fn identify(&mut self, number: u64, zone: u32) {
         let Some(connection) = self.unidentified.remove(&number) else { return };
         if self.collectors_in_zone(zone).count() >= self.max_per_zone {
@@ -115,14 +118,14 @@
     }
 }
 
-/// A connection's place in the table. Dropping it frees the place, also after a panic or an abort.
+/// A connection's slot in the table. Dropping it frees the slot, also after a panic or an abort.
 pub struct ConnectionSlot {
     number: u64,
     table: Rc<RefCell<ConnectionTable>>,
 }
 
 impl ConnectionSlot {
-    /// The place of the connection with this number.
+    /// The slot of the connection with this number.
     pub fn new(number: u64, table: Rc<RefCell<ConnectionTable>>) -> Self {
         ConnectionSlot { number, table }
     }
--- a/control-plane/src/connection_table/tests.rs
+++ b/control-plane/src/connection_table/tests.rs
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test]
-async fn dropping_a_slot_frees_its_place() {
+async fn dropping_a_slot_frees_it() {
     let table = table(1, 1);
     let connection = connect(&table);
     assert!(table.borrow().is_full());
