--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -17,8 +17,8 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use tokio_util::sync::CancellationToken;
 
-/// Enough for an identification or a probe. Unidentified peers get no larger buffer, because hundreds of them
-/// that each announce a long frame would exhaust the memory.
+/// Enough for an identification or a probe (health check). Unidentified peers get no larger buffer, because
+/// hundreds of them that each announce a long frame would exhaust the memory.
 const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 1 << 10;
 /// Ample, as a report takes a few hundred bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
@@ -26,10 +26,11 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time from the first byte of a frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Collectors report about once a second. Without a timeout, the connection of one that vanished would stay
-/// open forever.
+/// Maximum time between complete frames. Collectors report about once a second. Without a timeout, the
+/// connection of one that vanished would stay open forever.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for reading what has arrived before a connection is closed.
+/// Once the connection is to close: how long to wait for the end of the handshake, for more data, or for the
+/// rest of a frame. It applies to each wait.
 pub const CLOSING_GRACE: Duration = Duration::from_millis(20);
 
 const PROBE_RESPONSE: &[u8] = br#"{"msg":"alive"}"#;
@@ -49,7 +50,7 @@
     /// peer disconnects.
     ///
     /// # Errors
-    /// The peer sends anything else, to which it gets an error frame, or it does not read a response.
+    /// The peer sends anything else (it is sent an error frame), or it does not read a response.
     pub async fn identify(stream: TcpStream, names: &DeploymentNames) -> Result<Option<Self>, CallError> {
         let codec =
             LengthDelimitedCodec::builder().max_frame_length(MAX_UNIDENTIFIED_FRAME_BYTES).new_codec();
@@ -81,7 +82,8 @@
     /// and returns.
     ///
     /// # Errors
-    /// Frames can no longer be decoded, or the collector is silent for too long. It has to connect again.
+    /// Frames can no longer be decoded, a frame stays incomplete, or the collector is silent for too long or
+    /// does not read the response to a probe. It has to connect again.
     pub async fn receive_reports(
         mut self,
         names: &DeploymentNames,
@@ -108,15 +110,15 @@
     }
 
     /// Returns the next frame, or `None` if the collector disconnects, or if the connection is to close and
-    /// no more data has arrived. The silence timeout starts at the previous frame and the frame timeout at
-    /// the first byte of a frame, so that a peer can't keep the connection open by sending single bytes.
+    /// no more data has arrived. The silence timeout starts with the call and the frame timeout at the first
+    /// byte of a frame, so that a peer can't keep the connection open by sending single bytes.
     async fn next_frame(
         &mut self,
         closing: &CancellationToken,
     ) -> Result<Option<impl Deref<Target = [u8]>>, CallError> {
-        let previous_frame = Instant::now();
+        let wait_started = Instant::now();
         loop {
-            if self.frames.read_buffer().is_empty() && !self.wait_readable(previous_frame, closing).await? {
+            if self.frames.read_buffer().is_empty() && !self.wait_readable(wait_started, closing).await? {
                 return Ok(None);
             }
             let timeout = if closing.is_cancelled() { CLOSING_GRACE } else { FRAME_TIMEOUT };
@@ -137,11 +139,11 @@
     /// arrived.
     async fn wait_readable(
         &self,
-        previous_frame: Instant,
+        wait_started: Instant,
         closing: &CancellationToken,
     ) -> Result<bool, CallError> {
         let stream = self.frames.get_ref();
-        let remaining = SILENCE_TIMEOUT.saturating_sub(previous_frame.elapsed());
+        let remaining = SILENCE_TIMEOUT.saturating_sub(wait_started.elapsed());
         let readable = tokio::select! {
             readable = timeout_with_grace(remaining, stream.readable()) => {
                 readable.ok_or_else(silence_timed_out)?
@@ -179,6 +181,7 @@
     }
 }
 
+/// Logs a message that was dropped: an invalid report or identification, or one of an unknown kind.
 fn log_dropped_report(limit: &mut LogRateLimit, error: &InvalidContent, log: &Logger) {
     if let Some(times) = limit.record() {
         warn!(log, "load report dropped"; "why" => %error, "times" => times);
