--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -19,10 +19,10 @@
 /// An empty object on the event stream is a heartbeat.
 const HEARTBEAT: &str = "{}\n";
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// The relay does not read longer request bodies.
+/// The real relay does not read longer request bodies; asserted here.
 const MAX_BODY_BYTES: usize = 60_000;
 
-/// How the relay handles a call.
+/// How the relay handles a call, a request with commands. Requests for the event stream are not calls.
 #[derive(Clone, Copy)]
 pub enum RelayBehavior {
     /// Accepts all commands.
@@ -220,12 +220,12 @@
         self.shared.event_stream_silent.store(true, Ordering::SeqCst);
     }
 
-    /// Queues the handling of one of the next calls.
+    /// Appends a behavior; each call takes the oldest.
     pub fn queue_behavior(&self, behavior: RelayBehavior) {
         self.shared.queued_behaviors.lock().unwrap().push_back(behavior);
     }
 
-    /// Queues the same handling for `times` calls.
+    /// Appends the same behavior for `times` calls.
     pub fn queue_behavior_times(&self, times: usize, behavior: RelayBehavior) {
         for _ in 0..times {
             self.queue_behavior(behavior);
