--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -1,5 +1,5 @@
-//! The state of a simulation and its event loop. Event handlers are in the modules of the parties that they
-//! concern; the state that they share is here.
+//! The state of a simulation and its event loop. The event handlers are in the modules `client`, `proxy`,
+//! `endpoint_work`, `control_messages`, `fault_injection` and `usage`; the state that they share is here.
 
 use crate::client::Request;
 use crate::clock::{micros_from_secs, secs, Time, SECOND};
@@ -20,7 +20,7 @@
 
 /// A simulation is stopped this long after the last request of the load was due.
 pub(crate) const MAX_TIME_AFTER_LOAD: Time = 120 * SECOND;
-/// A simulation with more requests in flight is stopped: clients then retry faster than requests end.
+/// A simulation with more requests in flight is stopped: requests then begin faster than they end.
 pub(crate) const MAX_IN_FLIGHT: usize = 4_000_000;
 
 /// Simulates a fleet under a load. The requests of the load must be ordered by time.
@@ -32,6 +32,7 @@
 pub(crate) struct Engine<'a> {
     pub fleet: &'a Fleet,
     pub seed: u64,
+    /// Limits that don't apply.
     pub lifted_limits: LiftedLimits,
     pub queue: EventQueue<Event>,
     pub now: Time,
@@ -47,15 +48,15 @@
     pub requests: Slab<Request>,
     pub attempts: Slab<Attempt>,
     pub faults: Vec<ScheduledFault>,
-    /// All changes of the endpoint list so far.
+    /// Batches of changes of the endpoint list, indexed by the `update` of [`Event::EndpointsUpdated`].
     pub endpoint_updates: Vec<Vec<EndpointUpdate>>,
     pub results: Results,
     pub usage: UsageMeter,
     /// Requests that have begun and not ended.
     pub in_flight: usize,
-    /// Attempts of proxies at endpoints.
+    /// The number of attempts of proxies at endpoints.
     pub proxy_attempts: u64,
-    /// Those of them at endpoints of another zone.
+    /// The number of these attempts that were at endpoints of another zone.
     pub cross_zone_attempts: u64,
     /// The number of simulated events, requests of the load included.
     pub event_count: u64,
@@ -68,7 +69,7 @@
         let mut last_due = self.load_start;
         let stop_reason = loop {
             let next_event = self.queue.next_at();
-            if let Some(request) = load.next_if(|request| self.precedes(request, next_event)) {
+            if let Some(request) = load.next_if(|request| self.is_due_by(request, next_event)) {
                 sequence += 1;
                 last_due = last_due.max(self.due_time(&request));
                 self.begin_scheduled_request(sequence, &request);
@@ -101,7 +102,7 @@
     }
 
     /// Whether a request is due no later than the next event.
-    fn precedes(&self, request: &ScheduledRequest, next_event: Option<Time>) -> bool {
+    fn is_due_by(&self, request: &ScheduledRequest, next_event: Option<Time>) -> bool {
         let due = self.due_time(request);
         next_event.is_none_or(|at| due <= at)
     }
