--- a/emulator/src/proxy_channel.rs
+++ b/emulator/src/proxy_channel.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-/// The number of messages that the channel holds; further ones are lost. A controller that respects the
-/// channel's limits stays far below it.
+/// The maximum number of messages that the channel holds; further ones are lost. A controller that respects
+/// the channel's limits stays far below it.
 const MAX_QUEUED_MESSAGES: usize = 1 << 20;
 
 /// A message to a proxy.
@@ -28,9 +28,12 @@
     /// The number of the connection that the message is sent on.
     connection_number: u32,
     assigned_table: Option<Arc<TableSnapshot>>,
+    /// All ejected endpoints.
     ejected: Arc<BTreeSet<u32>>,
+    /// The length in lines, without the overhead of the message.
     lines: f64,
-    acknowledgement: Option<u32>,
+    /// The number of the acknowledgement that the message requests, if any.
+    acknowledgement_number: Option<u32>,
 }
 
 /// The properties that a proxy announces when it connects.
@@ -56,7 +59,7 @@
     pub(crate) latency: Duration,
 }
 
-/// A running channel.
+/// Delivers in real time the messages that [`ChannelModel`] computes.
 pub(crate) struct ProxyChannel {
     state: Mutex<ChannelState>,
     started_at: Instant,
@@ -118,21 +121,22 @@
     /// Sends commands that were issued at the same time, as one message per proxy.
     pub(crate) fn send(&self, commands: Vec<Command>) {
         let now = Instant::now();
+        // The model's times are microseconds since `started_at`.
         let now_us = (now - self.started_at).as_micros() as u64;
         let ChannelState { model, connection_numbers } = &mut *lock(&self.state);
         let in_initial_table = |proxy: u32, endpoint| self.proxies[proxy as usize].in_initial_table(endpoint);
         let batch = model.apply_commands(commands, in_initial_table);
         let ejected = Arc::new(model.ejected_endpoints.clone());
         for (proxy, lines) in batch.lines_by_proxy {
-            let sent_us = model.send_queue.enqueue(now_us, lines);
+            let sent_at_us = model.send_queue.enqueue(now_us, lines);
             let message = Message {
-                arrives_at: self.started_at + Duration::from_micros(sent_us) + self.message_delay,
+                arrives_at: self.started_at + Duration::from_micros(sent_at_us) + self.message_delay,
                 proxy,
                 connection_number: connection_numbers[proxy as usize],
                 assigned_table: model.table_snapshot(proxy),
                 ejected: ejected.clone(),
                 lines,
-                acknowledgement: batch.acknowledgement,
+                acknowledgement_number: batch.acknowledgement,
             };
             // Fails only when the runtime is shutting down or the channel holds `MAX_QUEUED_MESSAGES`.
             let _ = self.messages.try_send(message);
@@ -164,7 +168,7 @@
         }
         let proxy = &channel.proxies[message.proxy as usize];
         let applied_at = proxy.apply(message.assigned_table, &message.ejected, message.lines);
-        if let Some(number) = message.acknowledgement {
+        if let Some(number) = message.acknowledgement_number {
             let acknowledgement =
                 Acknowledgement { number, proxy: message.proxy, latency: channel.message_delay };
             tokio::spawn(acknowledge(acknowledgement, applied_at, acknowledgements.clone()));
