--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -72,8 +72,8 @@
     pub warm_up: Option<WarmUp>,
     /// The load under which an endpoint collapses while it warms up; `None` if it survives any load.
     pub overload_collapse: Option<OverloadCollapse>,
-    /// Whether an endpoint finishes a request that it has started when the client has stopped waiting for it.
-    /// A queued request is dropped in either case.
+    /// Whether an endpoint finishes a request that it has started after its connection was closed. A queued
+    /// request is dropped in either case.
     pub finishes_abandoned_requests: bool,
     /// The uptime of the endpoints when the load begins; `None` if it is long enough for them to be warm.
     pub uptime: Option<Span>,
@@ -124,8 +124,8 @@
     }
 }
 
-/// The load under which an endpoint collapses while it warms up: the work that it is offered within a window
-/// exceeds a multiple of the work that it can do in that time at its current speed.
+/// The load under which an endpoint collapses while it warms up. It collapses if the work offered within
+/// `window` exceeds `overload_factor` times what it can do in that time at its current speed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCollapse {
     /// The multiple of the work that the endpoint can do.
@@ -220,8 +220,8 @@
 pub struct Proxies {
     /// How long a connection to an endpoint may be idle before it is closed.
     pub idle_timeout: Span,
-    /// Whether a proxy retries an attempt that is known not to have been executed, until the control plane
-    /// sets another retry policy.
+    /// Whether a proxy, by default, retries an attempt that is known not to have been executed. The control
+    /// plane can override this.
     pub retries_unexecuted_attempts: bool,
     /// How long a proxy pauses per line of a message that it applies.
     pub apply_time_per_line: Span,
@@ -236,33 +236,36 @@
     pub instance_count: u32,
     /// The interval between load reports.
     pub report_interval: Span,
-    /// The delay of a load report.
+    /// The delay of a load report, from the end of its interval until it arrives at the instance.
     pub report_delay: Span,
-    /// The delay of an update of the endpoint list.
+    /// The delay of an update of the endpoint list, from the change of the list until it arrives at an
+    /// instance.
     pub endpoint_list_delay: Span,
     /// The rate of the channel of an instance, in lines per second.
     pub channel_rate: f64,
-    /// The overhead of each message, in lines in addition to its own.
+    /// The overhead of each message, in lines that are added to the message's own lines.
     pub message_overhead_lines: f64,
-    /// The maximum number of lines queued in the channel of an instance.
+    /// The maximum number of lines that a controller may queue in the channel of its instance. The channel
+    /// itself does not enforce it.
     pub max_queued_lines: f64,
-    /// The delay of a message to a proxy.
+    /// The delay of a message to a proxy, from when it has been sent until it arrives.
     pub message_delay: Span,
     /// How long proxies may use an endpoint after it was listed as draining or removed.
     pub drain_grace: Span,
-    /// The slow-start window in the configuration of the control plane.
+    /// How long after its start an endpoint may need until it can take its full load, as configured in the
+    /// control plane.
     pub slow_start_window: Span,
     /// Whether requests that cross zones have a cost, so that each zone prefers its own endpoints.
     pub cross_zone_costs: bool,
 }
 
-/// The service-level objectives of a fleet. A service level is the fraction of the priority weight of
-/// requests that is answered within the latency objective.
+/// The service-level objectives of a fleet. A service level is the priority weight of the requests that are
+/// answered within the latency objective, divided by the priority weight of all requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    /// The service level over all requests.
+    /// The minimum service level over all requests.
     pub service_level: f64,
-    /// The service level of each request class; 0 for no such objective.
+    /// The minimum service level of each request class; 0 for no such objective.
     pub class_service_level: f64,
 }
 
@@ -272,13 +275,15 @@
         self.groups.iter().map(|group| group.count).sum()
     }
 
-    /// The capacity of the endpoints of a zone once they are warm: seconds of work that they do in a second.
+    /// The expected capacity of the endpoints of a zone once they are warm: seconds of work that they do in a
+    /// second. It is computed from the mean speed of each group, and so inexact if a group repeats only some
+    /// of its measured speeds.
     pub fn zone_capacity(&self, zone: usize) -> f64 {
         let groups = self.groups.iter().filter(|group| group.zone == zone);
         groups.map(|group| f64::from(group.count * group.cores) * group.speed.mean()).sum()
     }
 
-    /// The capacity of all endpoints once they are warm: seconds of work that they do in a second.
+    /// The expected capacity of all endpoints once they are warm: seconds of work that they do in a second.
     pub fn capacity(&self) -> f64 {
         (0..self.zones.len()).map(|zone| self.zone_capacity(zone)).sum()
     }
