--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -1,9 +1,11 @@
-//! Follows the relay's event stream, which reports the joined proxies and their acknowledgements.
+//! Follows the relay's event stream, which reports the joined proxies and their acknowledgements. The log
+//! calls it the proxy stream.
 //!
-//! A silent stream is kept while another is opened in parallel. If the silent stream resumes, it has missed
-//! nothing and no proxy needs to be reassigned. After a stream has ended, any join or leave may have been
-//! missed: the next stream lists all joined proxies, and those that it does not list have left. When the
-//! relay's address changes, the old stream is used until a line has arrived from the new address.
+//! A silent stream (no line for [`SILENCE_TIMEOUT`]) is kept while another is opened in parallel. If the
+//! silent stream resumes, it has missed nothing and no proxy needs to be reassigned. After a stream has
+//! ended, any join or leave may have been missed: the next stream lists all joined proxies, and those that it
+//! does not list have left. When the relay's address changes, the old stream is used until a line has arrived
+//! from the new address.
 
 use crate::call_error::CallError;
 use crate::client::PeerClient;
@@ -21,7 +23,8 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Delays before an attempt to open a stream, by the number of failed attempts before it.
+/// Delays before an attempt to open a stream. Entry 0 follows a lost stream, entry n the nth failed attempt
+/// in a row; the last one repeats.
 const BACKOFF: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(60),
@@ -34,7 +37,7 @@
 pub struct ProxyStreams {
     /// The relay's address.
     pub address: watch::Receiver<SocketAddr>,
-    /// The zones, request classes and proxies in the settings.
+    /// The zones, request classes and proxies in the configuration.
     pub names: Rc<DeploymentNames>,
     /// Sends events to the control loop.
     pub events: EventSender,
@@ -54,7 +57,8 @@
 /// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
     context: ProxyStreams,
-    /// Shared by all attempts at one address, so that a slow connection can serve a later attempt.
+    /// Shared by all attempts at one address, so that a connection still being established when an attempt
+    /// times out can serve a later one.
     client: Rc<PeerClient>,
     stream: Option<ProxyStream>,
     open_attempt: Option<OpenAttempt>,
@@ -114,6 +118,7 @@
 
     async fn line_received(&mut self, line: &str) -> Result<(), CallError> {
         let Some(stream) = &mut self.stream else { return Ok(()) };
+        // The stream has resumed: drop the attempt to replace it.
         if stream.address == self.client.address && self.open_attempt.take().is_some() {
             info!(self.context.log, "proxy stream recovered");
         }
@@ -168,8 +173,9 @@
         self.failed_attempts = 0;
     }
 
-    /// Drops the stream and opens another, even if an attempt is already in progress: a reset connection
-    /// shows that the relay is reachable again, while the earlier attempt may hang.
+    /// Drops the stream and opens another, even if an attempt is already in progress: the end of the stream,
+    /// a reset or an unusable line shows that the relay is reachable again, while the earlier attempt may
+    /// hang.
     fn stream_lost(&mut self, error: &CallError) {
         warn!(self.context.log, "proxy stream lost"; "why" => #error);
         self.stream = None;
