--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -35,7 +35,7 @@
     pub watch_requests: Rc<Notify>,
     /// Passes changes and failures on to the control loop.
     pub events: EventSender,
-    /// Where to log.
+    /// The log.
     pub log: Logger,
 }
 
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -78,8 +78,8 @@
     }
 
     /// Receives reports until the collector disconnects, and calls `on_frame` for each frame. An invalid
-    /// report is dropped without affecting others. Once `closing` is cancelled, this handles what has arrived
-    /// and returns.
+    /// report is dropped without affecting others. Once `closing` is cancelled, this handles the data that
+    /// has arrived and returns.
     ///
     /// # Errors
     /// Frames can no longer be decoded, a frame stays incomplete, or the collector is silent for too long or
--- a/emulator/src/relay/commands.rs
+++ b/emulator/src/relay/commands.rs
@@ -30,7 +30,7 @@
 }
 
 impl FleetNames {
-    /// Decodes one command; `None` if it is invalid. `is_connected` tells whether a proxy is connected.
+    /// Decodes one command; `None` if it is invalid. `is_connected` returns whether a proxy is connected.
     fn decode_command(&self, change: &Value, is_connected: impl Fn(u32) -> bool) -> Option<Command> {
         let command = match change["op"].as_str()? {
             "put" => Command::SetWeight {
@@ -92,7 +92,7 @@
 fn retry_policy(number: u32) -> Option<RetryPolicy> {
     match number {
         0 => Some(RetryPolicy::Never),
-        1 => Some(RetryPolicy::IfNeverRan),
+        1 => Some(RetryPolicy::IfNotExecuted),
         2 => Some(RetryPolicy::Once),
         3 => Some(RetryPolicy::Twice),
         _ => None,
--- a/simulation/src/endpoint.rs
+++ b/simulation/src/endpoint.rs
@@ -10,13 +10,13 @@
 /// How an endpoint responds to an attempt that it is offered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum OfferOutcome {
-    /// A core has started on it and will be done at this time.
+    /// A core has started to execute it and finishes at this time.
     Started(Time),
     /// It is queued until a core is free.
     Queued,
     /// It is rejected because the queue is full.
     Rejected,
-    /// It exceeds the load that the endpoint can take during slow start, and the endpoint collapses.
+    /// It exceeds the load that the endpoint can handle during slow start, and the endpoint collapses.
     Collapsed,
 }
 
@@ -35,7 +35,7 @@
     pub up: bool,
     /// Whether the endpoint collapsed and has not been restarted since.
     pub collapsed: bool,
-    /// When the process last started; `None` if that was before the simulation began.
+    /// When the process last started; `None` if that was before the simulation started.
     pub started: Option<Time>,
     /// The number of crashes and restarts so far. Connections to an earlier incarnation are broken.
     pub incarnation: u32,
@@ -50,7 +50,7 @@
     /// The work of setting up a connection, in seconds on a core of speed 1.
     pub connection_work: f64,
     /// Whether the endpoint finishes work on an attempt whose connection was closed.
-    pub finishes_abandoned: bool,
+    pub finishes_abandoned_requests: bool,
     pub cores: u32,
     /// The number of attempts that were started or queued.
     pub accepted: u64,
@@ -97,7 +97,7 @@
             hangs: false,
             open_connections: 0,
             connection_work: group.connection_work,
-            finishes_abandoned: group.finishes_abandoned_requests,
+            finishes_abandoned_requests: group.finishes_abandoned_requests,
             cores: group.cores,
             accepted: 0,
             rejected: 0,
@@ -196,7 +196,7 @@
     }
 
     /// Records offered work during slow start. Returns whether the work offered within the collapse window
-    /// exceeds what the endpoint survives.
+    /// exceeds the amount that the endpoint survives.
     fn record_work_and_check_collapse(&mut self, now: Time, work: f64) -> bool {
         let Some(collapse) = self.overload_collapse else { return false };
         if self.slow_start_factor(now) >= 1.0 {
--- a/simulation/src/endpoint_work.rs
+++ b/simulation/src/endpoint_work.rs
@@ -129,7 +129,7 @@
     }
 
     /// Cancels an attempt when its endpoint notices that the proxy has closed the connection. A running
-    /// attempt continues if the endpoint `finishes_abandoned` attempts.
+    /// attempt continues if the endpoint `finishes_abandoned_requests`.
     pub(crate) fn connection_closed(&mut self, handle: Handle) {
         let attempt_slot = handle.slot;
         let attempt = &self.attempts[attempt_slot];
@@ -153,7 +153,7 @@
             }
             AttemptStage::Running => {
                 endpoint.open_connections -= 1;
-                if !endpoint.finishes_abandoned {
+                if !endpoint.finishes_abandoned_requests {
                     self.attempts.release(attempt_slot);
                     self.free_core(endpoint_index);
                 }
--- a/simulation/src/engine.rs
+++ b/simulation/src/engine.rs
@@ -20,7 +20,7 @@
 
 /// A simulation is stopped this long after the last request of the load was due.
 pub(crate) const MAX_TIME_AFTER_LOAD: Time = 120 * SECOND;
-/// A simulation with more requests in flight is stopped: requests then begin faster than they end.
+/// A simulation with more requests in flight is stopped: requests then start faster than they end.
 pub(crate) const MAX_IN_FLIGHT: usize = 4_000_000;
 
 /// Simulates a fleet under a load. The requests of the load must be ordered by time.
@@ -36,9 +36,9 @@
     pub lifted_limits: LiftedLimits,
     pub queue: EventQueue<Event>,
     pub now: Time,
-    /// When the load begins. The control plane starts at time 0.
+    /// When the load starts. The control plane starts at time 0.
     pub load_start: Time,
-    /// Whether the last request of the load has begun.
+    /// Whether the last request of the load has started.
     pub load_ended: bool,
     pub endpoints: Vec<Endpoint>,
     pub proxies: Vec<Proxy>,
@@ -52,7 +52,7 @@
     pub endpoint_updates: Vec<Vec<EndpointUpdate>>,
     pub results: Results,
     pub usage: UsageMeter,
-    /// Requests that have begun and not ended.
+    /// Requests that have started and not ended.
     pub in_flight: usize,
     /// The number of attempts of proxies at endpoints.
     pub proxy_attempts: u64,
@@ -72,7 +72,7 @@
             if let Some(request) = load.next_if(|request| self.is_due_by(request, next_event)) {
                 sequence += 1;
                 last_due = last_due.max(self.due_time(&request));
-                self.begin_scheduled_request(sequence, &request);
+                self.start_scheduled_request(sequence, &request);
                 if load.peek().is_none() {
                     self.end_load();
                 }
@@ -107,10 +107,10 @@
         next_event.is_none_or(|at| due <= at)
     }
 
-    fn begin_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
+    fn start_scheduled_request(&mut self, sequence: u64, scheduled: &ScheduledRequest) {
         self.now = self.now.max(self.due_time(scheduled));
         self.event_count += 1;
-        self.begin_request(sequence, scheduled);
+        self.start_request(sequence, scheduled);
     }
 
     /// Ends the measurement of usage: work that is done after the last request was due doesn't count.
@@ -158,7 +158,7 @@
         self.queue.push(at, Phase::ControlPlane, event);
     }
 
-    /// Converts a time to seconds since the load began.
+    /// Converts a time to seconds since the start of the load.
     pub(crate) fn load_seconds(&self, at: Time) -> f64 {
         secs(at - self.load_start)
     }
@@ -178,7 +178,7 @@
             event_count: self.event_count,
             cross_zone_attempts: self.cross_zone_attempts,
             attempts: self.proxy_attempts,
-            max_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
+            peak_queued_lines: send_queues.clone().map(|queue| queue.peak_queued_lines).fold(0.0, f64::max),
             sent_lines: send_queues.map(|queue| queue.sent_lines).sum(),
             load_seconds,
             stop_reason,
--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -1,9 +1,10 @@
 //! Assignment of joined proxies to their route tables.
 //!
 //! [`Controller`] assigns proxies at the end of each event, and only if no weight change or ejection was
-//! deferred for lack of room. A proxy waits until its table holds a usable endpoint and the channel has room.
-//! A proxy that was never assigned waits only up to a timeout and is then assigned its table as it is. An
-//! assignment that is in effect is not changed.
+//! deferred because it did not fit into the channel. A proxy waits until its table holds a usable endpoint
+//! and the assignment fits into the queue of the channel. A proxy that was never assigned waits for a usable
+//! endpoint only up to a timeout and is then assigned its table as it is. An assignment that is in effect is
+//! not changed.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
@@ -11,28 +12,28 @@
 use crate::time::{Moment, Span};
 
 /// The mean interval at which assignments that wait for a usable endpoint are retried.
-pub(super) const HEARTBEAT_INTERVAL: Span = Span::from_us(3_000_000);
-/// The shortest jittered heartbeat interval, as a fraction of the mean.
-const HEARTBEAT_JITTER_MIN: f64 = 0.8;
-/// The width of the uniform jitter of the heartbeat interval, as a fraction of the mean.
-const HEARTBEAT_JITTER_SPREAD: f64 = 0.4;
+pub(super) const ASSIGNMENT_RETRY_INTERVAL: Span = Span::from_us(3_000_000);
+/// The shortest jittered retry interval, as a fraction of the mean.
+const RETRY_JITTER_MIN: f64 = 0.8;
+/// The width of the uniform jitter of the retry interval, as a fraction of the mean.
+const RETRY_JITTER_SPREAD: f64 = 0.4;
 /// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
 const FIRST_ASSIGNMENT_TIMEOUT: Span = Span::from_us(5_000_000);
 /// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
 /// handled together: the fraction of traffic that a table keeps in its zone depends on all of them.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
-/// The fraction of known endpoints that must have left before assignments take priority: the stale tables of
-/// unassigned proxies may then soon hold no usable endpoint.
+/// The fraction of known endpoints that must be draining or removed before assignments take priority: the
+/// stale tables of unassigned proxies may then soon hold no usable endpoint.
 const ASSIGNMENT_PRIORITY_FRACTION: f64 = 0.2;
 /// A queue of at most this many lines accepts an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
-    /// Whether assignments take priority over ordinary weight changes, because so many endpoints left that
-    /// stale tables may soon hold no usable endpoint.
+    /// Whether assignments take priority over ordinary weight changes, because so many endpoints are draining
+    /// or removed that stale tables may soon hold no usable endpoint.
     pub(super) fn assignments_take_priority(&self) -> bool {
-        let left = self.endpoints.unready_count() as f64;
-        left > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
+        let unready = self.endpoints.unready_count() as f64;
+        unready > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
     }
 
     /// Assigns the waiting proxies that are eligible. Proxies that still use their initial table come first,
@@ -51,8 +52,8 @@
             } else if has_timed_out || self.tables.has_ready_endpoint(table, &self.endpoints) {
                 self.assign(now, number, limits);
             } else if self.timers.mark_scheduled(Timer::AssignmentRetry) {
-                let jitter = HEARTBEAT_JITTER_MIN + HEARTBEAT_JITTER_SPREAD * self.rng.next_f64();
-                self.host.schedule_timer(HEARTBEAT_INTERVAL * jitter, Timer::AssignmentRetry);
+                let jitter = RETRY_JITTER_MIN + RETRY_JITTER_SPREAD * self.rng.next_f64();
+                self.host.schedule_timer(ASSIGNMENT_RETRY_INTERVAL * jitter, Timer::AssignmentRetry);
             }
         }
     }
--- a/src/controller/assignment/tests.rs
+++ b/src/controller/assignment/tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn waiting_assignments_are_tried_again_on_a_jittered_heartbeat() {
+fn waiting_assignments_are_retried_at_jittered_intervals() {
     let mut controller = running_controller(config(), &[], 0);
     controller.proxy_joined(at(1.0), 4, 0, 10.0, true);
     let limits = ChannelLimits::new(&controller.config, &controller.endpoints);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn assignments_take_priority_over_changes_once_many_endpoints_left() {
+fn assignments_take_priority_over_changes_once_many_endpoints_are_unready() {
     let mut controller = running_controller(config(), &["a", "b", "c"], 1);
     controller.endpoints.get_mut("a").unwrap().state = EndpointState::Removed;
     controller.tables.by_number.get_mut(&0).unwrap().weights.remove("a");
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -41,8 +41,9 @@
     admission_levels: BTreeMap<usize, f64>,
     /// The factor applied to the weights of endpoints of other zones.
     remote_factor: f64,
-    /// Since when the table keeps its weights although all of its endpoints have left the list.
-    pub(super) carried_since: Option<Moment>,
+    /// When the table started to retain its weights although all of its endpoints were removed from the list;
+    /// `None` if it does not.
+    pub(super) retained_since: Option<Moment>,
     /// When commands for this table were last sent.
     pub(super) last_sent: Moment,
 }
@@ -55,7 +56,7 @@
             weights: BTreeMap::new(),
             admission_levels: BTreeMap::new(),
             remote_factor: 1.0,
-            carried_since: None,
+            retained_since: None,
             last_sent: Moment::default(),
         }
     }
@@ -188,7 +189,7 @@
     endpoints: &EndpointRegistry,
     limits: &ChannelLimits,
 ) -> TablePlacement {
-    let is_zoned = config.cross_zone_costs || has_zone_local_class(config);
+    let is_zoned = config.has_cross_zone_costs || has_zone_local_class(config);
     // A single table is used if it could hold a fleet of twice the size.
     let is_whole_fleet = endpoints.len() > 0 && endpoints.len() <= limits.max_table_size / 2;
     let arc = if is_whole_fleet { 0 } else { proxy % ARCS_PER_ZONE };
--- a/src/testing.rs
+++ b/src/testing.rs
@@ -157,7 +157,7 @@
     ControllerConfig {
         request_classes: vec![class(1.0), class(3.0)],
         polls_endpoint_list: false,
-        cross_zone_costs: false,
+        has_cross_zone_costs: false,
         admission: AdmissionMode::Fraction,
         proxy_ejection_threshold: 0,
         shards: 0,
@@ -180,7 +180,7 @@
     }
 }
 
-/// A ready endpoint in zone 0 with weight 2 whose slow start is long over.
+/// A ready endpoint in zone 0 with weight 2 that completed its slow start long ago.
 pub fn ready(id: &str) -> EndpointUpdate {
     EndpointUpdate { id: id.into(), zone: 0, weight: 2.0, state: EndpointState::Ready, started: None }
 }
@@ -208,6 +208,6 @@
         controller.proxy_joined(at(0.0), proxy, 0, 10.0, true);
     }
     controller.timer_fired(at(0.2), Timer::Recheck);
-    controller.host().commands.clear();
+    controller.host_mut().commands.clear();
     controller
 }
