--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -72,7 +72,7 @@
     pub warm_up: Option<WarmUp>,
     /// The load under which an endpoint collapses while it warms up; `None` if it survives any load.
     pub overload_collapse: Option<OverloadCollapse>,
-    /// Whether an endpoint finishes a request that it has started after its connection was closed. A queued
+    /// Whether an endpoint that has started a request finishes it even if its connection is closed. A queued
     /// request is dropped in either case.
     pub finishes_abandoned_requests: bool,
     /// The uptime of the endpoints when the load starts; `None` if it is long enough for them to be warm.
