--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -13,12 +13,10 @@
 
 /// Open connections by number, in the order in which they were accepted.
 ///
-/// Collectors take at most half of the slots, so a full table always has an unidentified connection, and the
-/// oldest of those is closed to make room. Collectors identify themselves and health checks are answered
-/// right after the accept, so the oldest is least likely to still identify itself or await an answer.
-///
-/// With more zones than half of the slots, collectors may take more than half, since each zone may have one.
-/// If they take all, there is no connection to close.
+/// Collectors take at most half of the slots, or one slot per zone if that is more. So a full table has an
+/// unidentified connection, unless there are at least as many zones as slots, and the oldest of those is
+/// closed to make room. Collectors identify themselves and health checks are answered right after the accept,
+/// so the oldest is least likely to still identify itself or await an answer.
 pub struct ConnectionTable {
     max_connections: usize,
     max_per_zone: usize,
--- a/control-plane/src/load_reports.rs
+++ b/control-plane/src/load_reports.rs
@@ -26,8 +26,8 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time from the first byte of a frame to its last.
 const FRAME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Maximum time between complete frames. Collectors report about once a second. Without a timeout, the
-/// connection of one that vanished would stay open forever.
+/// Maximum time to wait for the first byte of a frame. Collectors report about once a second. Without a
+/// timeout, the connection of one that vanished would stay open forever.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Once the connection is to close: how long to wait for the end of the handshake, for more data, or for the
 /// rest of a frame. It applies to each wait.
