--- a/control-plane/src/endpoint_watch.rs
+++ b/control-plane/src/endpoint_watch.rs
@@ -51,6 +51,7 @@
 
 /// A watch in progress.
 struct Watcher {
+    /// The parameters and channels of the task.
     context: EndpointWatch,
     client: PeerClient,
     /// The list version of the latest response; the next poll asks for later changes. If there is none, the
--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -56,6 +56,7 @@
 
 /// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
+    /// The parameters and channels of the task.
     context: ProxyStreams,
     /// Shared by all attempts at one address, so that a connection still being established when an attempt
     /// times out can serve a later one.
@@ -69,7 +70,7 @@
 /// The events that a follower waits for.
 enum FollowerEvent {
     /// A line arrived, or the stream is silent (`None`) or lost.
-    LineReceived(Result<Option<String>, CallError>),
+    StreamRead(Result<Option<String>, CallError>),
     /// An attempt to open a stream ended.
     AttemptEnded(Result<ProxyStream, CallError>),
     /// The relay has a new address.
@@ -93,13 +94,13 @@
     async fn run(mut self) {
         loop {
             match self.next_event().await {
-                FollowerEvent::LineReceived(Ok(Some(line))) => {
+                FollowerEvent::StreamRead(Ok(Some(line))) => {
                     if let Err(error) = self.line_received(&line).await {
                         self.stream_lost(&error);
                     }
                 }
-                FollowerEvent::LineReceived(Ok(None)) => self.stream_silent(),
-                FollowerEvent::LineReceived(Err(error)) => self.stream_lost(&error),
+                FollowerEvent::StreamRead(Ok(None)) => self.stream_silent(),
+                FollowerEvent::StreamRead(Err(error)) => self.stream_lost(&error),
                 FollowerEvent::AttemptEnded(Ok(stream)) => self.stream_opened(stream),
                 FollowerEvent::AttemptEnded(Err(error)) => self.attempt_failed(&error),
                 FollowerEvent::RelayMoved => self.relay_moved(),
@@ -110,7 +111,7 @@
     async fn next_event(&mut self) -> FollowerEvent {
         tokio::select! {
             biased;
-            line = next_line(&mut self.stream) => FollowerEvent::LineReceived(line),
+            line = next_line(&mut self.stream) => FollowerEvent::StreamRead(line),
             result = await_open_attempt(&mut self.open_attempt) => FollowerEvent::AttemptEnded(result),
             Ok(()) = self.context.address.changed() => FollowerEvent::RelayMoved,
         }
