--- a/control-plane/src/proxy_streams.rs
+++ b/control-plane/src/proxy_streams.rs
@@ -34,7 +34,7 @@
 
 /// The task that follows the event stream. It is cloned for each restart after a panic.
 #[derive(Clone)]
-pub struct ProxyStreams {
+pub struct ProxyStreamTask {
     /// The relay's address.
     pub address: watch::Receiver<SocketAddr>,
     /// The zones, request classes and proxies in the configuration.
@@ -45,7 +45,7 @@
     pub log: Logger,
 }
 
-impl ProxyStreams {
+impl ProxyStreamTask {
     /// Follows the stream forever.
     pub async fn run(self) {
         Follower::new(self).run().await;
@@ -57,7 +57,7 @@
 /// Follows one stream, and opens another when it is silent or lost or the relay has moved.
 struct Follower {
     /// The parameters and channels of the task.
-    context: ProxyStreams,
+    context: ProxyStreamTask,
     /// Shared by all attempts at one address, so that a connection still being established when an attempt
     /// times out can serve a later one.
     client: Rc<PeerClient>,
@@ -78,7 +78,7 @@
 }
 
 impl Follower {
-    fn new(mut context: ProxyStreams) -> Self {
+    fn new(mut context: ProxyStreamTask) -> Self {
         let client = Rc::new(PeerClient::new(*context.address.borrow_and_update()));
         let open_attempt = open_after(Duration::ZERO, &client);
         Follower {
--- a/control-plane/src/server.rs
+++ b/control-plane/src/server.rs
@@ -6,7 +6,7 @@
 use crate::control_loop::{ControlLoop, ControlLoopHandles};
 use crate::endpoint_watch::EndpointWatch;
 use crate::listener::Listener;
-use crate::proxy_streams::ProxyStreams;
+use crate::proxy_streams::ProxyStreamTask;
 use crate::shutdown::{ServerTasks, ShutdownSignals, TaskError};
 use crate::status_pages;
 use crate::task_restart::restart_on_panic;
@@ -69,7 +69,7 @@
             events: events.clone(),
             log: log.clone(),
         });
-        spawn_proxy_streams(ProxyStreams {
+        spawn_proxy_stream(ProxyStreamTask {
             address: relay_address,
             names: config.names.clone(),
             events: events.clone(),
@@ -117,6 +117,6 @@
     restart_on_panic("endpoint watch", watch.log.clone(), move || watch.clone().run());
 }
 
-fn spawn_proxy_streams(streams: ProxyStreams) {
-    restart_on_panic("proxy stream", streams.log.clone(), move || streams.clone().run());
+fn spawn_proxy_stream(task: ProxyStreamTask) {
+    restart_on_panic("proxy stream", task.log.clone(), move || task.clone().run());
 }
