--- a/control-plane/tests/sockets/proxy_stream.rs
+++ b/control-plane/tests/sockets/proxy_stream.rs
@@ -8,7 +8,7 @@
     let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
     relay.join_proxy(8);
     relay.next_command("attach");
-    relay.reopen_event_stream_with_last_proxy();
+    relay.close_event_stream_and_list_last_proxy();
     control_plane.wait_for_log("proxy stream lost");
     // The listed proxy may have left and rejoined in the meantime, so its table is assigned again.
     assert_eq!(relay.next_command("attach")["node"], 8);
@@ -39,7 +39,7 @@
         let Testbed { relay, control_plane, .. } = Testbed::start_with_proxy();
         relay.join_proxy(8);
         relay.next_command("attach");
-        relay.reopen_event_stream_with(&[joined_event(7, json!(20.5)), invalid]);
+        relay.close_event_stream_and_list(&[joined_event(7, json!(20.5)), invalid]);
         control_plane.wait_for_log("proxy stream connected");
         control_plane.wait_for_log("proxy stream event skipped");
         // Proxy 7 is assigned its table again once the lines that the stream begins with have been read.
--- a/control-plane/tests/sockets/support/relay.rs
+++ b/control-plane/tests/sockets/support/relay.rs
@@ -245,14 +245,14 @@
     }
 
     /// Closes the event stream. New connections to it begin with these lines.
-    pub fn reopen_event_stream_with(&self, lines: &[Value]) {
+    pub fn close_event_stream_and_list(&self, lines: &[Value]) {
         let mut stream = self.shared.event_stream.lock().unwrap();
         stream.snapshot_lines = lines.iter().map(Value::to_string).collect();
         stream.close_connections();
     }
 
     /// Closes the event stream. New connections to it list only the proxy that joined last.
-    pub fn reopen_event_stream_with_last_proxy(&self) {
+    pub fn close_event_stream_and_list_last_proxy(&self) {
         let mut stream = self.shared.event_stream.lock().unwrap();
         let last = stream.snapshot_lines.pop();
         stream.snapshot_lines = last.into_iter().collect();
