--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -5,7 +5,11 @@
 //! performs no I/O, reads no clock and takes all randomness from a seeded generator, so the same sequence of
 //! events always produces the same commands. Commands issued at the same time are sent together.
 //!
-//! Each module is responsible for one concern and owns its state and constants:
+//! Commands reach the proxies through the *channel*, the shared queue of messages to all proxies. A *line* is
+//! the unit of its cost: one command sent to one proxy. Message overheads are stated in lines too.
+//!
+//! Each module is responsible for one concern and owns its state and constants. `candidate` decides nothing:
+//! it defines the snapshot of a ready endpoint that routing and slow start work on.
 //!
 //! | module | decides |
 //! | --- | --- |
@@ -87,8 +91,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Creates a controller without endpoints or proxies and schedules its first evaluation. Requests the
-    /// endpoint list if the deployment requires polling.
+    /// Creates a controller without endpoints or proxies and schedules its first evaluation. Starts to
+    /// watch the endpoint list if the deployment requires polling.
     pub fn start(mut host: H, config: ControllerConfig, seed: u64, now: Moment) -> Self {
         if config.polls_endpoint_list {
             host.watch_endpoints();
@@ -158,7 +162,7 @@
     }
 
     /// Handles the part of a load report that covers one endpoint: the number of attempts, the number that
-    /// failed without an answer, the latency of the answered ones and the interval of the report.
+    /// failed without an answer, the mean latency of the answered ones and the interval of the report.
     pub fn outcomes_reported(
         &mut self,
         now: Moment,
@@ -200,8 +204,8 @@
         }
     }
 
-    /// Handles the loss of the latest commands. `may_have_arrived` means that it is unknown whether they were
-    /// lost.
+    /// Handles a failed delivery of the latest commands. `may_have_arrived` means that they may have arrived
+    /// nevertheless.
     pub fn commands_lost(&mut self, now: Moment, may_have_arrived: bool) {
         self.schedule_resend(now, may_have_arrived);
     }
@@ -219,7 +223,8 @@
         self.schedule_recheck();
     }
 
-    /// Handles a rejected endpoint weight: it counts as unpublished and is sent again with the next changes.
+    /// Handles a rejected endpoint weight: it counts as unpublished, so it is sent again with the next
+    /// changes if the table should still hold the endpoint. A rejected removal is not sent again.
     pub fn weight_rejected(&mut self, table: u32, id: &EndpointId) {
         self.tables.remove_weight(table, id);
         self.schedule_recheck();
@@ -230,7 +235,7 @@
         self.shards.assign(shard);
     }
 
-    /// Restores an already published weight of a shard that this controller publishes.
+    /// Records an already published weight of a shard that this controller publishes; sends nothing.
     pub fn shard_weight_restored(&mut self, shard: u32, id: &EndpointId, weight: f64) {
         self.shards.restore_weight(shard, id, weight);
     }
@@ -240,8 +245,8 @@
         self.shards.revoke(shard);
     }
 
-    /// Updates outliers and admission from the load reports, and forgets old data. Runs once per
-    /// [`EVALUATION_INTERVAL`].
+    /// Updates outliers and admission from the load reports, decays old measurements and forgets endpoints
+    /// that were removed long ago. Runs once per [`EVALUATION_INTERVAL`].
     fn evaluate(&mut self, now: Moment) {
         self.fleet_load.extend_window(EVALUATION_INTERVAL);
         self.detect_outliers(now);
@@ -256,14 +261,15 @@
         self.fleet_load.median_score = outliers::detect_outliers(&mut self.endpoints, now);
     }
 
+    /// Adapts the admission levels to the load: lowers them under overload and raises them again afterwards.
     fn shed_load(&mut self, now: Moment) {
         let joined_rate = self.proxies.joined_rate();
         self.admission.shed_load(now, &mut self.fleet_load, joined_rate, &self.config);
     }
 
     /// Forgets endpoints that were removed long ago and lifts their ejections, so that their ids can be used
-    /// by new endpoints. Otherwise each joining proxy would be sent the ejections of all endpoints that ever
-    /// existed.
+    /// by new endpoints. If they were not forgotten, each joining proxy would be sent the ejections of all
+    /// endpoints that ever existed.
     fn forget_removed_endpoints(&mut self, now: Moment) {
         if self.delivery.is_resend_pending {
             return;
