--- a/src/controller/changes/tests.rs
+++ b/src/controller/changes/tests.rs
@@ -22,7 +22,7 @@
 #[test]
 fn a_restart_under_the_same_id_is_urgent() {
     let mut controller = running_controller(config(), &["a", "b"], 1);
-    controller.publication.batched_until = at(2.0);
+    controller.publication.collected_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[ready_since("a", 1.0)]);
     assert!(controller.host.weight(0, "a").unwrap() < 0.3);
 }
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -24,24 +24,24 @@
 /// The batching state of ordinary changes.
 pub(super) struct PublicationState {
     /// Ordinary changes are held back until this time.
-    pub(super) batched_until: Moment,
+    pub(super) collected_until: Moment,
 }
 
 impl PublicationState {
     /// Creates a state in which ordinary changes may be sent immediately.
     pub(super) fn new(now: Moment) -> Self {
-        PublicationState { batched_until: now }
+        PublicationState { collected_until: now }
     }
 
     /// Whether the ordinary changes have been batched for long enough.
     pub(super) fn is_due(&self, now: Moment) -> bool {
-        now >= self.batched_until
+        now >= self.collected_until
     }
 
     /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
     fn record_sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
-            self.batched_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
+            self.collected_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
         }
     }
 }
--- a/src/controller/publication/tests.rs
+++ b/src/controller/publication/tests.rs
@@ -11,17 +11,17 @@
 use crate::time::Span;
 
 #[test]
-fn ordinary_changes_are_batched() {
+fn ordinary_changes_are_collected() {
     let mut controller = running_controller(config(), &["a"], 1);
-    controller.publication.batched_until = at(2.0);
+    controller.publication.collected_until = at(2.0);
     controller.endpoints_updated(at(1.5), &[ready("b")]);
     assert_eq!(controller.host.weight_count(), 0);
 }
 
 #[test]
-fn a_draining_endpoint_is_removed_at_once_while_ordinary_changes_are_batched() {
+fn a_draining_endpoint_is_removed_at_once_while_ordinary_changes_are_collected() {
     let mut controller = running_controller(config(), &["a", "b"], 1);
-    controller.publication.batched_until = at(2.0);
+    controller.publication.collected_until = at(2.0);
     controller.endpoints_updated(at(1.1), &[draining("a")]);
     assert_eq!(controller.host.commands, [set_weight(0, "a", 0.0), eject("a")]);
 }
