--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,10 +1,11 @@
 //! Publication of route table changes: when they are sent, and in which order.
 //!
-//! [`Controller`] publishes at the end of each event. Urgent changes are sent as soon as the queue is short,
-//! in batches that fit into it; endpoints that left first are in the first batch. A message with urgent
-//! changes also takes the ordinary changes of its table that fit, once no urgent change is left for a later
-//! batch. Ordinary changes are batched, for longer the more channel time the previous ones took. Only changes
-//! that were sent through the host are marked as published.
+//! [`Controller`] publishes at the end of each event. Urgent changes (an endpoint leaves the table or has
+//! restarted, or the table was empty) are sent as soon as the queue is short, in batches that fit into it;
+//! endpoints that left first are in the first batch. If the batch holds all urgent changes, each of its
+//! messages also carries the ordinary changes of its table that fit. The more channel time the previous
+//! ordinary changes took, the longer new ones are collected. Only changes that were sent through the host are
+//! marked as published.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -16,14 +17,14 @@
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest time after the last commands for a table before ordinary changes alone are sent.
+/// The minimum time between the last commands for a table and a message with only ordinary changes.
 const MIN_PUBLICATION_INTERVAL: Span = Span::from_us(1_000_000);
-/// How long ordinary changes are batched, as a multiple of the channel time that the previous ones took.
-const BATCHING_FACTOR: f64 = 2.0;
+/// How long ordinary changes are collected, as a multiple of the channel time that the previous ones took.
+const COLLECTION_FACTOR: f64 = 2.0;
 
-/// The batching state of ordinary changes.
+/// The collection state of ordinary changes.
 pub(super) struct PublicationState {
-    /// Ordinary changes are held back until this time.
+    /// Ordinary changes that accompany no urgent ones are held back until this time.
     pub(super) collected_until: Moment,
 }
 
@@ -33,29 +34,29 @@
         PublicationState { collected_until: now }
     }
 
-    /// Whether the ordinary changes have been batched for long enough.
+    /// Whether the ordinary changes have been collected for long enough.
     pub(super) fn is_due(&self, now: Moment) -> bool {
         now >= self.collected_until
     }
 
-    /// Restarts batching after ordinary changes were sent that occupy the channel for `busy_secs`.
+    /// Restarts the collection after ordinary changes were sent that occupy the channel for `busy_secs`.
     fn record_sent(&mut self, now: Moment, busy_secs: f64) {
         if busy_secs > 0.0 {
-            self.collected_until = now + Span::from_secs(busy_secs * BATCHING_FACTOR);
+            self.collected_until = now + Span::from_secs(busy_secs * COLLECTION_FACTOR);
         }
     }
 }
 
 /// The endpoints with urgent changes, and how many of them are sent now.
 struct UrgentBatch {
-    /// The position of each endpoint in the order in which the endpoints left.
+    /// The position of each endpoint in the order of `last_ready`.
     positions: BTreeMap<EndpointId, usize>,
     /// The number of endpoints whose urgent changes are sent now, counted from position 0.
     size: usize,
 }
 
 impl UrgentBatch {
-    /// Collects all endpoints with urgent changes; none is included in the batch yet.
+    /// Finds all endpoints with urgent changes; none is included in the batch yet.
     fn new(pending: &[TableChanges], endpoints: &EndpointRegistry) -> Self {
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
@@ -81,7 +82,7 @@
         change.is_urgent && self.positions[&change.id] < size
     }
 
-    /// The cost of a batch of this size in lines, over all receivers.
+    /// The lines that a batch of `size` endpoints takes, summed over all receivers.
     fn cost(&self, size: usize, pending: &[TableChanges], message_overhead: f64) -> f64 {
         let table_cost = |table: &TableChanges| {
             let lines = table.changes.iter().filter(|change| self.would_include(change, size)).count() as f64;
@@ -133,8 +134,10 @@
         for table in pending {
             has_deferred |= self.publish_table(now, limits, table, &batch, ordinary_due);
         }
-        let ordinary_lines = self.channel.backlog.recorded_lines - lines_before;
-        self.publication.record_sent(now, limits.transmission_secs(ordinary_lines));
+        // Ordinary changes, admission levels and restorations, with the overhead of messages without urgent
+        // changes.
+        let non_urgent_lines = self.channel.backlog.recorded_lines - lines_before;
+        self.publication.record_sent(now, limits.transmission_secs(non_urgent_lines));
         has_deferred
     }
 
@@ -213,20 +216,22 @@
             return false;
         }
         let available = self.available_ordinary_lines(now, limits, &table.receivers, urgent);
-        let fitting_lines = available as usize;
-        let has_deferred = fitting_lines < ordinary;
+        let fitting_changes = available as usize;
+        let has_deferred = fitting_changes < ordinary;
+        // A message with only a part of the ordinary changes must carry at least as many lines as its
+        // overhead.
         let is_worth_sending = available >= 0.0 && (!has_deferred || available >= limits.message_overhead);
         if urgent == 0 && !is_worth_sending {
             return has_deferred;
         }
-        let max_ordinary = if batch.is_complete() { fitting_lines } else { 0 };
+        let max_ordinary = if batch.is_complete() { fitting_changes } else { 0 };
         batch.retain_sendable(&mut table.changes, max_ordinary);
         self.send_changes(now, limits, table, batch.is_complete());
         has_deferred
     }
 
     /// The number of lines per receiver that are available for ordinary changes of a table, after its urgent
-    /// changes and all admission levels.
+    /// changes and all admission levels. Negative if not even these fit.
     fn available_ordinary_lines(
         &mut self,
         now: Moment,
@@ -254,7 +259,7 @@
         let mut commands: u32 = 0;
         let mut restored = 0;
         for WeightChange { id, weight, .. } in changes {
-            // A returning endpoint may be cold, so its ejection is not lifted before its new weight is sent.
+            // A returning endpoint may be cold, so its ejection is lifted only together with its new weight.
             let endpoint = self.endpoints.get_mut(&id);
             if let Some(endpoint) = endpoint.filter(|endpoint| endpoint.ejected && endpoint.is_ready()) {
                 endpoint.mark_restored();
