--- a/src/controller/channel.rs
+++ b/src/controller/channel.rs
@@ -1,25 +1,28 @@
 //! Limits of the channel to the proxies: how many lines may be queued, how many messages each proxy may be
 //! sent, and how large a route table may be so that these limits can be kept.
 //!
-//! Every module that sends commands first checks here how many lines may be sent, and records in the
-//! [`ChannelBacklog`] what it sent. Urgent commands may use nearly the whole queue. Ordinary commands leave
-//! enough of it free to announce that a part of the fleet leaves at the same time.
+//! Publication, ejection and assignment first check here how many lines may be sent, and record in the
+//! [`ChannelBacklog`] what they sent; `sharding` does neither. The channel is the shared queue of messages to
+//! all proxies; a line is the unit of its cost: one command sent to one proxy. Urgent commands may use nearly
+//! the whole queue. Ordinary commands leave enough of it free to announce that a part of the fleet leaves at
+//! the same time.
 
 use super::endpoints::EndpointRegistry;
 use crate::channel_backlog::ChannelBacklog;
 use crate::config::ControllerConfig;
 use crate::time::{Moment, Span};
 
-/// The fraction of the queue that commands of any urgency may use.
+/// The fraction of `max_queued_lines` that urgent commands may fill: the usable queue.
 const MAX_QUEUE_FRACTION: f64 = 0.9;
-/// The fraction of the usable queue that is always available to ordinary commands.
+/// The lower bound of `max_ordinary_lines`, as a fraction of the usable queue.
 const MIN_ORDINARY_QUEUE_FRACTION: f64 = 0.08;
-/// The fraction of a proxy's message limit that ordinary commands may use.
+/// Ordinary changes are sent to a proxy only if it was sent fewer messages, of any urgency, than this
+/// fraction of its limit.
 const ORDINARY_PUSH_FRACTION: f64 = 0.5;
-/// The number of messages that urgent commands may send to a proxy back to back.
+/// With fewer messages to a proxy than this in the window, an urgent one may follow immediately.
 const URGENT_BURST: usize = 3;
-/// The length of the queue that ordinary commands may fill, in maximum transit times of the channel: long
-/// enough to keep the channel busy until acknowledgements have returned.
+/// The upper bound of the queue that ordinary commands may fill: the lines that the channel sends in this
+/// many `max_transit`. That is long enough to keep the channel busy until acknowledgements have returned.
 const ORDINARY_QUEUE_TRANSITS: f64 = 3.0;
 /// The fraction of the configured channel rate at which lines are assumed to leave the channel while no
 /// acknowledgements arrive.
@@ -28,7 +31,8 @@
 const ACKNOWLEDGED_QUEUE_FRACTION: f64 = 0.05;
 /// The fraction of the fleet that may leave at the same time and must be announced within the drain grace.
 const SIMULTANEOUS_DEPARTURES_FRACTION: f64 = 0.2;
-/// The fraction of the lines sent within a drain grace that may be used to announce leaving endpoints.
+/// The fraction of the lines that the channel sends within a drain grace, or of the usable queue if that is
+/// shorter, that may be used to announce leaving endpoints.
 const DEPARTURES_GRACE_FRACTION: f64 = 0.78;
 /// The smallest fraction of the queue that an incomplete batch of urgent commands must fill, since each batch
 /// adds message overhead.
@@ -58,8 +62,11 @@
     max_urgent_lines: f64,
     /// The size of the smallest useful message, in lines: its overhead, one weight and all admission levels.
     min_message_lines: f64,
+    /// The configured limit of the queue length, in lines.
     max_queued_lines: f64,
+    /// The capacity of the channel, in lines per second.
     rate: f64,
+    /// The most messages that a proxy may be sent within `push_window`; 0 means no limit.
     max_pushes: usize,
     push_window: Span,
 }
@@ -108,8 +115,8 @@
     }
 
     /// How many of `total` urgent items fit into `available` lines, found by binary search; `cost` must not
-    /// decrease with the number of items. Returns 0 if not all items fit and those that do would make a small
-    /// batch.
+    /// decrease with the number of items. Returns 0 if not all items fit and those that do would fill less
+    /// than [`MIN_BATCH_QUEUE_FRACTION`] of the queue.
     pub(super) fn largest_batch(&self, total: usize, available: f64, cost: impl Fn(usize) -> f64) -> usize {
         let mut fits = 0;
         let mut too_many = total + 1;
@@ -134,8 +141,8 @@
 }
 
 /// The maximum number of endpoints in a table. Even if all proxies are joined to this controller, the channel
-/// must be able to announce that a part of the fleet leaves while as many lines are already queued, and no
-/// endpoint may get more connections than it accepts.
+/// must be able to announce that a part of the fleet leaves even behind a queue as long as the announcement,
+/// and no endpoint may get more connections than it accepts. The result is at least `initial_table_size`.
 fn max_table_size(config: &ControllerConfig, endpoints: &EndpointRegistry) -> usize {
     let proxies = f64::from(config.proxy_count.max(1));
     let mut by_lines = f64::INFINITY;
@@ -168,9 +175,9 @@
         Channel { backlog: ChannelBacklog::new(config.channel_rate * UNACKNOWLEDGED_RATE_FRACTION) }
     }
 
-    /// Whether the queue is short enough for urgent commands. Sending them behind a long queue does not make
-    /// them arrive sooner, and changes that become urgent in the meantime would need another message to each
-    /// proxy.
+    /// Whether the queue is short enough for urgent commands: at most `max_ordinary_lines`. Sending them
+    /// behind a long queue does not make them arrive sooner, and changes that become urgent in the meantime
+    /// would need another message to each proxy.
     pub(super) fn is_queue_short(&self, now: Moment, limits: &ChannelLimits) -> bool {
         self.backlog.queued_lines(now) <= limits.max_ordinary_lines
     }
@@ -196,12 +203,13 @@
     }
 
     /// Whether a proxy may be sent a message now. A few urgent messages may follow each other immediately;
-    /// further ones are spaced so that they can continue indefinitely within the limit.
+    /// further ones are spaced so that their rate stays within the limit.
     fn may_push(&mut self, now: Moment, urgency: Urgency, proxy: u32, limits: &ChannelLimits) -> bool {
         if limits.max_pushes == 0 {
             return true;
         }
         let (count, latest) = self.backlog.recent_messages(now, proxy, limits.push_window);
+        // A command that is issued at the time of the latest message joins that message.
         if count == 0 || latest == Some(now) {
             return true;
         }
