--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -1,10 +1,12 @@
 //! Outlier detection: reduces the weight of endpoints whose attempts are late or fail more often than those
-//! of their peers. The reduction has levels, and an endpoint recovers one level at a time.
+//! of their peers. The reduction has levels, and an endpoint recovers one level at a time. In this module, to
+//! eject an endpoint means to reduce its weight; elsewhere it means to exclude it from all proxies.
 //!
 //! [`Controller`](super::Controller) records outcomes as load reports arrive and runs the detection once per
 //! evaluation. No endpoint loses all of its weight, and the reduction is limited to a fraction of the fleet's
-//! weight. While the median endpoint has a high outlier score no endpoint is ejected, since that would only
-//! shift the overload to the others.
+//! weight. The outlier score of an endpoint is the mean of [`BAND_SCORES`] over its attempts. While the
+//! median endpoint has a high score no endpoint is ejected, since that would only shift the overload to the
+//! others.
 
 use super::endpoints::{Endpoint, EndpointRegistry, OUTCOME_BANDS};
 use super::fleet_load::{MEDIAN_SCORE, MIN_ATTEMPTS, REPORT_DELAY};
@@ -39,9 +41,9 @@
 const OUTLIER_MARGIN: f64 = 0.15;
 /// An endpoint whose score exceeds that of the fleet by no more than this may recover.
 const RECOVERY_MARGIN: f64 = 0.08;
-/// The time that an endpoint stays at a level before it may recover, for each ejection counted.
+/// The time that an endpoint stays at a level before it may recover, to be multiplied by its ejection count.
 const EJECTION_TIME: Span = Span::from_us(4_000_000);
-/// The maximum number of ejections that are counted.
+/// The maximum ejection count.
 const MAX_EJECTION_COUNT: u32 = 3;
 /// The maximum total weight reduction, as a fraction of the ready weight.
 const MAX_EJECTED_FRACTION: f64 = 0.35;
@@ -50,7 +52,7 @@
 pub(super) struct Outcomes {
     pub(super) answered: f64,
     pub(super) failed: f64,
-    /// The latency of the answered attempts.
+    /// The mean latency of the answered attempts.
     pub(super) latency: Span,
     /// The interval covered by the report.
     pub(super) interval: Span,
@@ -138,20 +140,25 @@
 }
 
 fn median_score(endpoints: &EndpointRegistry, scores: &[EndpointScore], min_attempts: f64) -> f64 {
-    let has_attempts = |scored: &&EndpointScore| {
+    let has_enough_attempts = |scored: &&EndpointScore| {
         endpoints.get(&scored.id).is_some_and(|endpoint| endpoint.outlier.outcomes.total() >= min_attempts)
     };
-    let sampled: Vec<f64> = scores.iter().filter(has_attempts).map(|scored| scored.score).collect();
+    let sampled: Vec<f64> = scores.iter().filter(has_enough_attempts).map(|scored| scored.score).collect();
     sampled.get(sampled.len() / 2).copied().unwrap_or(0.0)
 }
 
-fn eject_outliers(endpoints: &mut EndpointRegistry, scores: &[EndpointScore], limit: f64, now: Moment) {
+fn eject_outliers(
+    endpoints: &mut EndpointRegistry,
+    scores: &[EndpointScore],
+    score_threshold: f64,
+    now: Moment,
+) {
     let weight_fraction = |endpoint: &Endpoint| WEIGHT_FRACTIONS[endpoint.outlier.ejection_level];
     let mut ejected: f64 =
         endpoints.ready().map(|(_, endpoint)| endpoint.weight * (1.0 - weight_fraction(endpoint))).sum();
     let max_ejected = endpoints.ready_weight() * MAX_EJECTED_FRACTION;
     for EndpointScore { id, score } in scores {
-        if *score <= limit {
+        if *score <= score_threshold {
             continue;
         }
         let endpoint = endpoints.get_mut(id).expect("scored endpoints are registered");
@@ -168,17 +175,18 @@
     }
 }
 
-fn recover(endpoints: &mut EndpointRegistry, limit: f64, now: Moment) {
+fn recover(endpoints: &mut EndpointRegistry, score_threshold: f64, now: Moment) {
     for (_, endpoint) in endpoints.iter_mut() {
         if !endpoint.is_ready() || endpoint.outlier.ejection_level == 0 {
             continue;
         }
-        // Half an evaluation interval is included, so that a late timer doesn't prolong the ejection by a
-        // whole interval.
+        // Half an evaluation interval is added, so that the ejection time ends midway between two evaluations
+        // and slightly early or late timers don't change at which evaluation the endpoint recovers. Otherwise
+        // a late timer could prolong the ejection by a whole interval.
         let ejection_time =
             EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
-        // An endpoint without outcomes may recover: its score, `None`, compares as less than the limit.
-        let may_recover = outlier_score(&endpoint.outlier.outcomes) <= Some(limit);
+        // An endpoint without outcomes may recover: its score, `None`, compares as less than the threshold.
+        let may_recover = outlier_score(&endpoint.outlier.outcomes) <= Some(score_threshold);
         if may_recover && now - endpoint.outlier.level_since > ejection_time {
             endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
             if endpoint.outlier.ejection_level == 0 {
