--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -19,14 +19,14 @@
 const ARCS_PER_ZONE: u32 = 16;
 /// One in this many entries of a table is reserved for endpoints of other zones.
 const REMOTE_ENDPOINTS_DIVISOR: usize = 4;
-/// An arc keeps endpoints that it already holds if they are beyond its ends by no more than its length
-/// divided by this. Otherwise each endpoint that is added or removed would move others into or out of the
-/// arc.
+/// An arc keeps an endpoint that it holds until the endpoint is beyond either end by more than the arc's
+/// length divided by this. Otherwise each endpoint that is added or removed would move others into or out of
+/// the arc.
 const ARC_SLACK_DIVISOR: usize = 8;
 /// The maximum fraction of a zone's requests that stays in the zone if cross-zone requests have a cost.
 const MAX_HOME_FRACTION: f64 = 0.9;
-/// A table's remote factor is changed only by more than this ratio. Otherwise each ejection would change the
-/// weights of all remote endpoints.
+/// A table's remote factor is changed only by more than this ratio. Otherwise each weight reduction by
+/// outlier detection would change the weights of all remote endpoints.
 const MIN_REMOTE_FACTOR_CHANGE: f64 = 1.5;
 /// The minimum remote factor.
 const MIN_REMOTE_FACTOR: f64 = 0.01;
@@ -80,7 +80,8 @@
     }
 
     /// The weights that the table should have: endpoints of the home zone at their own weight and remote ones
-    /// scaled by the remote factor, as many as the table may hold.
+    /// scaled by the remote factor, as many as the table may hold. Without a home zone, all endpoints count
+    /// as remote and the factor is 1.
     pub(super) fn desired_weights(
         &mut self,
         number: u32,
@@ -91,12 +92,12 @@
         if snapshot.is_zone_local {
             remote.clear();
         }
-        let available = ZoneCapacity::new(&home, &remote);
+        let whole_fleet = ZoneCapacity::new(&home, &remote);
         let max = snapshot.max_table_size;
         let reserved = (max / REMOTE_ENDPOINTS_DIVISOR).min(remote.len());
         let home = self.ring_arc(number, home, max - reserved);
         let remote = self.ring_arc(number, remote, max.saturating_sub(home.len()));
-        self.update_remote_factor(&available, &ZoneCapacity::new(&home, &remote), snapshot);
+        self.update_remote_factor(&whole_fleet, &ZoneCapacity::new(&home, &remote), snapshot);
 
         let mut candidates: Vec<Candidate> = home.into_iter().cloned().collect();
         for candidate in remote {
@@ -107,20 +108,22 @@
     }
 
     /// Updates the remote factor so that remote endpoints take the load beyond the capacity of the home zone,
-    /// and at least a small part of the load in any case. The endpoints in the table stand for those left out
-    /// of it.
+    /// and at least a small part of the load in any case. The home fraction is computed from all endpoints
+    /// and applied to the selected ones.
     fn update_remote_factor(
         &mut self,
-        available: &ZoneCapacity,
+        whole_fleet: &ZoneCapacity,
         selected: &ZoneCapacity,
         snapshot: &RoutingSnapshot,
     ) {
         let mut factor = 1.0;
         if let Some(home_zone) = self.home_zone {
-            let share = snapshot.capacity_share(home_zone);
+            let share = snapshot.proportional_capacity(home_zone);
             if selected.home > 0.0 && selected.remote > 0.0 && share > 0.0 {
-                let home_fraction = (available.home / share).min(1.0) * MAX_HOME_FRACTION;
-                let proportional = available.remote / selected.remote * selected.home / available.home;
+                let home_fraction = (whole_fleet.home / share).min(1.0) * MAX_HOME_FRACTION;
+                // The factor at which home and remote endpoints share the load in proportion to the capacity
+                // of the whole fleet.
+                let proportional = whole_fleet.remote / selected.remote * selected.home / whole_fleet.home;
                 let needed = selected.home * (1.0 - home_fraction) / (home_fraction * selected.remote);
                 factor = needed.min(proportional).max(MIN_REMOTE_FACTOR);
             }
@@ -131,8 +134,8 @@
         }
     }
 
-    /// The arc of a ring of endpoints that belongs to this table: at most `max` endpoints, plus those just
-    /// beyond the ends of the arc that the table already holds.
+    /// The arc of a ring of endpoints that belongs to this table: at most `max` endpoints, plus endpoints
+    /// just beyond either end that the table already holds.
     fn ring_arc<'a>(&self, number: u32, ring: Vec<&'a Candidate>, max: usize) -> Vec<&'a Candidate> {
         let len = ring.len();
         if len <= max {
@@ -261,9 +264,9 @@
 pub(super) struct RoutingSnapshot {
     /// The candidates, in the order of the ring.
     candidates: Vec<Candidate>,
-    /// The usual request rate of the proxies of each zone.
+    /// The usual request rate of each zone, over all proxies that have ever joined.
     rates_by_zone: BTreeMap<u32, f64>,
-    /// The routable capacity of all zones that have proxies.
+    /// The routable capacity of the zones in `rates_by_zone`.
     served_capacity: f64,
     max_table_size: usize,
     /// Whether requests of some class must not leave their zone.
@@ -272,8 +275,8 @@
 }
 
 impl RoutingSnapshot {
-    /// The part of the served capacity that is proportional to a zone's share of the request rate.
-    fn capacity_share(&self, zone: u32) -> f64 {
+    /// A zone's part of the served capacity, which is divided among the zones by request rate.
+    fn proportional_capacity(&self, zone: u32) -> f64 {
         let rate = self.rates_by_zone.get(&zone).unwrap_or(&0.0);
         let all_rates = self.rates_by_zone.values().sum::<f64>();
         rate / all_rates.max(1e-9) * self.served_capacity
