--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -1,7 +1,8 @@
 //! Admission control: how much of each request class the proxies admit, and their retry policy.
 //!
 //! [`Controller`](super::Controller) runs [`Admission::shed_load`] once per evaluation; publication sends the
-//! resulting levels. While the fleet is overloaded, the admitted rate is limited to slightly less than the
+//! resulting levels. Load is shed only with [`AdmissionMode::Fraction`]; in the other modes the levels never
+//! change. While the fleet is overloaded, the admitted rate is limited to slightly less than the
 //! rate it recently answered, and classes are admitted in descending order of priority weight. Once the fleet
 //! is no longer degraded, the limit grows step by step until it is removed. No level falls below a minimum,
 //! so that load reports keep covering every class.
@@ -28,7 +29,7 @@
 const MIN_LEVEL: f64 = 0.1;
 /// A level is not changed by this much or less, except back to 1.
 const MIN_LEVEL_CHANGE: f64 = 0.05;
-/// The initial level if levels are rates; high enough to admit everything.
+/// The level if levels are rates, which never changes; high enough to admit everything.
 const UNLIMITED_RATE: f64 = 1e6;
 
 /// The admission levels and the budget from which they are computed.
@@ -39,7 +40,8 @@
     pub(super) budget: Option<f64>,
     /// The mean joined rate over the window in which the budget was measured.
     budget_joined_rate: f64,
-    /// When the budget was last measured or proxies were last seen joining, whichever is later.
+    /// When the budget was last measured or proxies were last seen joining, whichever is later. The budget is
+    /// not measured again before reports of attempts that began after this have arrived.
     last_measured: Moment,
 }
 
@@ -79,6 +81,9 @@
         config: &ControllerConfig,
     ) {
         let window = load.window_secs();
+        // `joined_rate_sum` grows by one joined rate per evaluation, and evaluations are 1 s apart; divided
+        // by the window in seconds, it is therefore the mean joined rate.
+        //
         // Reports cover only the proxies that were joined at the time. While more are joining, the reports do
         // not represent the load of all of them.
         if joined_rate * window > load.joined_rate_sum * JOINING_RATE_RATIO {
