--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -1,10 +1,12 @@
 //! Ejection of draining and removed endpoints from proxies with stale tables.
 //!
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
-//! that it selected when it started, or a table from an earlier stream. Weight changes don't reach it, only
-//! ejections do. At the end of each event, [`Controller`] ejects every endpoint that left and is in none of
-//! its tables, in the order in which they left. While the channel is busy, or the ejections would make it so,
-//! they are collected for a part of the drain grace, since assigning the proxies makes them unnecessary.
+//! that it selected when it started, or a table from an earlier stream. Ejections apply to it in any case,
+//! weight changes are sent to it only if it is assumed to hold its present table still (`receives_updates`).
+//! At the end of each event, [`Controller`] ejects every endpoint that left (is draining or removed) and is
+//! in none of its tables, in the order in which they left. While the channel is busy, or the ejections would
+//! make it busy, ejections are held back for a part of the drain grace, since assigning the proxies makes
+//! them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -34,8 +36,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Records since when ejections are pending while they can't be sent because lost commands are waiting
-    /// to be resent, so that the waiting time counts towards the collection time.
+    /// Called while lost commands wait to be resent: records when ejections became pending, so that this wait
+    /// counts as collection time.
     pub(super) fn track_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
@@ -44,15 +46,16 @@
     }
 
     /// Ejects endpoints that left from the proxies with stale tables. Returns whether ejections were deferred
-    /// because the channel is full.
+    /// because the queue is too long, a proxy may not be sent a message now, or those that fit would make too
+    /// small a batch; ejections that are still being collected don't count.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
         limits: &ChannelLimits,
         is_queue_short: bool,
     ) -> bool {
-        let leaving = self.endpoints_to_eject();
-        let total_cost = self.ejection_cost(leaving.len(), limits);
+        let to_eject = self.endpoints_to_eject();
+        let total_cost = self.ejection_cost(to_eject.len(), limits);
         let since = self.ejection.pending_since.unwrap_or(now);
         let collection_time = (self.config.drain_grace - self.config.max_transit) * COLLECTION_GRACE_FRACTION;
         // On a busy channel, ejecting the few endpoints of each event separately would cost a message to
@@ -66,31 +69,31 @@
         let unassigned = self.proxies.matching(|proxy| !proxy.is_assigned);
         let available = self.channel.available_lines(now, Urgency::Urgent, &unassigned, limits);
         let cost = |count| self.ejection_cost(count, limits);
-        let count = if is_queue_short { limits.largest_batch(leaving.len(), available, cost) } else { 0 };
-        for id in &leaving[..count] {
-            let endpoint = self.endpoints.get_mut(id).expect("leaving endpoints are registered");
+        let count = if is_queue_short { limits.largest_batch(to_eject.len(), available, cost) } else { 0 };
+        for id in &to_eject[..count] {
+            let endpoint = self.endpoints.get_mut(id).expect("endpoints to eject are registered");
             endpoint.mark_ejected();
             self.host.eject_endpoint(id);
         }
         self.record_ejections(now, count, limits);
-        let has_deferred = count < leaving.len();
+        let has_deferred = count < to_eject.len();
         self.ejection.pending_since = has_deferred.then_some(since);
         has_deferred
     }
 
-    /// The endpoints that left, are in no table and are not ejected from all proxies, in the order in which
-    /// they left.
+    /// The endpoints that left, are in no table and that proxies with stale tables may still use, in the
+    /// order in which they left.
     fn endpoints_to_eject(&self) -> Vec<EndpointId> {
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
-        let mut leaving = Vec::new();
+        let mut to_eject = Vec::new();
         for (id, endpoint) in self.endpoints.iter() {
             if endpoint.needs_ejection() && !in_tables.contains(id) {
-                leaving.push((endpoint.last_ready, id.clone()));
+                to_eject.push((endpoint.last_ready, id.clone()));
             }
         }
-        leaving.sort();
-        leaving.into_iter().map(|(_, id)| id).collect()
+        to_eject.sort();
+        to_eject.into_iter().map(|(_, id)| id).collect()
     }
 
     /// The estimated cost of a number of ejections or restorations at each unassigned proxy. An initial table
@@ -103,10 +106,10 @@
         let all = ejections as f64;
         let lines_per_entry = all * STALE_LINES_MARGIN / self.endpoints.len().max(1) as f64;
         let initial_entries = f64::from(self.config.initial_table_size);
-        let assigned_entries = limits.max_table_size as f64;
+        let former_table_entries = limits.max_table_size as f64;
         let message_overhead = limits.message_overhead;
         let cost = move |number: u32, proxy: &Proxy| {
-            let entries = if proxy.has_initial_table { initial_entries } else { assigned_entries };
+            let entries = if proxy.has_initial_table { initial_entries } else { former_table_entries };
             let lines = (lines_per_entry * entries).min(all);
             StaleProxyCost { proxy: number, lines, overhead: message_overhead * lines.min(1.0) }
         };
