--- a/control-plane/src/controller_restart.rs
+++ b/control-plane/src/controller_restart.rs
@@ -1,5 +1,5 @@
 //! Runs the controller and restarts it when it panics. The process continues, and the new controller takes
-//! over the host with its knowledge of the fleet.
+//! over the host with the state of the fleet.
 
 use crate::config::Config;
 use crate::relay_host::RelayHost;
@@ -9,7 +9,7 @@
 use slog::{error, Logger};
 use std::rc::Rc;
 
-/// The running controller, and what is needed to start its replacement.
+/// The running controller, and the parameters for starting its replacement.
 pub struct RestartableController {
     controller: Controller<RelayHost>,
     config: Rc<Config>,
@@ -27,14 +27,14 @@
         let validator = CommandValidator::new(&config.controller);
         let host = RelayHost::new(validator, config.names.clone(), now, log.clone());
         let mut controller = Controller::start(host, config.controller.clone(), config.seed, now);
-        controller.host().replace_endpoint_list(&config.known_endpoints);
+        controller.host_mut().replace_endpoint_list(&config.known_endpoints);
         controller.endpoint_list_replaced(now, &config.known_endpoints);
         RestartableController { controller, config, log, starts: 1 }
     }
 
     /// The controller's host.
-    pub fn host(&mut self) -> &mut RelayHost {
-        self.controller.host()
+    pub fn host_mut(&mut self) -> &mut RelayHost {
+        self.controller.host_mut()
     }
 
     /// The number of controllers started since the process started.
@@ -58,11 +58,11 @@
         }
     }
 
-    /// Starts a new controller with the fleet that the old controller's host knows.
+    /// Starts a new controller with the fleet state of the old controller's host.
     ///
-    /// The new controller is first told of the removed and ejected endpoints. The relay may still hold
-    /// commands of the old controller about them, so the new one must remove them from the tables or restore
-    /// them.
+    /// The first event that the new controller handles lists the removed and ejected endpoints. The relay may
+    /// still hold commands of the old controller about them, so the new one must remove them from the tables
+    /// or restore them.
     pub fn restart(&mut self, now: Moment) {
         error!(self.log, "controller restarted");
         let mut host = self.take_host(now);
@@ -90,7 +90,7 @@
     fn take_host(&mut self, now: Moment) -> RelayHost {
         let names = self.config.names.clone();
         let empty = RelayHost::new(CommandValidator::default(), names, now, self.log.clone());
-        std::mem::replace(self.controller.host(), empty)
+        std::mem::replace(self.controller.host_mut(), empty)
     }
 }
 
--- a/emulator/src/testbed/setup.rs
+++ b/emulator/src/testbed/setup.rs
@@ -80,11 +80,11 @@
 ) -> ProxySpec {
     let settings = &fleet.proxies;
     let default_retry =
-        if settings.retries_unexecuted_attempts { RetryPolicy::IfNeverRan } else { RetryPolicy::Never };
+        if settings.retries_unexecuted_attempts { RetryPolicy::IfNotExecuted } else { RetryPolicy::Never };
     ProxySpec {
         number,
         zone,
-        request_classes: fleet.request_classes.len(),
+        request_class_count: fleet.request_classes.len(),
         initial_table_size: settings.initial_table_size as usize,
         assigned_table,
         default_retry,
--- a/fleet/src/captured_load/findings.rs
+++ b/fleet/src/captured_load/findings.rs
@@ -7,7 +7,7 @@
 /// The maximum number of findings of one kind that are printed.
 const MAX_PRINTED: usize = 20;
 
-/// What was read from a capture, left out of it or corrected in it.
+/// The records that were read from a capture, left out or corrected, and the anomalies that were found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadFindings {
     /// The number of requests in the load.
@@ -29,7 +29,7 @@
     /// The number of requests left out because the fleet lacks their class or zone, by the name of that class
     /// or zone.
     pub unknown_names: BTreeMap<String, u64>,
-    /// The time of the last request, in seconds since the load began.
+    /// The time of the last request, in seconds since the start of the load.
     pub last_request_at: f64,
 }
 
@@ -43,7 +43,7 @@
     pub step_seconds: f64,
 }
 
-/// An unusually long period without a request, in seconds since the load began.
+/// An unusually long period without a request, in seconds since the start of the load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Gap {
     /// The time of the last request before it.
--- a/fleet/src/load_summary.rs
+++ b/fleet/src/load_summary.rs
@@ -8,7 +8,7 @@
 pub struct LoadSummary {
     /// The number of requests.
     pub requests: u64,
-    /// The time of the last request, in seconds since the load began.
+    /// The time of the last request, in seconds since the start of the load.
     pub last_request_at: f64,
     /// The number of requests of each class.
     pub requests_by_class: Vec<u64>,
@@ -31,7 +31,7 @@
 /// The totals of the requests within one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTotals {
-    /// The start of the second, in seconds since the load began.
+    /// The start of the second, in seconds since the start of the load.
     pub second: u64,
     /// The number of requests.
     pub requests: u64,
@@ -42,12 +42,12 @@
 impl LoadSummary {
     /// An empty summary of load for a fleet.
     pub fn new(fleet: &Fleet) -> Self {
-        let (request_classes, zones) = (fleet.request_classes.len(), fleet.zones.len());
+        let (request_class_count, zone_count) = (fleet.request_classes.len(), fleet.zones.len());
         LoadSummary {
-            requests_by_class: vec![0; request_classes],
-            requests_by_zone: vec![0; zones],
-            work_by_class: vec![0.0; request_classes],
-            max_work_by_class: vec![0.0; request_classes],
+            requests_by_class: vec![0; request_class_count],
+            requests_by_zone: vec![0; zone_count],
+            work_by_class: vec![0.0; request_class_count],
+            max_work_by_class: vec![0.0; request_class_count],
             ..LoadSummary::default()
         }
     }
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -75,7 +75,7 @@
     /// Whether an endpoint finishes a request that it has started when the client has stopped waiting for it.
     /// A queued request is dropped in either case.
     pub finishes_abandoned_requests: bool,
-    /// The uptime of the endpoints when the load begins; `None` if it is long enough for them to be warm.
+    /// The uptime of the endpoints when the load starts; `None` if it is long enough for them to be warm.
     pub uptime: Option<Span>,
 }
 
@@ -253,7 +253,7 @@
     /// The slow-start window in the configuration of the control plane.
     pub slow_start_window: Span,
     /// Whether requests that cross zones have a cost, so that each zone prefers its own endpoints.
-    pub cross_zone_costs: bool,
+    pub has_cross_zone_costs: bool,
 }
 
 /// The service-level objectives of a fleet. A service level is the fraction of the priority weight of
--- a/simulation/src/proxy.rs
+++ b/simulation/src/proxy.rs
@@ -1,5 +1,6 @@
 //! Simulated proxies. A proxy admits or rejects client attempts, chooses endpoints by weight, reuses
-//! connections, retries attempts that are proven not to have run, and counts outcomes for the load report.
+//! connections, retries attempts that are known not to have been executed, and counts outcomes for the load
+//! report.
 
 use crate::clock::{micros, Time};
 use crate::control_plane_instance::OutcomeKey;
@@ -26,12 +27,12 @@
     pub table: Arc<TableSnapshot>,
     /// Whether `table` is fixed or was assigned, as opposed to the initial table.
     pub has_assigned_table: bool,
-    /// When the proxy is done applying messages. It handles no client attempts before then.
+    /// When the proxy has finished applying messages. It handles no client attempts before then.
     pub paused_until: Time,
     /// The idle connections to each endpoint.
     pub pools: FxHashMap<u32, ConnectionPool>,
     /// The number of the proxy's stream to its control-plane instance, increased on every connect and
-    /// disconnect. Whatever was sent on an earlier stream is lost.
+    /// disconnect. Messages that were sent on an earlier stream are lost.
     pub stream: u32,
     pub up: bool,
 }
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Adds the outcome of an attempt to the load report at the time at which the proxy learns it.
+    /// Adds the outcome of an attempt to the load report at the time at which it reaches the proxy.
     fn record_outcome(&mut self, attempt: &Attempt, answered: bool) {
         let proxy = &self.proxies[attempt.proxy as usize];
         let Some(instance) = proxy.instance else { return };
@@ -218,13 +219,13 @@
         self.instances[instance as usize].record_outcome(key, answered, latency);
     }
 
-    /// Retries, at another endpoint, an attempt that never ran. Returns false if the retry policy forbids it
-    /// or the table has no other endpoint.
+    /// Retries, at another endpoint, an attempt that was not executed. Returns false if the retry policy
+    /// forbids it or the table has no other endpoint.
     fn retry_at_another_endpoint(&mut self, slot: u32, failed_attempt: &Attempt) -> bool {
         let table = &self.proxies[failed_attempt.proxy as usize].table;
         let policy = match table.admission[self.requests[slot].class] {
             Some(level) => level.retry,
-            None if self.fleet.proxies.retries_unexecuted_attempts => RetryPolicy::IfNeverRan,
+            None if self.fleet.proxies.retries_unexecuted_attempts => RetryPolicy::IfNotExecuted,
             None => RetryPolicy::Never,
         };
         if policy == RetryPolicy::Never {
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -3,10 +3,10 @@
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
 //! that it selected when it started, or a table from an earlier stream. Ejections apply to it in any case,
 //! weight changes are sent to it only if it is assumed to hold its present table still (`receives_updates`).
-//! At the end of each event, [`Controller`] ejects every endpoint that left (is draining or removed) and is
-//! in none of its tables, in the order in which they left. While the channel is busy, or the ejections would
-//! make it busy, ejections are held back for a part of the drain grace, since assigning the proxies makes
-//! them unnecessary.
+//! At the end of each event, [`Controller`] ejects every endpoint that is no longer ready and is in none of
+//! its tables, in the order in which they stopped being ready. While the channel is busy, or the ejections
+//! would make it busy, ejections are held back for a part of the drain grace, since assigning the proxies
+//! makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Ejects endpoints that left from the proxies with stale tables. Returns whether ejections were deferred
-    /// because the queue is too long, a proxy may not be sent a message now, or those that fit would make too
-    /// small a batch; ejections that are still being collected don't count.
+    /// Ejects endpoints that are no longer ready from the proxies with stale tables. Returns whether
+    /// ejections were deferred because the queue is too long, a proxy may not be sent a message now, or those
+    /// that fit would make too small a batch; ejections that are still being collected don't count.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
@@ -81,8 +81,8 @@
         has_deferred
     }
 
-    /// The endpoints that left, are in no table and that proxies with stale tables may still use, in the
-    /// order in which they left.
+    /// The endpoints that are no longer ready, are in no table and may still be used by proxies with stale
+    /// tables, in the order in which they stopped being ready.
     fn endpoints_to_eject(&self) -> Vec<EndpointId> {
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -2,10 +2,10 @@
 //!
 //! [`Controller`] publishes at the end of each event. Urgent changes (an endpoint leaves the table or has
 //! restarted, or the table was empty) are sent as soon as the queue is short, in batches that fit into it;
-//! endpoints that left first are in the first batch. If the batch holds all urgent changes, each of its
-//! messages also carries the ordinary changes of its table that fit. The more channel time the previous
-//! ordinary changes took, the longer new ones are collected. Only changes that were sent through the host are
-//! marked as published.
+//! endpoints that stopped being ready first are in the first batch. If the batch holds all urgent changes,
+//! each of its messages also carries the ordinary changes of its table that fit. The more channel time the
+//! previous ordinary changes took, the longer new ones are collected. Only changes that were sent through the
+//! host are marked as published.
 
 use super::admission::RETRY_POLICY;
 use super::changes::{self, TableChanges, WeightChange};
@@ -49,7 +49,7 @@
 
 /// The endpoints with urgent changes, and how many of them are sent now.
 struct UrgentBatch {
-    /// The position of each endpoint in the order of `last_ready`.
+    /// The position of each endpoint in the order in which the endpoints were last ready.
     positions: BTreeMap<EndpointId, usize>,
     /// The number of endpoints whose urgent changes are sent now, counted from position 0.
     size: usize,
@@ -61,8 +61,8 @@
         let mut ordered = BTreeSet::new();
         for change in pending.iter().flat_map(|table| &table.changes) {
             if change.is_urgent {
-                let left = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
-                ordered.insert((left, change.id.clone()));
+                let last_ready = endpoints.get(&change.id).map(|endpoint| endpoint.last_ready);
+                ordered.insert((last_ready, change.id.clone()));
             }
         }
         let positions = ordered.into_iter().enumerate().map(|(position, (_, id))| (id, position));
@@ -193,7 +193,7 @@
             self.schedule_recheck();
             return Vec::new();
         }
-        table.carried_since = None;
+        table.retained_since = None;
         changes::weight_changes(table, desired, receivers, limits)
     }
 
--- a/textproto/src/validator.rs
+++ b/textproto/src/validator.rs
@@ -60,24 +60,24 @@
     }
 
     /// Returns the value if it is within bounds; else reports an error and returns the lower bound. `unit`
-    /// follows the value in the error.
+    /// follows the bounds in the error.
     pub fn in_range(&self, value: f64, bounds: RangeInclusive<f64>, unit: &str) -> f64 {
         if bounds.contains(&value) {
             return value;
         }
         let (min, max) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {min} to {max} {unit}"));
+        self.report(format!("{value} is out of range; expected {min} to {max} {unit}"));
         min
     }
 
     /// Returns the integer if it is within bounds; else reports an error and returns the lower bound. `unit`
-    /// follows the value in the error.
+    /// follows the bounds in the error.
     pub fn count_in_range(&self, value: u32, bounds: RangeInclusive<u32>, unit: &str) -> u32 {
         if bounds.contains(&value) {
             return value;
         }
         let (min, max) = (*bounds.start(), *bounds.end());
-        self.report(format!("{value} {unit} is out of range; expected {min} to {max}"));
+        self.report(format!("{value} is out of range; expected {min} to {max} {unit}"));
         min
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Returns the position of a name in the known names; if it isn't one of them, reports an error and
-    /// returns 0. `kind` says what kind of thing the names refer to.
+    /// returns 0. `kind` is the kind of object that the names refer to.
     pub fn position_of(&self, name: &str, known: &[String], kind: &str) -> usize {
         if let Some(position) = known.iter().position(|known_name| known_name == name) {
             return position;
