--- a/src/controller/admission.rs
+++ b/src/controller/admission.rs
@@ -22,8 +22,8 @@
 const BUDGET_GROWTH: f64 = 1.08;
 /// The budget is removed once it reaches this multiple of the demand.
 const BUDGET_REMOVAL_RATIO: f64 = 1.2;
-/// Proxies are considered to be still joining while the joined rate exceeds this multiple of its mean over
-/// the window.
+/// Proxies are considered to be still joining while the joined request rate exceeds this multiple of its mean
+/// over the window.
 const JOINING_RATE_RATIO: f64 = 1.25;
 /// The lowest admission level of any class.
 const MIN_LEVEL: f64 = 0.1;
@@ -38,8 +38,8 @@
     pub(super) levels: Vec<f64>,
     /// The total requests per second to admit; `None` means no limit.
     pub(super) budget: Option<f64>,
-    /// The mean joined rate over the window in which the budget was measured.
-    budget_joined_rate: f64,
+    /// The mean joined request rate over the window in which the budget was measured.
+    budget_joined_request_rate: f64,
     /// When the budget was last measured or proxies were last seen joining, whichever is later. The budget is
     /// not measured again before reports of attempts that began after this have arrived.
     last_measured: Moment,
@@ -52,24 +52,24 @@
         Admission {
             levels: vec![unlimited; config.request_classes.len()],
             budget: None,
-            budget_joined_rate: 0.0,
+            budget_joined_request_rate: 0.0,
             last_measured: Moment::default(),
         }
     }
 
-    /// Adapts the budget and the levels to the load. `joined_rate` is the summed usual request rate of the
-    /// joined proxies.
+    /// Adapts the budget and the levels to the load. `joined_request_rate` is the summed usual request rate
+    /// of the joined proxies.
     pub(super) fn shed_load(
         &mut self,
         now: Moment,
         load: &mut FleetLoad,
-        joined_rate: f64,
+        joined_request_rate: f64,
         config: &ControllerConfig,
     ) {
-        load.joined_rate_sum += joined_rate;
+        load.joined_request_rate_sum += joined_request_rate;
         let overloaded = load.assess();
-        self.update_budget(now, load, overloaded, joined_rate, config);
-        self.update_levels(load, joined_rate, config);
+        self.update_budget(now, load, overloaded, joined_request_rate, config);
+        self.update_levels(load, joined_request_rate, config);
     }
 
     fn update_budget(
@@ -77,21 +77,21 @@
         now: Moment,
         load: &FleetLoad,
         overloaded: bool,
-        joined_rate: f64,
+        joined_request_rate: f64,
         config: &ControllerConfig,
     ) {
         let window = load.window_secs();
-        // `joined_rate_sum` grows by one joined rate per evaluation, and evaluations are 1 s apart; divided
-        // by the window in seconds, it is therefore the mean joined rate.
+        // `joined_request_rate_sum` grows by one joined request rate per evaluation, and evaluations are 1 s
+        // apart; divided by the window in seconds, it is therefore the mean joined request rate.
         //
         // Reports cover only the proxies that were joined at the time. While more are joining, the reports do
         // not represent the load of all of them.
-        if joined_rate * window > load.joined_rate_sum * JOINING_RATE_RATIO {
+        if joined_request_rate * window > load.joined_request_rate_sum * JOINING_RATE_RATIO {
             self.last_measured = now;
         }
         if overloaded && now - self.last_measured >= REPORT_DELAY + config.report_interval {
             self.budget = Some(load.answered_in_window / window * BUDGET_FRACTION_OF_ANSWERED);
-            self.budget_joined_rate = load.joined_rate_sum / window;
+            self.budget_joined_request_rate = load.joined_request_rate_sum / window;
             self.last_measured = now;
         } else if !load.is_degraded {
             let demand = load.demand.iter().sum::<f64>() / window;
@@ -100,14 +100,14 @@
         }
     }
 
-    fn update_levels(&mut self, load: &FleetLoad, joined_rate: f64, config: &ControllerConfig) {
+    fn update_levels(&mut self, load: &FleetLoad, joined_request_rate: f64, config: &ControllerConfig) {
         if config.admission != AdmissionMode::Fraction {
             return;
         }
         // The budget was measured for the proxies that were joined at the time. It scales up as more of them
         // join; otherwise the requests of a zone that reconnects would be rejected until the budget has
         // grown.
-        let growth = (joined_rate / self.budget_joined_rate.max(1e-9)).max(1.0);
+        let growth = (joined_request_rate / self.budget_joined_request_rate.max(1e-9)).max(1.0);
         let mut remaining = self.budget.map_or(f64::INFINITY, |budget| budget * growth);
         let window = load.window_secs();
         for class in classes_by_priority(config) {
--- a/src/controller/admission/tests.rs
+++ b/src/controller/admission/tests.rs
@@ -20,7 +20,7 @@
 
 /// A controller shortly after its start, evaluated with the given attempts of the proxies that joined first.
 /// All attempts were answered; only the median outlier score indicates overload.
-fn just_started(attempts: f64, mean_joined_rate: f64) -> TestController {
+fn just_started(attempts: f64, mean_joined_request_rate: f64) -> TestController {
     let mut controller = running_controller(config(), &["a", "b"], 4);
     let window = Span::from_secs(2.0);
     controller.fleet_load = FleetLoad {
@@ -30,7 +30,7 @@
         answered: attempts,
         answered_in_window: attempts,
         median_score: 0.3,
-        joined_rate_sum: mean_joined_rate * window.as_secs(),
+        joined_request_rate_sum: mean_joined_request_rate * window.as_secs(),
         ..FleetLoad::default()
     };
     controller.shed_load(at(9.0));
@@ -48,11 +48,12 @@
     // The joined proxies now have a usual load of 40 requests per second, four times the mean.
     let mut controller = just_started(20.0, 10.0);
     assert_eq!(controller.admission.budget, None);
-    // The joined rate stays the same. The budget is measured once reports from all proxies can have arrived.
-    controller.fleet_load.joined_rate_sum = 80.0;
+    // The joined request rate stays the same. The budget is measured once reports from all proxies can have
+    // arrived.
+    controller.fleet_load.joined_request_rate_sum = 80.0;
     controller.shed_load(at(11.9));
     assert_eq!(controller.admission.budget, None);
-    controller.fleet_load.joined_rate_sum = 80.0;
+    controller.fleet_load.joined_request_rate_sum = 80.0;
     controller.shed_load(at(12.0));
     assert!(controller.admission.budget.is_some());
 }
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -38,7 +38,7 @@
     /// Attempts that were answered within the window; decays as the window does.
     pub(super) answered_in_window: f64,
     /// The joined request rate, summed over the evaluations of the window.
-    pub(super) joined_rate_sum: f64,
+    pub(super) joined_request_rate_sum: f64,
     /// The length of the decaying window.
     pub(super) window: Span,
     /// The median outlier score at the last evaluation.
@@ -99,7 +99,7 @@
         self.attempts /= 4.0;
         self.answered /= 4.0;
         self.answered_in_window /= 2.0;
-        self.joined_rate_sum /= 2.0;
+        self.joined_request_rate_sum /= 2.0;
         self.window = self.window * 0.5;
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -263,8 +263,8 @@
 
     /// Adapts the admission levels to the load: lowers them under overload and raises them again afterwards.
     fn shed_load(&mut self, now: Moment) {
-        let joined_rate = self.proxies.joined_rate();
-        self.admission.shed_load(now, &mut self.fleet_load, joined_rate, &self.config);
+        let joined_request_rate = self.proxies.joined_request_rate();
+        self.admission.shed_load(now, &mut self.fleet_load, joined_request_rate, &self.config);
     }
 
     /// Forgets endpoints that were removed long ago and lifts their ejections, so that their ids can be used
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -99,7 +99,7 @@
     }
 
     /// The total usual request rate of all joined proxies, in requests per second.
-    pub(super) fn joined_rate(&self) -> f64 {
+    pub(super) fn joined_request_rate(&self) -> f64 {
         self.joined.values().map(|proxy| proxy.rate).sum::<f64>()
     }
 
