--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -41,8 +41,8 @@
     admission_levels: BTreeMap<usize, f64>,
     /// The factor applied to the weights of endpoints of other zones.
     remote_factor: f64,
-    /// When the table started to retain its weights although all of its endpoints were removed from the list;
-    /// `None` if it does not.
+    /// When the table started to retain its weights although none is desired, because an endpoint that was
+    /// removed from the list answered recently; `None` if it does not.
     pub(super) retained_since: Option<Moment>,
     /// When commands for this table were last sent.
     pub(super) last_sent: Moment,
