--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -1,8 +1,9 @@
 //! Accounting of the channel to the proxies: which lines were sent into it, and which are known to have left
 //! it.
 //!
-//! All amounts are in lines, the unit in which the channel's limits are stated. The backlog only counts; the
-//! limits that are compared with it belong to the controller's `channel` module.
+//! All amounts are in lines. A line is the unit of the channel's cost: one command sent to one proxy; the
+//! overhead of a message is stated in lines too. The backlog only counts; the limits that are compared with
+//! it belong to the controller's `channel` module.
 
 use crate::time::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,8 +17,9 @@
     sent_at: Moment,
     /// The number by which the proxies acknowledge the batch, or [`UNNUMBERED`].
     number: u32,
-    /// Lines recorded before this batch, plus lines of this batch that are known to have left the channel.
-    lines_before: f64,
+    /// Lines that are known to have left the channel once a proxy acknowledges this batch: all that were
+    /// recorded before it, plus those of its own messages that were acknowledged.
+    cleared_lines: f64,
     /// Lines of this batch that may still be queued.
     lines_by_proxy: BTreeMap<u32, f64>,
 }
@@ -51,7 +53,7 @@
     /// When lines were last recorded or acknowledged.
     pub last_activity: Moment,
     message_times: BTreeMap<u32, VecDeque<Moment>>,
-    last_number: u32,
+    last_acknowledgement_number: u32,
 }
 
 impl ChannelBacklog {
@@ -92,14 +94,15 @@
         if self.queued_lines(now) <= 0.0 {
             self.batches.clear();
         }
-        // An unnumbered batch is never acknowledged itself; its lines count as lines before the next batch.
+        // An unnumbered batch is never acknowledged itself; its lines count as recorded before the next
+        // batch.
         if self.batches.back().is_some_and(|batch| batch.number == UNNUMBERED) {
             self.batches.pop_back();
         }
         self.batches.push_back(Batch {
             sent_at: now,
             number: UNNUMBERED,
-            lines_before: self.recorded_lines,
+            cleared_lines: self.recorded_lines,
             lines_by_proxy: BTreeMap::new(),
         });
         let excess = self.batches.len().saturating_sub(Self::MAX_BATCHES);
@@ -111,8 +114,8 @@
         self.queued_at = now;
     }
 
-    /// Records the latest batch again, as sent now, if it was sent at `sent_at`: the channel may carry both
-    /// copies. Returns its lines and the number that acknowledges the second copy.
+    /// If the latest batch was sent at `sent_at`, records a copy of its unacknowledged messages as sent now,
+    /// since the channel may carry both. Returns the copy's lines and the number that acknowledges it.
     pub fn record_resend(&mut self, now: Moment, sent_at: Moment) -> (f64, Option<u32>) {
         let latest = self.batches.back().filter(|batch| batch.sent_at == sent_at);
         let lines_by_proxy = latest.map(|batch| batch.lines_by_proxy.clone()).unwrap_or_default();
@@ -122,13 +125,13 @@
         (lines_by_proxy.values().sum(), self.request_acknowledgement(now))
     }
 
-    /// Numbers the batch that is sent now, which makes each of its messages one line longer; `None` if there
-    /// is no such batch.
+    /// Numbers the batch that is sent now, which makes each of its messages one line longer. Returns the
+    /// number, or `None` if there is no such batch.
     pub fn request_acknowledgement(&mut self, now: Moment) -> Option<u32> {
         let batch = self.batches.back_mut().filter(|batch| batch.sent_at == now)?;
         if batch.number == UNNUMBERED {
-            self.last_number = self.last_number % 65_535 + 1;
-            batch.number = self.last_number;
+            self.last_acknowledgement_number = self.last_acknowledgement_number % 65_535 + 1;
+            batch.number = self.last_acknowledgement_number;
         }
         for lines in batch.lines_by_proxy.values_mut() {
             *lines += 1.0;
@@ -139,14 +142,14 @@
         Some(batch.number)
     }
 
-    /// Handles a proxy's acknowledgement: its message of that batch and all earlier batches have left the
-    /// channel.
+    /// Handles a proxy's acknowledgement: this proxy's message of the batch, and all messages of earlier
+    /// batches to any proxy, have left the channel.
     pub fn acknowledged(&mut self, now: Moment, number: u32, proxy: u32) {
         let Some(position) = self.batches.iter().position(|batch| batch.number == number) else { return };
         self.batches.drain(..position);
         let batch = &mut self.batches[0];
-        batch.lines_before += batch.lines_by_proxy.remove(&proxy).unwrap_or(0.0);
-        let remaining = self.recorded_lines - batch.lines_before;
+        batch.cleared_lines += batch.lines_by_proxy.remove(&proxy).unwrap_or(0.0);
+        let remaining = self.recorded_lines - batch.cleared_lines;
         self.set_queued(now, self.queued_lines(now).min(remaining));
         self.last_activity = now;
     }
