--- a/src/host.rs
+++ b/src/host.rs
@@ -33,7 +33,7 @@
     pub weight: f64,
     /// The state at the time of the update.
     pub state: EndpointState,
-    /// When the endpoint last started; `None` if that was long ago.
+    /// When the endpoint last started; `None` if that is unknown or was long ago: it then counts as warm.
     pub started: Option<Moment>,
 }
 
@@ -57,7 +57,7 @@
     Evaluation = 1,
     /// The jittered retry of assignments that wait for a usable route table.
     AssignmentRetry = 2,
-    /// The next attempt to subscribe to the endpoint list.
+    /// The next attempt to watch the endpoint list.
     WatchRetry = 3,
     /// A short delay, after which the controller tries again to issue commands that were deferred.
     Recheck = 4,
@@ -92,16 +92,18 @@
     fn eject_endpoint(&mut self, endpoint: &EndpointId);
     /// Lifts the ejection of an endpoint.
     fn restore_endpoint(&mut self, endpoint: &EndpointId);
-    /// Drops an endpoint that was removed long ago: no command names it unless it is listed again.
+    /// Allows the host to discard what it keeps about an endpoint that was removed long ago: no command names
+    /// it unless it is listed again.
     fn forget_endpoint(&mut self, endpoint: &EndpointId);
-    /// Sets the admission level of some request classes in a table, and the retry policy of its proxies.
+    /// Sets the admission level of some request classes in a table, and the retry policy of its proxies. The
+    /// unit of `admitted` is that of the configured [`AdmissionMode`](crate::config::AdmissionMode).
     fn set_admission(&mut self, table: u32, classes: RequestClassSet, admitted: f64, retry: RetryPolicy);
     /// Asks each proxy that receives commands issued at this time to acknowledge them with this number.
     fn request_acknowledgement(&mut self, number: u32);
     /// Resends the commands that were reported to
     /// [`Controller::commands_lost`](crate::controller::Controller::commands_lost).
     fn resend_commands(&mut self);
-    /// Subscribes to the endpoint list.
+    /// Starts to watch the endpoint list.
     fn watch_endpoints(&mut self);
     /// Calls [`Controller::timer_fired`](crate::controller::Controller::timer_fired) with this timer after a
     /// delay.
