--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether there are commands to send, or a failed call to recover from.
-    pub fn is_pending(&self) -> bool {
+    pub fn needs_delivery(&self) -> bool {
         !self.pending.is_empty() || self.failing
     }
 
--- a/control-plane/src/control_loop.rs
+++ b/control-plane/src/control_loop.rs
@@ -121,7 +121,7 @@
             }
             let commands = self.controller.host_mut().take_commands();
             self.delivery.enqueue(commands);
-            if !self.delivery.is_pending() {
+            if !self.delivery.needs_delivery() {
                 return;
             }
             let outcome = self.delivery.deliver().await;
