--- a/control-plane/src/command_delivery.rs
+++ b/control-plane/src/command_delivery.rs
@@ -1,7 +1,8 @@
-//! Delivers commands to the relay, one call at a time and in the order in which they were issued.
+//! Delivers commands to the relay, which forwards them to the proxies, one call at a time and in the order in
+//! which they were issued.
 //!
 //! Commands stay pending until the relay has accepted or rejected them. After a failed call no other command
-//! is sent before them, and the controller decides when they are resent.
+//! is sent before those of that call, and the controller decides when they are resent.
 
 use crate::call_error::CallError;
 use crate::client::PeerClient;
@@ -17,12 +18,13 @@
 use tokio::sync::watch;
 
 const PATH: &str = "/v3/kv/batches";
-/// The relay responds within 50 ms or not at all. The rest allows for opening a new connection and for a
-/// process that is scheduled late. The controller must react to an unresponsive relay within 1.5 s of the
-/// call.
+/// The maximum duration of a call. The relay responds within 50 ms or not at all. The rest allows for opening
+/// a new connection and for a process that is scheduled late. The controller must react to an unresponsive
+/// relay within 1.5 s of the call.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// The length at which an unusable response is truncated in the error text.
+/// The length at which an unusable response is truncated before it is classified and quoted in the error
+/// text.
 const MAX_QUOTED_CHARS: usize = 120;
 
 /// The outcome of an attempt to deliver the pending commands.
@@ -31,7 +33,7 @@
     Accepted,
     /// The relay rejected this command and accepted all before it. Those after it are still pending.
     Rejected(Command),
-    /// A call failed and may be resent unchanged.
+    /// A call failed; its commands are still pending and may be resent.
     Failed(CallError),
     /// The relay reported the same call as invalid twice, which rules out a corrupted response.
     Invalid(CallError),
@@ -43,7 +45,7 @@
     client: PeerClient,
     log: Logger,
     pending: VecDeque<Command>,
-    /// Whether the latest call failed.
+    /// Whether a call has failed since the pending commands were last accepted completely or discarded.
     failing: bool,
     /// Whether the relay reported the latest call as invalid.
     last_call_invalid: bool,
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Whether the latest call failed. Pending commands then wait until the controller requests a resend.
+    /// Whether a call has failed since the pending commands were last accepted completely or discarded.
+    /// Pending commands then wait until the controller requests a resend.
     pub fn is_failing(&self) -> bool {
         self.failing
     }
@@ -83,7 +86,8 @@
         self.calls
     }
 
-    /// The number of failed calls since the start.
+    /// The number of failed calls since the start, not counting those whose outcome was
+    /// [`DeliveryOutcome::Invalid`].
     pub fn failed_calls(&self) -> u64 {
         self.failed_calls
     }
@@ -155,8 +159,8 @@
         }
     }
 
-    /// Switches to the relay's new address if it has changed. A call that failed at the old address is resent
-    /// to the new one unchanged, and no other command is sent before it there either.
+    /// Switches to the relay's new address if it has changed. The commands of a call that failed at the old
+    /// address are resent to the new one; there, too, no other command is sent before them.
     fn update_relay_address(&mut self) {
         if self.relay_address.has_changed().unwrap_or(false) {
             self.client = PeerClient::new(*self.relay_address.borrow_and_update());
@@ -185,8 +189,9 @@
     value.get("taken")?.as_u64().map(|accepted| accepted as usize)
 }
 
-/// The error of a call whose response does not state how many commands were accepted. Only an explicit
-/// rejection proves that none was executed; an internal error of the relay does not.
+/// The error of a call whose response does not state a possible number of accepted commands, or states one
+/// with an error status. Only an explicit rejection proves that none was executed; an internal error of the
+/// relay does not.
 fn response_error(status: StatusCode, response: &[u8]) -> CallError {
     let quoted: String = String::from_utf8_lossy(response).chars().take(MAX_QUOTED_CHARS).collect();
     let cause = format!("response status {status}, body: {quoted}").into();
