--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -1,11 +1,12 @@
 //! Ejection of draining and removed endpoints from proxies with stale tables.
 //!
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
-//! that it selected when it started, or a table from an earlier stream. Weight changes don't reach it, only
-//! ejections do. At the end of each event, [`Controller`] ejects every endpoint that is no longer ready
-//! and is in none of its tables, in the order in which they stopped being ready. While the channel is busy,
-//! or the ejections would make it so, they are collected for a part of the drain grace, since assigning the
-//! proxies makes them unnecessary.
+//! that it selected when it started, or a table from an earlier stream. Ejections apply to it in any case,
+//! weight changes are sent to it only if it is assumed to hold its present table still (`receives_updates`).
+//! At the end of each event, [`Controller`] ejects every endpoint that is no longer ready and is in none of
+//! its tables, in the order in which they stopped being ready. While the channel is busy, or the ejections
+//! would make it busy, ejections are held back for a part of the drain grace, since assigning the proxies
+//! makes them unnecessary.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::proxies::Proxy;
@@ -35,8 +36,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Records the time from which ejections are pending while they can't be sent because lost commands are
-    /// waiting to be resent, so that the waiting time counts towards the collection time.
+    /// Called while lost commands wait to be resent: records when ejections became pending, so that this wait
+    /// counts as collection time.
     pub(super) fn track_pending_ejections(&mut self, now: Moment) {
         let is_pending = self.endpoints.iter().any(|(_, endpoint)| endpoint.needs_ejection());
         if is_pending && self.proxies.any_unassigned() {
@@ -45,7 +46,8 @@
     }
 
     /// Ejects endpoints that are no longer ready from the proxies with stale tables. Returns whether
-    /// ejections were deferred because the channel is full.
+    /// ejections were deferred because the queue is too long, a proxy may not be sent a message now, or those
+    /// that fit would make too small a batch; ejections that are still being collected don't count.
     pub(super) fn eject_from_stale_tables(
         &mut self,
         now: Moment,
@@ -79,8 +81,8 @@
         has_deferred
     }
 
-    /// The endpoints that are no longer ready, are in no table and are not ejected from all proxies, in the
-    /// order in which they stopped being ready.
+    /// The endpoints that are no longer ready, are in no table and may still be used by proxies with stale
+    /// tables, in the order in which they stopped being ready.
     fn endpoints_to_eject(&self) -> Vec<EndpointId> {
         let tables = self.tables.by_number.values();
         let in_tables: BTreeSet<&EndpointId> = tables.flat_map(|table| table.weights.keys()).collect();
@@ -104,10 +106,10 @@
         let all = ejections as f64;
         let lines_per_entry = all * STALE_LINES_MARGIN / self.endpoints.len().max(1) as f64;
         let initial_entries = f64::from(self.config.initial_table_size);
-        let assigned_entries = limits.max_table_size as f64;
+        let former_table_entries = limits.max_table_size as f64;
         let message_overhead = limits.message_overhead;
         let cost = move |number: u32, proxy: &Proxy| {
-            let entries = if proxy.has_initial_table { initial_entries } else { assigned_entries };
+            let entries = if proxy.has_initial_table { initial_entries } else { former_table_entries };
             let lines = (lines_per_entry * entries).min(all);
             StaleProxyCost { proxy: number, lines, overhead: message_overhead * lines.min(1.0) }
         };
