--- a/control-plane/src/connector.rs
+++ b/control-plane/src/connector.rs
@@ -36,7 +36,7 @@
     /// future is dropped before, all attempts continue for the next call.
     ///
     /// # Errors
-    /// The new attempt failed. A failure of an older one is ignored, as it says nothing about the current
+    /// The new attempt failed. A failure of an older one is ignored, as it does not reflect the current
     /// state of the peer.
     pub async fn connect(
         &mut self,
--- a/emulator/src/testbed.rs
+++ b/emulator/src/testbed.rs
@@ -35,7 +35,7 @@
 /// connect.
 const EXPECTED_UTILISATION: f64 = 0.6;
 /// The least mean work that the expected rate is computed with, in seconds. It keeps the rate finite in a
-/// fleet whose requests take no work.
+/// fleet whose requests require no work.
 const MIN_MEAN_WORK: f64 = 1e-9;
 
 /// Where the proxies' route tables come from.
--- a/fleet/src/import/mod.rs
+++ b/fleet/src/import/mod.rs
@@ -120,7 +120,7 @@
 }
 
 /// Reads a log and passes each request to `sink`, with its time relative to the first request. An invalid row
-/// is rejected and the import goes on; an unreadable log or an error of the sink ends the import.
+/// is rejected and the import continues; an unreadable log or an error of the sink ends the import.
 pub fn import(
     log: impl Read,
     options: &ImportOptions,
--- a/fleet/src/load.rs
+++ b/fleet/src/load.rs
@@ -1,4 +1,4 @@
-//! The form of load that simulations and emulations take.
+//! The form of load that simulations and emulations accept.
 
 /// A request and the time at which its client sends it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/fleet/src/load_profile/generator.rs
+++ b/fleet/src/load_profile/generator.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The same requests in the form that simulations and emulations take.
+    /// The same requests in the form that simulations and emulations accept.
     pub fn requests(self) -> impl Iterator<Item = ScheduledRequest> {
         self.map(|record| ScheduledRequest {
             at: record.at_us as f64 / 1e6,
--- a/simulation/src/control_messages.rs
+++ b/simulation/src/control_messages.rs
@@ -30,7 +30,7 @@
     table: Option<Arc<TableSnapshot>>,
     /// All endpoints that were ejected when the message was sent.
     ejected: Rc<BTreeSet<u32>>,
-    /// The number to acknowledge the message with, if the controller asked for an acknowledgement.
+    /// The number to acknowledge the message with, if the controller requested an acknowledgement.
     acknowledgement: Option<u32>,
     /// The length of the message, without the per-message overhead.
     lines: f64,
--- a/simulation/src/event.rs
+++ b/simulation/src/event.rs
@@ -48,6 +48,6 @@
     SendCommands { instance: u32 },
     /// The earliest message in transit from an instance reaches its proxy.
     MessageAtProxy { instance: u32 },
-    /// A proxy's acknowledgement reaches its instance, with the number that the instance asked for.
+    /// A proxy's acknowledgement reaches its instance, with the number that the instance requested.
     Acknowledged { instance: u32, acknowledgement: u32, proxy: u32, stream: u32 },
 }
--- a/simulation/src/proxy_channel.rs
+++ b/simulation/src/proxy_channel.rs
@@ -61,7 +61,7 @@
 pub struct MessageBatch {
     /// The length of each proxy's message, in lines.
     pub lines_by_proxy: BTreeMap<u32, f64>,
-    /// The number to acknowledge the batch with, if the controller asked for an acknowledgement.
+    /// The number to acknowledge the batch with, if the controller requested an acknowledgement.
     pub acknowledgement: Option<u32>,
 }
 
--- a/simulation/src/queue.rs
+++ b/simulation/src/queue.rs
@@ -88,7 +88,7 @@
         self.current.is_empty() && self.wheel_len == 0 && self.overflow.is_empty()
     }
 
-    /// Schedules an event. An event that is due in the past is taken next.
+    /// Schedules an event. An event that is due in the past is returned next.
     pub(crate) fn push(&mut self, at: Time, phase: Phase, event: E) {
         self.scheduled_count += 1;
         let entry = Entry { at, order: (phase as u64) << 56 | self.scheduled_count, event };
--- a/src/controller/proxies/tests.rs
+++ b/src/controller/proxies/tests.rs
@@ -1,8 +1,8 @@
 use crate::host::{EndpointUpdate, Timer};
 use crate::testing::{at, config, ready, running_controller};
 
-/// When the event stream is reopened, all proxies join again without having left, and the relay goes on
-/// sending them the changes of their tables. The lines of these changes must still be recorded.
+/// When the event stream is reopened, all proxies join again without having left, and the relay continues
+/// to send them the changes of their tables. The lines of these changes must still be recorded.
 #[test]
 fn lines_to_proxies_that_join_again_are_still_counted() {
     let mut controller = running_controller(config(), &["a", "b"], 4);
--- a/src/controller/routing.rs
+++ b/src/controller/routing.rs
@@ -108,8 +108,8 @@
     }
 
     /// Updates the remote factor so that remote endpoints take the load beyond the capacity of the home zone,
-    /// and at least a small part of the load in any case. The endpoints in the table stand for those left out
-    /// of it.
+    /// and at least a small part of the load in any case. The endpoints in the table represent those that
+    /// were left out.
     fn update_remote_factor(
         &mut self,
         available: &ZoneCapacity,
--- a/textproto/src/parse.rs
+++ b/textproto/src/parse.rs
@@ -16,7 +16,7 @@
 /// A configuration file that has been parsed, and the locations of its fields.
 #[derive(Clone, Debug, Default)]
 pub struct SourceFile {
-    /// The name of the file, as errors give it.
+    /// The name of the file in the errors.
     pub file: String,
     /// The locations of the fields in the file.
     pub locations: FieldLocations,
@@ -34,8 +34,8 @@
     }
 }
 
-/// Parses a text as one message of a schema whose generated type is `T`. `file` is the name that errors give
-/// the file. Reports all unknown fields, and values that don't have the type of their field.
+/// Parses a text as one message of a schema whose generated type is `T`. `file` is the file name in the
+/// errors. Reports all unknown fields, and values that don't have the type of their field.
 pub fn parse<T: Message + Default>(
     file: &str,
     text: &str,
