--- a/control-plane/src/endpoint_list.rs
+++ b/control-plane/src/endpoint_list.rs
@@ -117,7 +117,7 @@
     fields.non_negative("share")
 }
 
-/// When the endpoint started, or `None` if the list does not state it, as for endpoints that started long ago.
+/// When the endpoint started; `None` if the list does not state it, as for endpoints that started long ago.
 fn decode_start_time(fields: &JsonFields) -> Result<Option<Moment>, JsonFieldError> {
     let started_ms = fields.i64_or("born_ms", 0)?;
     if started_ms <= 0 {
