--- a/control-plane/src/connection_table.rs
+++ b/control-plane/src/connection_table.rs
@@ -7,15 +7,16 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// How many collector connections one zone may have. There may be several per collector, since one that
-/// reconnects can leave its old connection open and silent.
+/// Upper limit of the collector connections of one zone; a small table has a lower limit. There may be
+/// several per collector, since one that reconnects can leave its old connection open and silent.
 const MAX_COLLECTORS_PER_ZONE: usize = 8;
 
 /// Open connections by number, in the order in which they were accepted.
 ///
-/// Collectors take at most half of the slots, so a full table always has an unidentified connection, and the
-/// oldest of those is closed to make room. Collectors identify themselves and health checks are answered
-/// right after the accept, so the oldest unidentified connection is the least likely to do either.
+/// Collectors take at most half of the slots, or one slot per zone if that is more. So a full table has an
+/// unidentified connection, unless there are at least as many zones as slots, and the oldest of those is
+/// closed to make room. Collectors identify themselves and health checks are answered right after the accept,
+/// so the oldest is least likely to still identify itself or await an answer.
 pub struct ConnectionTable {
     max_connections: usize,
     max_per_zone: usize,
@@ -24,7 +25,7 @@
     collectors: BTreeMap<u64, CollectorConnection>,
 }
 
-/// A connection whose peer has not identified itself.
+/// A connection whose peer has not identified itself as a collector; HTTP clients never do.
 struct UnidentifiedConnection {
     task: AbortHandle,
     closing: CancellationToken,
@@ -56,7 +57,7 @@
 
     /// Aborts the task of the oldest unidentified connection. Returns false if there is none.
     pub fn abort_oldest_unidentified(&mut self) -> bool {
-        // Any request that it sent was answered long ago.
+        // Its request, if any, has probably been answered.
         match self.unidentified.pop_first() {
             Some((_, oldest)) => {
                 oldest.task.abort();
@@ -79,7 +80,7 @@
     }
 
     /// Marks a connection as that of a zone's collector. If the zone already has the maximum, the one that
-    /// has been silent for the longest is asked to end.
+    /// has been silent for the longest is asked to end, and its slot is freed at once.
     fn identify(&mut self, number: u64, zone: u32) {
         let Some(connection) = self.unidentified.remove(&number) else { return };
         if self.collectors_in_zone(zone).count() >= self.max_per_zone {
