--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -1,36 +1,36 @@
 //! Assignment of joined proxies to their route tables.
 //!
-//! [`Controller`] assigns proxies at the end of each event, and only if no weight change or ejection was
-//! deferred because it did not fit into the channel. A proxy waits until its table holds a usable endpoint
-//! and the assignment fits into the queue of the channel. A proxy that was never assigned waits for a usable
-//! endpoint only up to a timeout and is then assigned its table as it is. An assignment that is in effect is
-//! not changed.
+//! [`Controller`] assigns proxies whenever it issues commands, and only if no weight change or ejection was
+//! deferred because it did not fit into the channel. A proxy waits for [`JOIN_COLLECTION_TIME`] and until its
+//! table holds a ready endpoint and the assignment fits into the queue of the channel; a nearly empty queue
+//! accepts an assignment of any size. A proxy that was never assigned waits for a ready endpoint only up to a
+//! timeout and is then assigned its table as it is. An assignment that is in effect is not changed.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
 use crate::host::{Host, Timer};
 use crate::time::{Moment, Span};
 
-/// The mean interval at which assignments that wait for a usable endpoint are retried.
+/// The mean interval at which assignments that wait for a ready endpoint are retried.
 pub(super) const ASSIGNMENT_RETRY_INTERVAL: Span = Span::from_us(3_000_000);
 /// The shortest jittered retry interval, as a fraction of the mean.
 const RETRY_JITTER_MIN: f64 = 0.8;
 /// The width of the uniform jitter of the retry interval, as a fraction of the mean.
 const RETRY_JITTER_SPREAD: f64 = 0.4;
-/// The longest time that a proxy that was never assigned a table waits for a usable endpoint.
+/// The longest time that a proxy that was never assigned a table waits for a ready endpoint.
 const FIRST_ASSIGNMENT_TIMEOUT: Span = Span::from_us(5_000_000);
 /// How long a proxy waits after joining before it is assigned, so that proxies that join at the same time are
 /// handled together: the fraction of traffic that a table keeps in its zone depends on all of them.
 const JOIN_COLLECTION_TIME: Span = Span::from_us(150_000);
 /// The fraction of known endpoints that must be draining or removed before assignments take priority: the
-/// stale tables of unassigned proxies may then soon hold no usable endpoint.
+/// stale tables of unassigned proxies may then soon hold no ready endpoint.
 const ASSIGNMENT_PRIORITY_FRACTION: f64 = 0.2;
 /// A queue of at most this many lines accepts an assignment of any size.
 const IDLE_QUEUE_LINES: f64 = 1.0;
 
 impl<H: Host> Controller<H> {
     /// Whether assignments take priority over ordinary weight changes, because so many endpoints are draining
-    /// or removed that stale tables may soon hold no usable endpoint.
+    /// or removed that stale tables may soon hold no ready endpoint.
     pub(super) fn assignments_take_priority(&self) -> bool {
         let unready = self.endpoints.unready_count() as f64;
         unready > self.endpoints.len() as f64 * ASSIGNMENT_PRIORITY_FRACTION && self.proxies.any_unassigned()
@@ -68,7 +68,7 @@
         waiting
     }
 
-    /// Assigns a proxy to its table and records the lines that this costs.
+    /// Assigns a proxy to its table and records the assignment's lines in the channel backlog.
     pub(super) fn assign(&mut self, now: Moment, proxy: u32, limits: &ChannelLimits) {
         let table = self.proxies.mark_assigned(proxy);
         self.host.assign_table(proxy, table);
