--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -1,9 +1,10 @@
 //! Handling of lost commands and lost acknowledgements.
 //!
-//! Commands that were lost, or may have been, are resent unchanged. No other commands are sent until they are
-//! accepted, since commands queued up behind them would arrive in one burst. If all outstanding
-//! acknowledgements are lost, because their proxies left or the event stream broke, one proxy is assigned to
-//! its table again so that it sends a new acknowledgement.
+//! Commands that were lost, or may have been, are resent; only their acknowledgement request may be added or
+//! replaced. No other commands are sent until they are accepted, since commands queued up behind them would
+//! arrive in one burst. If all outstanding acknowledgements are lost while the queue is long, because their
+//! proxies left or the event stream broke, one proxy is assigned to its table again so that it sends a new
+//! acknowledgement.
 
 use super::channel::{ChannelLimits, Urgency};
 use super::Controller;
@@ -12,16 +13,17 @@
 
 /// The delay before lost commands are sent again.
 const RESEND_DELAY: Span = Span::from_us(50_000);
-/// Outstanding acknowledgements count as lost after the time that the channel needs to send its queue plus
-/// this many maximum transit times.
+/// Outstanding acknowledgements count as lost if no line was recorded or acknowledged for the time that the
+/// channel needs to send its queue plus this many maximum transit times.
 const ACKNOWLEDGEMENT_TIMEOUT_TRANSITS: f64 = 2.0;
 
 /// The delivery state of the latest commands.
 #[derive(Default)]
 pub(super) struct DeliveryState {
-    /// When commands were last issued, or lost ones were last recorded as queued twice.
+    /// When commands were last determined, even if none had to be sent, or when the possible duplicates of
+    /// lost ones were last recorded in the backlog.
     pub(super) last_commands: Moment,
-    /// Whether the latest commands were lost and have not been accepted since.
+    /// Whether the latest commands were lost, or may have been, and have not been accepted since.
     pub(super) is_resend_pending: bool,
 }
 
@@ -39,12 +41,14 @@
                 self.host.request_acknowledgement(number);
                 self.delivery.last_commands = now;
             }
+            // Gives the channel time to carry the possible copy.
             resend_delay = resend_delay + Span::from_secs(lines / self.config.channel_rate.max(1.0));
         }
         self.host.schedule_timer(resend_delay, Timer::Resend);
     }
 
-    /// Assigns a randomly chosen proxy again if all outstanding acknowledgements must have been lost.
+    /// Assigns a randomly chosen proxy again if the queue exceeds the limit for ordinary commands and all
+    /// outstanding acknowledgements must have been lost.
     pub(super) fn recover_acknowledgements(&mut self, now: Moment, limits: &ChannelLimits) {
         let queued = self.channel.backlog.queued_lines(now);
         let timeout =
