--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -2,9 +2,9 @@
 //! sending.
 //!
 //! Publication requests the changes of every table from here. Small differences are not worth the lines that
-//! they cost. If all endpoints of a table disappear from the endpoint list while they still answer, the table
-//! retains its weights for a limited time: a list that drops all of them at once is more likely to be wrong
-//! than right.
+//! they cost. If a table has no desired weights left, but one of its endpoints that was removed from the
+//! endpoint list answered recently, the table retains its weights for a limited time: a list that drops all
+//! endpoints of a table at once is more likely to be wrong than right.
 
 use super::assignment::ASSIGNMENT_RETRY_INTERVAL;
 use super::channel::ChannelLimits;
@@ -16,22 +16,24 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The smallest ratio between old and new weight that is sent for an endpoint that is warming up.
+/// A weight change of an endpoint that is warming up is sent only if the old and the new weight differ by
+/// more than this factor.
 const MIN_WARMING_RATIO: f64 = 1.25;
-/// The smallest ratio between old and new weight that is sent for a warm endpoint.
+/// A weight change of a warm endpoint is sent only if the old and the new weight differ by more than this
+/// factor.
 const MIN_WARM_RATIO: f64 = 1.001;
 /// A cold endpoint whose published weight exceeds the desired one by more than this ratio has restarted, so
 /// the change is urgent.
 const RESTART_RATIO: f64 = 2.0;
-/// The smallest difference worth sending, as a multiple of the table's mean weight, per second that the
-/// channel needs to send one line to all receivers of the table.
+/// A change of a published weight is sent only if the difference exceeds the product of this factor, the mean
+/// desired weight of the table and the seconds that the channel needs to send one line to every receiver.
 const MIN_DIFFERENCE_PER_SEC: f64 = 4.0;
 
-/// The longest time for which a table retains its weights after all of its endpoints disappeared from the
-/// list.
+/// The longest time for which a table retains its weights when none is desired. Also the age below which an
+/// answer of a removed endpoint counts as recent.
 const MAX_RETENTION_TIME: Span = ASSIGNMENT_RETRY_INTERVAL;
-/// The fraction of the drain grace for which such a table may retain its weights, where the grace also binds
-/// for removed endpoints.
+/// If the drain grace also applies to removed endpoints, a table retains its weights for at most this fraction
+/// of the grace, less the maximum transit time.
 const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
 /// A weight to set for one endpoint of a table.
