--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -1,9 +1,9 @@
 //! The endpoint registry: every endpoint that the endpoint list has named and that is not yet forgotten.
 //!
 //! [`Controller`](super::Controller) applies list updates to the registry; every other module reads endpoints
-//! from it. The registry guarantees that an endpoint without a usable weight still counts as an endpoint, and
-//! that no endpoint is forgotten while a route table holds it. It also determines the delay before a failed
-//! list watch is retried.
+//! from it. The registry guarantees that an endpoint whose listed weight is too small or not finite gets the
+//! minimum weight, and that no endpoint is forgotten while a route table holds it. It also determines the
+//! delay before a failed list watch is retried.
 
 use crate::histogram::Histogram;
 use crate::host::{EndpointId, EndpointState, EndpointUpdate};
@@ -14,8 +14,8 @@
 /// The minimum weight of a listed endpoint, also used if the list gives a weight that is not finite.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// How long a removed endpoint is remembered: longer than any proxy stays disconnected while still using its
-/// tables, and longer than any drain grace.
+/// How long after it was last ready a removed endpoint is remembered: longer than any proxy stays disconnected
+/// while still using its tables, and longer than any drain grace.
 const REMOVED_RETENTION: Span = Span::from_us(60_000_000);
 
 /// The factor by which the peak of the ready weight decays at each evaluation.
@@ -24,7 +24,8 @@
 /// The mean delay before the list is watched again after repeated failures.
 const WATCH_RETRY_DELAY: Span = Span::from_us(700_000);
 
-/// The number of bands into which the outcomes of attempts are sorted; the last band is for failed attempts.
+/// The number of bands into which attempts are sorted: answered ones by latency, and failed ones into the
+/// last band.
 pub(super) const OUTCOME_BANDS: usize = 5;
 
 /// An endpoint: its list entry, its outcomes from load reports, and whether this controller ejected it.
@@ -41,7 +42,7 @@
     pub(super) last_ready: Moment,
     /// Whether it stopped being ready and was ejected from the proxies that were joined at the time.
     pub(super) ejected: bool,
-    /// Whether the ejection reached all proxies with stale tables, including those that joined later.
+    /// Whether the ejection was sent to all proxies with stale tables; false again once another proxy joins.
     pub(super) ejected_everywhere: bool,
     /// The state that outlier detection keeps for it.
     pub(super) outlier: OutlierState,
@@ -52,9 +53,11 @@
 pub(super) struct OutlierState {
     /// Recent attempts by outcome band; the counts decay.
     pub(super) outcomes: Histogram<OUTCOME_BANDS>,
-    /// The level of weight reduction; 0 means full weight.
+    /// The level of weight reduction by outlier detection: 0 means full weight, and each higher level a
+    /// smaller fraction of it. Independent of [`Endpoint::ejected`].
     pub(super) ejection_level: usize,
-    /// How often the weight was reduced since the last full recovery, up to a maximum.
+    /// How often outlier detection reduced the weight since the last full recovery, up to a maximum. The
+    /// higher the count, the longer each level lasts before the endpoint may recover.
     pub(super) ejection_count: u32,
     /// When the ejection level last changed.
     pub(super) level_since: Moment,
@@ -223,8 +226,8 @@
         }
     }
 
-    /// Forgets the endpoints whose removal is longer ago than the retention and that are not `in_use`, and
-    /// returns them.
+    /// Forgets the removed endpoints that were last ready longer ago than [`REMOVED_RETENTION`] and that are
+    /// not `in_use`, and returns them.
     pub(super) fn forget_removed(
         &mut self,
         now: Moment,
