--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -2,8 +2,8 @@
 //!
 //! Routing and sharding get the weight of every candidate from here. An endpoint starts at a small fraction
 //! of its weight and reaches all of it within the configured window, which counts from its start and not from
-//! its appearance in the endpoint list. In a fleet that has shrunk or rejects requests, the weights of cold
-//! endpoints are reduced further.
+//! its appearance in the endpoint list. In a fleet that has shrunk or leaves attempts unanswered, the weights
+//! of cold endpoints are reduced further.
 
 use super::candidate::Candidate;
 use super::endpoints::EndpointRegistry;
@@ -13,16 +13,16 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The fraction of its weight that an endpoint has at its start. This is less than it can carry then, because
-/// a cold endpoint needs spare capacity of its own in a burst of load.
+/// The fraction of its weight that an endpoint has at its start. This is less than its actual capacity at that
+/// time, because a cold endpoint needs spare capacity of its own in a burst of load.
 const INITIAL_FACTOR: f64 = 0.1;
 /// The exponent of the ramp; 1 would be linear.
 const RAMP_EXPONENT: f64 = 1.3;
 /// The maximum load that the reduction of cold weights may put on the warm endpoints of a table, as a
-/// multiple of their capacity.
+/// multiple of their load without the reduction.
 const MAX_WARM_LOAD: f64 = 2.0;
-/// Endpoints below this slow-start factor are left out of the tables while the fleet is degraded and its
-/// proxies eject endpoints themselves.
+/// Endpoints below this slow-start factor are left out of tables that have warm endpoints while the fleet is
+/// degraded and its proxies eject endpoints themselves.
 const MIN_FACTOR_WHILE_DEGRADED: f64 = 0.35;
 /// The minimum factor that cold weights are multiplied by because of the fleet's condition.
 const MIN_COLD_FACTOR: f64 = 0.05;
@@ -38,8 +38,8 @@
     /// The estimated fraction (0 to 1) of the recent peak load that the fleet can answer, from its ready
     /// weight and its answered attempts.
     capacity_fraction: f64,
-    /// Whether the coldest endpoints are left out of the tables. Proxies that eject failing endpoints move on
-    /// to endpoints that they have not tried yet, however small the weight of those is.
+    /// Whether the coldest endpoints are left out of tables that have warm ones. Proxies that eject failing
+    /// endpoints move on to endpoints that they have not tried yet, however small the weight of those is.
     exclude_coldest: bool,
 }
 
