--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -1,9 +1,9 @@
 //! Assignment of key shards to endpoints, and the handover of shards with a single writer.
 //!
-//! If the deployment has shards, [`Controller`] publishes them at the end of each event instead of the route
-//! tables of zones. A shard stays at its endpoint while an endpoint of its table is usable. With a single
-//! writer, writes to a shard are stopped before it moves, until writes that are in flight or were sent under
-//! a lease have ended.
+//! If the deployment has shards, [`Controller`] publishes them whenever it issues commands, instead of the
+//! route tables of zones. A shard moves once none of its published endpoints is usable. With a single writer,
+//! writes to a shard are stopped before it moves, until writes that are in flight or were sent under a lease
+//! have ended; a handover that began is completed even if the former endpoint becomes usable again.
 
 use super::admission::RETRY_POLICY;
 use super::slow_start::{slow_start_weights, EndpointWeight};
