--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -6,18 +6,20 @@
 
 use crate::time::Span;
 
-/// The delay between attempts and the arrival of the load report that covers them.
+/// The longest assumed delay between attempts and the arrival of the load report that covers them, in addition
+/// to the interval of the report.
 pub(super) const REPORT_DELAY: Span = Span::from_us(2_000_000);
 /// The minimum number of attempts from which conclusions are drawn.
 pub(super) const MIN_ATTEMPTS: f64 = 6.0;
 
-/// A pair of thresholds for one figure: one for entering a state and one for leaving it.
+/// A pair of thresholds for one figure: one for entering overload or degradation, and one that the figure must
+/// reach before a degraded fleet counts as recovered.
 pub(super) struct Hysteresis {
     pub(super) enter: f64,
     leave: f64,
 }
 
-/// The median outlier score: above `enter` the fleet is overloaded, above `leave` it stays degraded.
+/// The median outlier score: above `enter` the fleet is overloaded, above `leave` a degraded one stays so.
 pub(super) const MEDIAN_SCORE: Hysteresis = Hysteresis { enter: 0.2, leave: 0.15 };
 /// The answered fraction of attempts: below `enter` the fleet becomes degraded, below `leave` it stays so.
 const ANSWERED_FRACTION: Hysteresis = Hysteresis { enter: 0.85, leave: 0.92 };
@@ -26,7 +28,7 @@
 /// The shortest window over which rates are computed.
 const MIN_WINDOW_SECS: f64 = 0.1;
 
-/// Demand, outcomes and joined request rate over a decaying window.
+/// Demand, outcomes and the request rate of the joined proxies over a decaying window.
 #[derive(Default)]
 pub(super) struct FleetLoad {
     /// Requests made by clients, by request class.
@@ -37,7 +39,7 @@
     pub(super) answered: f64,
     /// Attempts that were answered within the window; decays as the window does.
     pub(super) answered_in_window: f64,
-    /// The joined request rate, summed over the evaluations of the window.
+    /// The request rate of the joined proxies, summed over the evaluations of the window.
     pub(super) joined_request_rate_sum: f64,
     /// The length of the decaying window.
     pub(super) window: Span,
