--- a/control-plane/src/relay_host.rs
+++ b/control-plane/src/relay_host.rs
@@ -89,7 +89,7 @@
         std::mem::take(&mut self.commands)
     }
 
-    /// The number of commands issued since the start.
+    /// The number of commands issued since the start of the process, across controller restarts.
     pub fn commands_issued(&self) -> u64 {
         self.commands_issued
     }
