--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -22,11 +22,11 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-/// Shorter than the timeout of any call, so that a call that could not connect is known not to have been
-/// sent. The connection attempt continues for the next call.
+/// How long a call waits for a connection. Shorter than the timeout of any call, so that a call that could not
+/// connect is known not to have been sent. The connection attempt continues for the next call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// Peers close idle connections. A connection that has been idle for less than this is unlikely to be closed
-/// yet.
+/// How long an idle connection is kept for reuse. Peers close idle connections; one that has been idle for
+/// less than this is unlikely to be closed yet.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Opens connections to the peer for hyper's client.
@@ -91,7 +91,7 @@
         PeerClient { client, address }
     }
 
-    /// Sends a request and waits up to `limit` for the response head.
+    /// Sends a request and waits up to `limit`, plus a short grace period, for the response head.
     pub async fn send(
         &self,
         method: Method,
@@ -116,7 +116,7 @@
     }
 
     /// Sends a request and reads the complete response. The response body may have at most `max_bytes` bytes,
-    /// and the whole call may take up to `limit`.
+    /// and the whole call may take up to `limit` plus a short grace period.
     pub async fn call(
         &self,
         method: Method,
@@ -140,8 +140,8 @@
     }
 }
 
-/// Whether the peer had closed the pooled connection. hyper then cancels the request before any of it is
-/// sent.
+/// Whether hyper cancelled the request before sending any of it, as it does when the peer had closed the
+/// pooled connection.
 fn was_never_sent(error: &legacy::Error) -> bool {
     let cause = error.source().and_then(|cause| cause.downcast_ref::<hyper::Error>());
     cause.is_some_and(hyper::Error::is_canceled)
