--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -16,8 +16,8 @@
 const DEFAULT_SOCKET_LIMIT: u64 = 2 * MAX_CONNECTIONS;
 const DEFAULT_MEMORY_LIMIT_MB: u64 = 1024;
 const MAX_LIST_BYTES: u64 = 4 << 20;
-/// A response of the endpoint list may take this fraction of the memory limit, because it takes ten times its
-/// size once decoded.
+/// A response of the endpoint list may be as large as the memory limit divided by this, because it takes ten
+/// times its size once decoded.
 const LIST_MEMORY_DIVISOR: u64 = 32;
 /// The commands of the controller refer to request classes by the bits of an integer.
 const MAX_REQUEST_CLASSES: usize = RequestClassSet::BITS as usize;
@@ -45,8 +45,8 @@
     pub controller: ControllerConfig,
     /// Endpoints to use until the endpoint list has answered.
     pub known_endpoints: Vec<EndpointUpdate>,
-    /// How many connections the listener may hold: half of all sockets, which leaves the others for outgoing
-    /// connections.
+    /// How many connections the listener may hold: half of the socket limit, which leaves the other half for
+    /// outgoing connections, but at least 1 and at most [`MAX_CONNECTIONS`].
     pub max_connections: usize,
     /// Size limit of a response of the endpoint list, in bytes.
     pub max_list_bytes: usize,
@@ -118,7 +118,8 @@
 }
 
 impl<'a> ConfigReader<'a> {
-    /// Reads all fields, also after a fault. Returns `None` if a value is missing or invalid.
+    /// Reads all fields, also after a fault. Returns `None` if a required value other than the settings is
+    /// missing or invalid; faults of the settings are only recorded.
     fn read_config(&mut self, env: impl Fn(&str) -> Option<String>) -> Option<Config> {
         self.check_environment(env);
         let name = self.value_or_record(self.fields.string("name"));
