--- a/control-plane/src/shutdown.rs
+++ b/control-plane/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::task::{JoinError, JoinHandle};
 
-/// The platform kills the process 0.7 s after the signal.
+/// How long the tasks may take to finish. The platform kills the process 0.7 s after the signal.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 const LISTENER: &str = "the listener";
 const CONTROL_LOOP: &str = "the control loop";
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Waits for all tasks to end, up to the shutdown timeout.
+    /// Waits for all tasks to end, up to the shutdown timeout. A timeout is logged and is not an error.
     ///
     /// # Errors
     /// A task panicked.
