--- a/control-plane/src/client.rs
+++ b/control-plane/src/client.rs
@@ -22,8 +22,8 @@
 use tokio::time::Instant;
 use tower_service::Service;
 
-/// How long a call waits for a connection. Shorter than the timeout of any call, so that a call that could not
-/// connect is known not to have been sent. The connection attempt continues for the next call.
+/// How long a call waits for a connection. Shorter than the timeout of any call, so that a call that could
+/// not connect is known not to have been sent. The connection attempt continues for the next call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long an idle connection is kept for reuse. Peers close idle connections; one that has been idle for
 /// less than this is unlikely to be closed yet.
--- a/control-plane/src/config.rs
+++ b/control-plane/src/config.rs
@@ -46,7 +46,7 @@
     /// Endpoints to use until the endpoint list has answered.
     pub known_endpoints: Vec<EndpointUpdate>,
     /// How many connections the listener may hold: half of the socket limit, which leaves the other half for
-    /// outgoing connections, but at least 1 and at most [`MAX_CONNECTIONS`].
+    /// outgoing connections, but at least 1 and at most `MAX_CONNECTIONS`.
     pub max_connections: usize,
     /// Size limit of a response of the endpoint list, in bytes.
     pub max_list_bytes: usize,
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -32,8 +32,8 @@
 /// The longest time for which a table retains its weights when none is desired. Also the age below which an
 /// answer of a removed endpoint counts as recent.
 const MAX_RETENTION_TIME: Span = ASSIGNMENT_RETRY_INTERVAL;
-/// If the drain grace also applies to removed endpoints, a table retains its weights for at most this fraction
-/// of the grace, less the maximum transit time.
+/// If the drain grace also applies to removed endpoints, a table retains its weights for at most this
+/// fraction of the grace, less the maximum transit time.
 const RETENTION_GRACE_FRACTION: f64 = 0.6;
 
 /// A weight to set for one endpoint of a table.
--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -14,8 +14,8 @@
 /// The minimum weight of a listed endpoint, also used if the list gives a weight that is not finite.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// How long after it was last ready a removed endpoint is remembered: longer than any proxy stays disconnected
-/// while still using its tables, and longer than any drain grace.
+/// How long after it was last ready a removed endpoint is remembered: longer than any proxy stays
+/// disconnected while still using its tables, and longer than any drain grace.
 const REMOVED_RETENTION: Span = Span::from_us(60_000_000);
 
 /// The factor by which the peak of the ready weight decays at each evaluation.
--- a/src/controller/fleet_load.rs
+++ b/src/controller/fleet_load.rs
@@ -6,14 +6,14 @@
 
 use crate::time::Span;
 
-/// The longest assumed delay between attempts and the arrival of the load report that covers them, in addition
-/// to the interval of the report.
+/// The longest assumed delay between attempts and the arrival of the load report that covers them, in
+/// addition to the interval of the report.
 pub(super) const REPORT_DELAY: Span = Span::from_us(2_000_000);
 /// The minimum number of attempts from which conclusions are drawn.
 pub(super) const MIN_ATTEMPTS: f64 = 6.0;
 
-/// A pair of thresholds for one figure: one for entering overload or degradation, and one that the figure must
-/// reach before a degraded fleet counts as recovered.
+/// A pair of thresholds for one figure: one for entering overload or degradation, and one that the figure
+/// must reach before a degraded fleet counts as recovered.
 pub(super) struct Hysteresis {
     pub(super) enter: f64,
     leave: f64,
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -13,8 +13,8 @@
 use crate::time::{Moment, Span};
 use std::collections::BTreeMap;
 
-/// The fraction of its weight that an endpoint has at its start. This is less than its actual capacity at that
-/// time, because a cold endpoint needs spare capacity of its own in a burst of load.
+/// The fraction of its weight that an endpoint has at its start. This is less than its actual capacity at
+/// that time, because a cold endpoint needs spare capacity of its own in a burst of load.
 const INITIAL_FACTOR: f64 = 0.1;
 /// The exponent of the ramp; 1 would be linear.
 const RAMP_EXPONENT: f64 = 1.3;
