--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -40,8 +40,8 @@
     /// then those with the highest request rate.
     pub(super) fn assign_waiting(&mut self, now: Moment, limits: &ChannelLimits) {
         let max_lines = limits.max_lines(Urgency::Ordinary);
-        for number in self.waiting_proxies() {
-            let proxy = &self.proxies.joined[&number];
+        for proxy_number in self.waiting_proxies() {
+            let proxy = &self.proxies.joined[&proxy_number];
             let table = proxy.table;
             let waited = now - proxy.joined;
             let has_timed_out = proxy.has_initial_table && waited >= FIRST_ASSIGNMENT_TIMEOUT;
@@ -50,7 +50,7 @@
             if waited < JOIN_COLLECTION_TIME || queued > IDLE_QUEUE_LINES && queued + message > max_lines {
                 self.schedule_recheck();
             } else if has_timed_out || self.tables.has_ready_endpoint(table, &self.endpoints) {
-                self.assign(now, number, limits);
+                self.assign(now, proxy_number, limits);
             } else if self.timers.mark_scheduled(Timer::AssignmentRetry) {
                 let jitter = RETRY_JITTER_MIN + RETRY_JITTER_SPREAD * self.rng.next_f64();
                 self.host.schedule_timer(ASSIGNMENT_RETRY_INTERVAL * jitter, Timer::AssignmentRetry);
--- a/src/controller/changes.rs
+++ b/src/controller/changes.rs
@@ -60,10 +60,10 @@
 pub(super) fn weight_changes(
     table: &RouteTable,
     desired: BTreeMap<EndpointId, EndpointWeight>,
-    receivers: usize,
+    receiver_count: usize,
     limits: &ChannelLimits,
 ) -> Vec<WeightChange> {
-    let secs_per_line = limits.transmission_secs(receivers as f64);
+    let secs_per_line = limits.transmission_secs(receiver_count as f64);
     let sum = desired.values().map(|desired| desired.weight).sum::<f64>();
     let mean = sum / desired.len().max(1) as f64;
     let min_difference = mean * secs_per_line * MIN_DIFFERENCE_PER_SEC;
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -57,10 +57,10 @@
         if queued <= limits.max_lines(Urgency::Ordinary) || inactive_for <= timeout {
             return;
         }
-        let usable =
+        let proxies_with_ready_endpoint =
             self.proxies.matching(|proxy| self.tables.has_ready_endpoint(proxy.table, &self.endpoints));
-        let position = (usable.len() as f64 * self.rng.next_f64()) as usize;
-        if let Some(proxy) = usable.get(position) {
+        let position = (proxies_with_ready_endpoint.len() as f64 * self.rng.next_f64()) as usize;
+        if let Some(proxy) = proxies_with_ready_endpoint.get(position) {
             self.assign(now, *proxy, limits);
         }
     }
--- a/src/controller/sharding.rs
+++ b/src/controller/sharding.rs
@@ -102,8 +102,8 @@
         let handover_time = self.handover_time();
         let write_classes = self.write_classes();
         let Some(shard) = self.shards.by_number.get_mut(&number) else { return };
-        let is_usable = shard.weights.keys().any(|id| usable.weights.contains_key(id));
-        if shard.handover_since.is_none() && is_usable {
+        let has_usable_endpoint = shard.weights.keys().any(|id| usable.weights.contains_key(id));
+        if shard.handover_since.is_none() && has_usable_endpoint {
             return;
         }
         let Some(id) = usable.endpoint_at(self.rng.next_f64()) else { return };
--- a/src/controller/slow_start.rs
+++ b/src/controller/slow_start.rs
@@ -73,11 +73,12 @@
 ) -> BTreeMap<EndpointId, EndpointWeight> {
     let capacity =
         |warm: bool| candidates.iter().filter(|c| c.is_warm() == warm).map(Candidate::capacity).sum::<f64>();
-    let (cold, warm) = (capacity(false), capacity(true));
+    let (cold_capacity, warm_capacity) = (capacity(false), capacity(true));
     // Cold weights are reduced only as far as the warm endpoints can take over the load.
-    let min_cold_factor = ((cold + warm) / MAX_WARM_LOAD - warm) / cold.max(1e-9);
+    let min_cold_factor =
+        ((cold_capacity + warm_capacity) / MAX_WARM_LOAD - warm_capacity) / cold_capacity.max(1e-9);
     let cold_factor = fleet.capacity_fraction.max(min_cold_factor).min(1.0);
-    let exclude_coldest = fleet.exclude_coldest && warm > 0.0;
+    let exclude_coldest = fleet.exclude_coldest && warm_capacity > 0.0;
     let mut weights = BTreeMap::new();
     for candidate in candidates {
         let is_warm = candidate.is_warm();
