--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -22,7 +22,7 @@
 pub(super) struct DeliveryState {
     /// When commands were last determined, even if none had to be sent, or when the possible duplicates of
     /// lost ones were last recorded in the backlog.
-    pub(super) last_commands: Moment,
+    pub(super) last_issue_time: Moment,
     /// Whether the latest commands were lost, or may have been, and have not been accepted since.
     pub(super) is_resend_pending: bool,
 }
@@ -36,10 +36,10 @@
         if may_have_arrived {
             // If the commands did arrive, their lines are queued twice. An acknowledgement of the resent
             // commands covers both.
-            let (lines, number) = self.channel.backlog.record_resend(now, self.delivery.last_commands);
+            let (lines, number) = self.channel.backlog.record_resend(now, self.delivery.last_issue_time);
             if let Some(number) = number {
                 self.host.request_acknowledgement(number);
-                self.delivery.last_commands = now;
+                self.delivery.last_issue_time = now;
             }
             // Gives the channel time to carry the possible copy.
             resend_delay = resend_delay + Span::from_secs(lines / self.config.channel_rate.max(1.0));
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -301,7 +301,7 @@
             self.publish_shards(now);
             return;
         }
-        self.delivery.last_commands = now;
+        self.delivery.last_issue_time = now;
         let limits = ChannelLimits::new(&self.config, &self.endpoints);
         let is_queue_short = self.channel.is_queue_short(now, &limits);
         let ordinary_due = self.publication.is_due(now) && !self.assignments_take_priority();
