--- a/src/controller/endpoints.rs
+++ b/src/controller/endpoints.rs
@@ -60,14 +60,14 @@
     /// higher the count, the longer each level lasts before the endpoint may recover.
     pub(super) ejection_count: u32,
     /// When the ejection level last changed.
-    pub(super) level_since: Moment,
+    pub(super) level_changed_at: Moment,
 }
 
 impl OutlierState {
     /// Changes the ejection level and discards the outcomes observed at the previous level.
     pub(super) fn set_level(&mut self, level: usize, now: Moment) {
         self.ejection_level = level;
-        self.level_since = now;
+        self.level_changed_at = now;
         self.outcomes = Histogram::default();
     }
 }
--- a/src/controller/outliers.rs
+++ b/src/controller/outliers.rs
@@ -70,7 +70,7 @@
     }
     // Reports arrive late and cover attempts that started earlier. Reports that arrive soon after a change of
     // the level therefore reflect the previous weight; they are skipped unless the weight is full again.
-    let since_change = now - endpoint.outlier.level_since;
+    let since_change = now - endpoint.outlier.level_changed_at;
     if endpoint.outlier.ejection_level > 0 && since_change < REPORT_DELAY + outcomes.interval {
         return;
     }
@@ -187,7 +187,7 @@
             EJECTION_TIME * f64::from(endpoint.outlier.ejection_count) + EVALUATION_INTERVAL * 0.5;
         // An endpoint without outcomes may recover: its score, `None`, compares as less than the threshold.
         let may_recover = outlier_score(&endpoint.outlier.outcomes) <= Some(score_threshold);
-        if may_recover && now - endpoint.outlier.level_since > ejection_time {
+        if may_recover && now - endpoint.outlier.level_changed_at > ejection_time {
             endpoint.outlier.set_level(endpoint.outlier.ejection_level - 1, now);
             if endpoint.outlier.ejection_level == 0 {
                 endpoint.outlier.ejection_count = 0;
--- a/src/controller/outliers/tests.rs
+++ b/src/controller/outliers/tests.rs
@@ -87,7 +87,7 @@
         let endpoint = controller.endpoints.get_mut("a").unwrap();
         endpoint.outlier.ejection_level = 2;
         endpoint.outlier.ejection_count = 1;
-        endpoint.outlier.level_since = at(1.0);
+        endpoint.outlier.level_changed_at = at(1.0);
         controller.detect_outliers(at(1.0 + late));
         assert_eq!(ejection_level(&controller, "a"), level);
     }
@@ -98,7 +98,7 @@
     let mut controller = running_controller(config(), &["a"], 1);
     let endpoint = controller.endpoints.get_mut("a").unwrap();
     endpoint.outlier.ejection_level = 1;
-    endpoint.outlier.level_since = at(5.0);
+    endpoint.outlier.level_changed_at = at(5.0);
     controller.outcomes_reported(at(6.0), "a", 10.0, 10.0, Span::ZERO, Span::from_secs(1.0));
     assert_eq!(controller.endpoints.get("a").unwrap().outlier.outcomes.total(), 0.0);
 }
