--- a/src/controller/assignment.rs
+++ b/src/controller/assignment.rs
@@ -43,7 +43,7 @@
         for proxy_number in self.waiting_proxies() {
             let proxy = &self.proxies.joined[&proxy_number];
             let table = proxy.table;
-            let waited = now - proxy.joined;
+            let waited = now - proxy.waiting_since;
             let has_timed_out = proxy.has_initial_table && waited >= FIRST_ASSIGNMENT_TIMEOUT;
             let queued = self.channel.backlog.queued_lines(now);
             let message = limits.message_overhead + self.tables.by_number[&table].assignment_lines();
--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -12,7 +12,7 @@
     /// Its usual request rate, in requests per second.
     pub(super) rate: f64,
     /// When it joined, or when its assignment was last rejected.
-    pub(super) joined: Moment,
+    pub(super) waiting_since: Moment,
     /// Whether, when it joined, it had never been assigned a table by any controller and still used the few
     /// endpoints that it selected when it started.
     pub(super) has_initial_table: bool,
@@ -58,7 +58,7 @@
             self.joined.get(&proxy).is_some_and(|former| former.receives_updates && former.table == table);
         let proxy_state = Proxy {
             rate,
-            joined: now,
+            waiting_since: now,
             has_initial_table: has_initial_table && !was_seen,
             table,
             is_assigned: false,
@@ -85,7 +85,7 @@
     pub(super) fn unassign(&mut self, now: Moment, proxy: u32) {
         if let Some(state) = self.joined.get_mut(&proxy) {
             state.is_assigned = false;
-            state.joined = now;
+            state.waiting_since = now;
         }
     }
 
