--- a/src/controller/proxies.rs
+++ b/src/controller/proxies.rs
@@ -12,14 +12,14 @@
     /// Its usual request rate, in requests per second.
     pub(super) rate: f64,
     /// When it joined, or when its assignment was last rejected.
-    pub(super) joined: Moment,
-    /// Whether it was never assigned a table by any controller and still uses the few endpoints that it
-    /// selected when it started.
+    pub(super) waiting_since: Moment,
+    /// Whether, when it joined, it had never been assigned a table by any controller and still used the few
+    /// endpoints that it selected when it started.
     pub(super) has_initial_table: bool,
     /// The table that it is or will be assigned to.
     pub(super) table: u32,
-    /// Whether it was assigned to its table in the current stream. Until then it may use a stale table from
-    /// an earlier stream.
+    /// Whether it was assigned to its table since it last joined or had its assignment rejected. Until then
+    /// it may use a stale table from an earlier stream.
     pub(super) is_assigned: bool,
     /// Whether changes of its table are assumed to reach it: it is assigned to the table, or was and may
     /// still be.
@@ -58,7 +58,7 @@
             self.joined.get(&proxy).is_some_and(|former| former.receives_updates && former.table == table);
         let proxy_state = Proxy {
             rate,
-            joined: now,
+            waiting_since: now,
             has_initial_table: has_initial_table && !was_seen,
             table,
             is_assigned: false,
@@ -80,11 +80,12 @@
         state.table
     }
 
-    /// Marks a proxy whose assignment was rejected as unassigned, as if it had just joined.
+    /// Marks a proxy whose assignment was rejected as unassigned and restarts its wait for an assignment.
+    /// Changes of its table are still assumed to reach it.
     pub(super) fn unassign(&mut self, now: Moment, proxy: u32) {
         if let Some(state) = self.joined.get_mut(&proxy) {
             state.is_assigned = false;
-            state.joined = now;
+            state.waiting_since = now;
         }
     }
 
