--- a/simulation/src/fault_injection.rs
+++ b/simulation/src/fault_injection.rs
@@ -93,7 +93,7 @@
         for slot in lost {
             self.drop_attempt(slot);
         }
-        // After its recovery it starts with the table of its initial endpoints.
+        // After its recovery it counts as unassigned; it uses its old table until the next message.
         let proxy = &mut self.proxies[proxy_index as usize];
         proxy.has_assigned_table = proxy.instance.is_none();
     }
--- a/src/controller/delivery.rs
+++ b/src/controller/delivery.rs
@@ -28,8 +28,8 @@
 }
 
 impl<H: Host> Controller<H> {
-    /// Schedules a resend of lost commands. `may_have_arrived` means that it is unknown whether they were
-    /// lost.
+    /// Schedules a resend of commands whose delivery failed. `may_have_arrived` means that they may have
+    /// arrived nevertheless.
     pub(super) fn schedule_resend(&mut self, now: Moment, may_have_arrived: bool) {
         self.delivery.is_resend_pending = true;
         let mut resend_delay = RESEND_DELAY;
--- a/src/controller/ejection.rs
+++ b/src/controller/ejection.rs
@@ -3,7 +3,7 @@
 //! A proxy that is not assigned yet may use a table that this controller did not publish: the few endpoints
 //! that it selected when it started, or a table from an earlier stream. Ejections apply to it in any case,
 //! weight changes are sent to it only if it is assumed to hold its present table still (`receives_updates`).
-//! At the end of each event, [`Controller`] ejects every endpoint that is no longer ready and is in none of
+//! Whenever it issues commands, [`Controller`] ejects each endpoint that is no longer ready and is in none of
 //! its tables, in the order in which they stopped being ready. While the channel is busy, or the ejections
 //! would make it busy, ejections are held back for a part of the drain grace, since assigning the proxies
 //! makes them unnecessary.
--- a/src/controller/publication.rs
+++ b/src/controller/publication.rs
@@ -1,6 +1,6 @@
 //! Publication of route table changes: when they are sent, and in which order.
 //!
-//! [`Controller`] publishes at the end of each event. Urgent changes (an endpoint leaves the table or has
+//! [`Controller`] publishes whenever it issues commands. Urgent changes (an endpoint leaves the table or has
 //! restarted, or the table was empty) are sent as soon as the queue is short, in batches that fit into it;
 //! endpoints that stopped being ready first are in the first batch. If the batch holds all urgent changes,
 //! each of its messages also carries the ordinary changes of its table that fit. The more channel time the
